--- /dev/null
+++ b/quota_gateway/__init__.py
@@ -0,0 +1,55 @@
+"""The decisions of a quota-keeping gateway for a shared API, as a library.
+
+Make a ``PolicyEngine`` from ``Settings``, hand it events with a time in milliseconds, carry out its actions.
+"""
+
+from quota_gateway.model import (
+    Action,
+    AttachServer,
+    AttemptStatus,
+    CancelAttempt,
+    ClientDisconnected,
+    CloseIdle,
+    CounterReply,
+    DetachServer,
+    DiscoveryMode,
+    Endpoint,
+    EndpointLifecycle,
+    EndpointUpdate,
+    Event,
+    ExportState,
+    Fail,
+    GatewayLimits,
+    HealthCheck,
+    HealthCheckResult,
+    Idempotency,
+    IdempotencyScope,
+    IncrementCounter,
+    LogMessage,
+    NotifyPeerProcess,
+    Outcome,
+    PeerMessage,
+    PeerProcessExited,
+    PeerProcessUsage,
+    Plan,
+    PollEndpoints,
+    Reject,
+    Request,
+    RequestClass,
+    RestoreState,
+    SendPeerMessage,
+    ServiceRules,
+    SetServerDetached,
+    SetTimer,
+    Settings,
+    ShutdownStarted,
+    StartAttempt,
+    StateSnapshot,
+    StreamStarted,
+    Subscribe,
+    TimerFired,
+    UpdateKind,
+)
+from quota_gateway.policy.engine import PolicyEngine
+
+__all__ = ['Action', 'AttachServer', 'AttemptStatus', 'CancelAttempt', 'ClientDisconnected', 'CloseIdle', 'CounterReply', 'DetachServer', 'DiscoveryMode', 'Endpoint', 'EndpointLifecycle', 'EndpointUpdate', 'Event', 'ExportState', 'Fail', 'GatewayLimits', 'HealthCheck', 'HealthCheckResult', 'Idempotency', 'IdempotencyScope', 'IncrementCounter', 'LogMessage', 'NotifyPeerProcess', 'Outcome', 'PeerMessage', 'PeerProcessExited', 'PeerProcessUsage', 'Plan', 'PolicyEngine', 'PollEndpoints', 'Reject', 'Request', 'RequestClass', 'RestoreState', 'SendPeerMessage', 'ServiceRules', 'SetServerDetached', 'SetTimer', 'Settings', 'ShutdownStarted', 'StartAttempt', 'StateSnapshot', 'StreamStarted', 'Subscribe', 'TimerFired', 'UpdateKind']
--- a/brackenloft/__main__.py
+++ b/quota_gateway/__main__.py
@@ -17,19 +17,19 @@
 
 import uvloop
 
-from brackenloft import interface as api
-from brackenloft.logic import Gateway
-from brackenloft.net.bans import Bans
-from brackenloft.net.clients import Clients
-from brackenloft.net.discovery import Discovery
-from brackenloft.net.driver import Clock, Driver
-from brackenloft.net.handover import MOST_QUEUED, Estate, Handover, ask, place
-from brackenloft.net.management import MOST_CALLERS, Management
-from brackenloft.net.roster import Roster
-from brackenloft.net.servers import Address, Servers
-from brackenloft.settings import settings_from
-
-log = logging.getLogger("brackenloft")
+from quota_gateway import model as api
+from quota_gateway.net.admin import MOST_CALLERS, AdminServer
+from quota_gateway.net.client_listener import ClientListener
+from quota_gateway.net.detachments import Detachments
+from quota_gateway.net.discovery_client import DiscoveryClient
+from quota_gateway.net.driver import Clock, Driver
+from quota_gateway.net.endpoint_registry import EndpointRegistry
+from quota_gateway.net.handover import MOST_QUEUED, Handover, HandoverState, rendezvous_path, request_handover
+from quota_gateway.net.upstream_pool import Address, UpstreamPool
+from quota_gateway.policy.engine import PolicyEngine
+from quota_gateway.settings_format import settings_from_document
+
+log = logging.getLogger("quota_gateway")
 
 STANDARD = 3  # descriptors: standard input, output and error, which is the log
 FOR_LOOP = 10  # epoll and its ring, the wake-up, two pipes and a pair of sockets for signals, one in reserve
@@ -56,7 +56,7 @@
 FLUSH_S = 0.2  # of that, for answers that are on their way to clients that still send or read slowly
 
 
-class Ration(logging.Filter):
+class LogRateLimiter(logging.Filter):
     """Lets so many lines of the log through in a span, and says how many it left out.
 
     Guards against a peer that fills the log, which counts as memory where it is a file: a line for each
@@ -133,11 +133,11 @@
             seed=int(document["seed"], 16), descriptors=int(document["limits"]["sockets"]),
             inherited=max(STANDARD, _open_descriptors()),
             memory=int(document["limits"]["memory_mb"]) * MEGABYTE,
-            known=document["known"], settings=settings_from(document["settings"]),
+            known=document["known"], settings=settings_from_document(document["settings"]),
         )
 
 
-def _reload(path: Path, discovery: Discovery) -> None:
+def _reload(path: Path, discovery: DiscoveryClient) -> None:
     """SIGHUP: watch discovery where the configuration's file names it now, which outranks the environment.
 
     Guards against a file that is missing, half-written or malformed: it is logged, and what is stays.
@@ -161,25 +161,25 @@
     signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
     for_clients, for_servers = shares(config.descriptors, config.inherited, config.mgmt is not None)
     held = max(LEAST_HELD, int((config.memory - PROGRAM) * HELD_SHARE))
-    servers = Servers(config.settings, for_servers, held)
-    gateway = Gateway(config.settings, config.seed)
+    servers = UpstreamPool(config.settings, for_servers, held)
+    gateway = PolicyEngine(config.settings, config.seed)
     driver = Driver(gateway, servers, Clock())
-    clients = Clients(driver, config.settings, for_clients, held)
+    clients = ClientListener(driver, config.settings, for_clients, held)
 
-    def news(listing: api.ServerList, addresses: dict[int, Address]) -> None:
+    def news(listing: api.EndpointUpdate, addresses: dict[int, Address]) -> None:
         servers.update(listing, addresses)
         driver.post(listing)
-        if listing.kind is not api.ListKind.CACHED:
+        if listing.kind is not api.UpdateKind.CACHED:
             clients.ready = True
 
-    discovery = Discovery(news, config.seed, gateway.subset)
+    discovery = DiscoveryClient(news, config.seed, gateway.subset)
     # with a list that is known, one who is turned away serves by it at once
-    discovery.on_unheard = lambda: setattr(clients, "ready", clients.ready or bool(discovery.roster.rows))
-    handover = Handover(place(config.listen), driver, clients, servers)
-    bans = Bans(discovery.roster, driver, handover)
-    handover.leave_roster, handover.on_ban = discovery.roster.leave, bans.carry_out
-    estate = await ask(handover.path)
-    discovery.known(_known(config, discovery.roster, estate))
+    discovery.on_unavailable = lambda: setattr(clients, "ready", clients.ready or bool(discovery.registry.rows))
+    handover = Handover(rendezvous_path(config.listen), driver, clients, servers)
+    bans = Detachments(discovery.registry, driver, handover)
+    handover.leave_roster, handover.on_ban = discovery.registry.leave, bans.carry_out
+    estate = await request_handover(handover.path)
+    discovery.known(_known(config, discovery.registry, estate))
     discovery.watch(config.discovery)
 
     async def reload() -> None:
@@ -188,12 +188,12 @@
             again.clear()
             _reload(config.path, discovery)
 
-    management = Management(
+    management = AdminServer(
         lambda: clients.ready and not clients.suspended and not stop.is_set(), bans.moved)
     if config.mgmt:
         await management.listen(config.mgmt)
     reloading = loop.create_task(reload())
-    if estate and not estate.channel.closed and driver.inherit(estate.state):
+    if estate and not estate.channel.closed and driver.restore_state(estate.state):
         clients.adopt(estate.listener)
         clients.ready = True
         handover.took_over(estate, max(0, min(int(PROGRAM * HELD_SHARE), held - LEAST_HELD)))
@@ -215,17 +215,17 @@
     servers.close()
 
 
-def _known(config: Config, roster: Roster, estate: Estate | None) -> Any:
+def _known(config: Config, registry: EndpointRegistry, estate: HandoverState | None) -> Any:
     """The list to start with: what the process before has left, else what the configuration says."""
     if estate:
         try:
-            return roster.inherit(estate.roster)
+            return registry.restore_state(estate.registry)
         except ValueError as error:
             estate.channel.close(str(error))
     return config.known
 
 
-async def _listen(clients: Clients, address: Address) -> None:
+async def _listen(clients: ClientListener, address: Address) -> None:
     """Listen at the clients' address; one that is still in use is waited for."""
     loop = asyncio.get_running_loop()
     until = loop.time() + LISTEN_S
@@ -239,7 +239,7 @@
         await asyncio.sleep(0.05)
 
 
-async def _leave(settings: api.Settings, driver: Driver, clients: Clients, handover: Handover) -> None:
+async def _leave(settings: api.Settings, driver: Driver, clients: ClientListener, handover: Handover) -> None:
     """Go on accepting for the stated span, answer all that was taken, close; all before SIGKILL.
 
     Where another process has taken over, connections are passed on to it in place of being closed.
@@ -249,7 +249,7 @@
     span_s = min(KILL_S[0], longest_s) + KILL_S[1] - SPARE_S
     end = loop.time() + span_s
     log.info("stopping")
-    driver.post(api.Stopping(span_s * 1000.0))
+    driver.post(api.ShutdownStarted(span_s * 1000.0))
     await asyncio.sleep(ACCEPT_S)
     clients.stop_listening()
     while (clients.connections or handover.busy()) and loop.time() < end:
@@ -270,7 +270,7 @@
     logging.basicConfig(
         stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(name)s %(message)s")
     for handler in logging.getLogger().handlers:
-        handler.addFilter(Ration())
+        handler.addFilter(LogRateLimiter())
     config = Config.load(dict(os.environ))
     gc.freeze()
     uvloop.run(serve(config))
--- /dev/null
+++ b/quota_gateway/model/__init__.py
@@ -0,0 +1,56 @@
+"""The types that go in and out of the policy engine: settings, events and actions. Nothing is decided here."""
+
+from quota_gateway.model.actions import (
+    Action,
+    CancelAttempt,
+    CloseIdle,
+    Fail,
+    HealthCheck,
+    IncrementCounter,
+    LogMessage,
+    NotifyPeerProcess,
+    PollEndpoints,
+    Reject,
+    SendPeerMessage,
+    SetServerDetached,
+    SetTimer,
+    StartAttempt,
+    StateSnapshot,
+    Subscribe,
+)
+from quota_gateway.model.events import (
+    AttachServer,
+    AttemptStatus,
+    ClientDisconnected,
+    CounterReply,
+    DetachServer,
+    Endpoint,
+    EndpointLifecycle,
+    EndpointUpdate,
+    Event,
+    ExportState,
+    HealthCheckResult,
+    Outcome,
+    PeerMessage,
+    PeerProcessExited,
+    PeerProcessUsage,
+    Request,
+    RestoreState,
+    ShutdownStarted,
+    StreamStarted,
+    TimerFired,
+    UpdateKind,
+)
+from quota_gateway.model.settings import (
+    DEFAULT_IDLE_MS,
+    DiscoveryMode,
+    GatewayLimits,
+    Idempotency,
+    IdempotencyScope,
+    Plan,
+    RequestClass,
+    ServiceRules,
+    Settings,
+)
+
+__all__ = ['Action', 'AttachServer', 'AttemptStatus', 'CancelAttempt', 'ClientDisconnected', 'CloseIdle', 'CounterReply', 'DEFAULT_IDLE_MS', 'DetachServer', 'DiscoveryMode', 'Endpoint', 'EndpointLifecycle', 'EndpointUpdate', 'Event', 'ExportState', 'Fail', 'GatewayLimits', 'HealthCheck', 'HealthCheckResult', 'Idempotency', 'IdempotencyScope', 'IncrementCounter', 'LogMessage', 'NotifyPeerProcess', 'Outcome', 'PeerMessage', 'PeerProcessExited', 'PeerProcessUsage', 'Plan', 'PollEndpoints', 'Reject', 'Request', 'RequestClass', 'RestoreState', 'SendPeerMessage', 'ServiceRules', 'SetServerDetached', 'SetTimer', 'Settings', 'ShutdownStarted', 'StartAttempt', 'StateSnapshot', 'StreamStarted', 'Subscribe', 'TimerFired', 'UpdateKind']
--- a/brackenloft/net/management.py
+++ b/quota_gateway/net/admin.py
@@ -10,7 +10,7 @@
 
 import httptools
 
-from brackenloft.net.servers import Address
+from quota_gateway.net.upstream_pool import Address
 
 log = logging.getLogger(__name__)
 
@@ -27,10 +27,10 @@
 Moved = Callable[[str, bool], Awaitable[bool]]  # a server's id and whether it is to be out: if it is known
 
 
-class Caller(asyncio.Protocol):
+class AdminConnection(asyncio.Protocol):
     """One connection of an operator."""
 
-    def __init__(self, management: Management) -> None:
+    def __init__(self, management: AdminServer) -> None:
         self.management = management
         self.parser = httptools.HttpRequestParser(self)
         self.transport: asyncio.Transport | None = None
@@ -93,12 +93,12 @@
             self.transport.abort()
 
 
-class Management:
+class AdminServer:
     """Takes calls of operators, bounded in number, length and time."""
 
     def __init__(self, ready: Callable[[], bool], moved: Moved) -> None:
         self.ready, self.moved = ready, moved
-        self.callers: OrderedDict[Caller, None] = OrderedDict()
+        self.callers: OrderedDict[AdminConnection, None] = OrderedDict()
         self.server: asyncio.Server | None = None
 
     async def listen(self, address: Address) -> None:
@@ -106,11 +106,11 @@
         try:
             loop = asyncio.get_running_loop()
             self.server = await loop.create_server(
-                lambda: Caller(self), *address, reuse_address=True, backlog=BACKLOG)
+                lambda: AdminConnection(self), *address, reuse_address=True, backlog=BACKLOG)
         except OSError as error:
             log.error("no calls of operators can be taken at %s:%d: %r", *address, error)
 
-    def opened(self, caller: Caller) -> None:
+    def opened(self, caller: AdminConnection) -> None:
         """A new connection. Guards against callers who finish no call: the oldest ones make room."""
         self.callers[caller] = None
         if len(self.callers) > MOST_CALLERS:
--- a/brackenloft/net/clients.py
+++ b/quota_gateway/net/client_listener.py
@@ -15,10 +15,10 @@
 from itertools import islice
 from typing import cast
 
-from brackenloft import interface as api
-from brackenloft.net.driver import CLIENT_MARGIN_MS, Call, Driver
-from brackenloft.net.resp import Commands, ProtocolError
-from brackenloft.net.servers import Attempt
+from quota_gateway import model as api
+from quota_gateway.net.driver import CLIENT_MARGIN_MS, ActiveRequest, Driver
+from quota_gateway.net.resp import CommandReader, ProtocolError
+from quota_gateway.net.upstream_pool import Attempt
 
 log = logging.getLogger(__name__)
 
@@ -57,7 +57,7 @@
     return text
 
 
-class Requests:
+class RequestParser:
     """Reads CALL.GET and CALL.POST into requests.
 
     Everything is checked here, before it is charged or sent on. Guards against figures that would do harm
@@ -66,7 +66,7 @@
     """
 
     def __init__(self, settings: api.Settings) -> None:
-        self.gateways, self.largest = settings.gateways, settings.largest_units
+        self.gateways, self.largest = settings.gateways, settings.max_request_units
         self.classes = {item.name.encode(): item for item in settings.classes}
         self.plans = {item.name.encode(): item.name for item in settings.plans}
 
@@ -80,9 +80,9 @@
         kind, plan = self.classes.get(fields.get(b"c", b"")), self.plans.get(fields.get(b"t", b""))
         if kind is None or plan is None:
             raise CommandError("unknown class or plan")
-        if posts == (kind.effect is api.Effect.SAFE):
+        if posts == (kind.idempotency is api.Idempotency.IDEMPOTENT):
             raise CommandError("the class does not go with the command")
-        if kind.effect is api.Effect.KEYED:
+        if kind.idempotency is api.Idempotency.KEYED:
             _field(fields, b"k", ID)
         if fields.get(b"r", b"1") not in (b"0", b"1"):
             raise CommandError("bad value of r")
@@ -90,8 +90,8 @@
             raise CommandError("bad request id")
         request = api.Request(
             request_id=request_id.decode("ascii"), class_name=kind.name, plan=plan,
-            customer=self._customer(customer), patience_ms=self._patience(fields, kind),
-            units=self._units(fields), width=self._place(fields, b"spread", 1),
+            customer=self._customer(customer), timeout_ms=self._patience(fields, kind),
+            units=self._units(fields), gateway_set_size=self._place(fields, b"spread", 1),
             first_gateway=self._place(fields, b"first", 0),
             is_retry=fields.get(b"r") == b"1", is_write=posts,
         )
@@ -145,13 +145,13 @@
     return encode
 
 
-class Slot:
+class PendingReply:
     """The place of a command's reply in the order of its connection."""
 
     __slots__ = ("connection", "answer", "request_id", "size", "source", "pieces", "begun")
 
     def __init__(
-        self, connection: Client, answer: bytes | None = None, request_id: str = "", size: int = 0,
+        self, connection: ClientConnection, answer: bytes | None = None, request_id: str = "", size: int = 0,
     ) -> None:
         self.connection, self.answer, self.request_id = connection, answer, request_id
         self.size = size  # bytes that it holds: the command, later the answer
@@ -166,7 +166,7 @@
         self.size = len(answer)
         self.connection.flush()
 
-    def begin(self, length: int, source: Attempt) -> Slot:
+    def begin(self, length: int, source: Attempt) -> PendingReply:
         """A large value begins: its pieces are written as they come, and ``source`` waits for the client."""
         self.source, self.pieces, self.answer = source, deque(), b""
         self.connection.hold(-self.size)
@@ -204,7 +204,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Before:
+class ResumedConnection:
     """What went before on a connection that another process has served until now."""
 
     spoke: bool = False
@@ -213,17 +213,17 @@
     read: bytes = b""  # of a command that is not whole yet
 
 
-NEW = Before()
+NEW = ResumedConnection()
 
 
-class Client(asyncio.Protocol):
+class ClientConnection(asyncio.Protocol):
     """One client's connection."""
 
-    def __init__(self, clients: Clients, sock: socket.socket, before: Before) -> None:
+    def __init__(self, clients: ClientListener, sock: socket.socket, before: ResumedConnection) -> None:
         self.clients, self.socket, self.before = clients, sock, before
         self.heard = clients.loop.time()  # when a byte came last
-        self.reader = Commands()
-        self.slots: deque[Slot] = deque()
+        self.reader = CommandReader()
+        self.slots: deque[PendingReply] = deque()
         self.held = self.in_hand = 0  # bytes in all and in slots
         self.unsent = 0  # of them those that the client did not take yet, when it stopped to
         self.asked, self.errors = before.asked, 0  # requests so far, and bad commands in a row
@@ -254,7 +254,7 @@
         slots, self.slots = self.slots, deque()
         for slot in slots:
             if slot.source:
-                self.clients.driver.servers.stop(slot.source, api.Status.CANCELLED)
+                self.clients.driver.servers.stop(slot.source, api.AttemptStatus.CANCELLED)
             elif slot.answer is None:
                 self.clients.driver.client_gone(slot.request_id)
 
@@ -335,7 +335,7 @@
             self.spoke = True
             self._take(command, before - len(self.reader.buffer))
         self.reading = False
-        if within and self.clients.held > self.clients.most_held:
+        if within and self.clients.held > self.clients.max_buffered_bytes:
             self._break("out of memory")
         if took == MOST_AT_ONCE and not self.tired:
             self.tired = True
@@ -362,7 +362,7 @@
         log.info("a client is turned away: %s", why)
         self.ending = self.unread = True
         self.hold(-len(self.reader.buffer), in_hand=False)
-        self.reader = Commands()
+        self.reader = CommandReader()
         self.clients.sort(self, within=True, took=False)
         self._reply(f"-ERR {why}\r\n".encode("ascii", "replace"))
         self._throttle()
@@ -390,15 +390,15 @@
             return
         self.errors = 0
         self.asked += 1
-        if self.clients.held > self.clients.most_held:
+        if self.clients.held > self.clients.max_buffered_bytes:
             self.hold(-size, in_hand=False)
             self._reply(b"-BUSY\r\n")  # guards against commands in hand that together outgrow the memory
             return
         self.in_hand += size
-        slot = Slot(self, None, request.request_id, size)
+        slot = PendingReply(self, None, request.request_id, size)
         self.slots.append(slot)
         driver.request(
-            Call(request.request_id, encode, slot.fill, slot.begin, self.waits), request, request.patience_ms)
+            ActiveRequest(request.request_id, encode, slot.fill, slot.begin, self.waits), request, request.timeout_ms)
 
     def _refuse(self, why: str) -> None:
         """A bad command: an error, and after many in a row the end."""
@@ -433,7 +433,7 @@
     # ---- Replies out
 
     def _reply(self, answer: bytes) -> None:
-        self.slots.append(Slot(self, answer, size=len(answer)))
+        self.slots.append(PendingReply(self, answer, size=len(answer)))
         self.hold(len(answer))
         self.flush()
 
@@ -461,7 +461,7 @@
             self.clients.rests(self)
         self._leave_if_done()
 
-    def _write_pieces(self, slot: Slot, pieces: deque[bytes]) -> None:
+    def _write_pieces(self, slot: PendingReply, pieces: deque[bytes]) -> None:
         """Write what has come of a large value, as far as the client takes it; then its server may go on."""
         assert self.transport
         while pieces and not self.stuck:
@@ -508,7 +508,7 @@
             return bool(self.socket.recv(1, socket.MSG_PEEK))
         return False
 
-    def release(self) -> tuple[int, Before] | None:
+    def release(self) -> tuple[int, ResumedConnection] | None:
         """Let go of the connection, as another process serves it on, once nothing is owed on it here.
 
         A descriptor of its own, and what to know of it; None while something is owed. What waits in the
@@ -520,7 +520,7 @@
             return None
         transport.pause_reading()
         descriptor, now = os.dup(self.socket.fileno()), self.clients.loop.time()
-        before = Before(
+        before = ResumedConnection(
             self.spoke, self.asked, now - self.clients.owing.get(self, now), bytes(self.reader.buffer))
         self.ending = True
         transport.abort()
@@ -563,24 +563,24 @@
         return True
 
 
-class Clients:
+class ClientListener:
     """The listener and the connections it accepted, bounded in number and in what they hold."""
 
-    def __init__(self, driver: Driver, settings: api.Settings, most_connections: int, most_held: int) -> None:
-        self.driver, self.requests = driver, Requests(settings)
-        self.most_connections, self.most_held = most_connections, most_held
+    def __init__(self, driver: Driver, settings: api.Settings, max_connections: int, max_buffered_bytes: int) -> None:
+        self.driver, self.requests = driver, RequestParser(settings)
+        self.max_connections, self.max_buffered_bytes = max_connections, max_buffered_bytes
         self.held = 0  # bytes of commands and replies
-        self.connections: OrderedDict[Client, None] = OrderedDict()
-        self.owing: OrderedDict[Client, float] = OrderedDict()  # a command or an end, since when
-        self.bodies: dict[Client, None] = {}  # overdue but for a body that is still coming
-        self.idle: OrderedDict[Client, float] = OrderedDict()  # with nothing in hand, and since when
-        self.once: OrderedDict[Client, float] = OrderedDict()  # the same, of those who have asked once
-        self.never: OrderedDict[Client, float] = OrderedDict()  # the same, of those who said something else
-        self.places = 0  # descriptors taken: counted from accepting until the loop has closed them
+        self.connections: OrderedDict[ClientConnection, None] = OrderedDict()
+        self.owing: OrderedDict[ClientConnection, float] = OrderedDict()  # a command or an end, since when
+        self.bodies: dict[ClientConnection, None] = {}  # overdue but for a body that is still coming
+        self.idle: OrderedDict[ClientConnection, float] = OrderedDict()  # with nothing in hand, and since when
+        self.once: OrderedDict[ClientConnection, float] = OrderedDict()  # the same, of those who have asked once
+        self.never: OrderedDict[ClientConnection, float] = OrderedDict()  # the same, of those who said something else
+        self.descriptors_in_use = 0  # descriptors taken: counted from accepting until the loop has closed them
         self.loop = asyncio.get_running_loop()
         self.ready = self.leaving = self.accepting = False
         self.suspended = False  # as another process serves: nothing is accepted or read here
-        self.elsewhere = 0  # connections of the other process of this gateway
+        self.peer_connections = 0  # connections of the other process of this gateway
         self.listener: socket.socket | None = None
         self.tasks: set[asyncio.Task[None]] = set()
         self.sweeper = self.loop.call_later(SWEEP_S, self._sweep)
@@ -601,7 +601,7 @@
 
     def ahead(self) -> int:
         """How many bytes one large value may be ahead of its client: less as less of the memory is left."""
-        return max(0, int(self.most_held * AHEAD_SHARE) - self.held)
+        return max(0, int(self.max_buffered_bytes * AHEAD_SHARE) - self.held)
 
     def pong(self) -> bytes:
         """The front takes in a gateway that says PONG: not before it knows whom to send to."""
@@ -640,20 +640,20 @@
 
     def _room(self) -> int:
         """How many connections there is room for, counted over all processes of this gateway."""
-        return self.most_connections - self.places - self.elsewhere
+        return self.max_connections - self.descriptors_in_use - self.peer_connections
 
-    def take(self, sock: socket.socket, before: Before = NEW) -> None:
+    def take(self, sock: socket.socket, before: ResumedConnection = NEW) -> None:
         """Serve a connection: a new one, or one that another process has served until now."""
-        self.places += 1
+        self.descriptors_in_use += 1
         task = self.loop.create_task(self._admit(sock, before))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _admit(self, sock: socket.socket, before: Before) -> None:
+    async def _admit(self, sock: socket.socket, before: ResumedConnection) -> None:
         try:
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            await self.loop.connect_accepted_socket(lambda: Client(self, sock, before), sock)
+            await self.loop.connect_accepted_socket(lambda: ClientConnection(self, sock, before), sock)
         except OSError:
             sock.close()
             self._place_free()
@@ -684,17 +684,17 @@
                     idle.move_to_end(client)  # it has a command to be read
 
     def _place_free(self) -> None:
-        self.places -= 1
+        self.descriptors_in_use -= 1
         self._accept_more()
 
-    def opened(self, client: Client, owing_s: float = 0.0) -> None:
+    def opened(self, client: ClientConnection, owing_s: float = 0.0) -> None:
         """A new connection; its first command is due, and has been for so long."""
         self.connections[client] = None
         self.owing[client] = self.loop.time() - owing_s
         if owing_s > 0.0:
             self.owing.move_to_end(client, last=False)
 
-    def closed(self, client: Client) -> None:
+    def closed(self, client: ClientConnection) -> None:
         """A connection has ended, and its descriptor is free."""
         self.connections.pop(client, None)
         self.owing.pop(client, None)
@@ -703,7 +703,7 @@
         self.held -= client.held
         self._place_free()
 
-    def sort(self, client: Client, within: bool, took: bool) -> None:
+    def sort(self, client: ClientConnection, within: bool, took: bool) -> None:
         """Note what a connection is at: within a command, at its end, idle, or with requests in hand."""
         if took:
             self.owing.pop(client, None)
@@ -719,14 +719,14 @@
             else:
                 self.rests(client)
 
-    def rests(self, client: Client) -> None:
+    def rests(self, client: ClientConnection) -> None:
         """All that came on a connection has been answered."""
         if client.spoke and client not in self.owing:
             self._stirs(client)
             which = self.idle if client.asked > 1 else self.once if client.asked else self.never
             which[client] = self.loop.time()
 
-    def _stirs(self, client: Client) -> None:
+    def _stirs(self, client: ClientConnection) -> None:
         for rest in (self.idle, self.once, self.never):
             rest.pop(client, None)
 
--- a/brackenloft/net/bans.py
+++ b/quota_gateway/net/detachments.py
@@ -2,25 +2,25 @@
 
 from __future__ import annotations
 
-from brackenloft import interface as api
-from brackenloft.net.driver import Driver
-from brackenloft.net.handover import Handover
-from brackenloft.net.roster import Roster
+from quota_gateway import model as api
+from quota_gateway.net.driver import Driver
+from quota_gateway.net.endpoint_registry import EndpointRegistry
+from quota_gateway.net.handover import Handover
 
 
-class Bans:
+class Detachments:
     """Carries out operators' calls on servers."""
 
-    def __init__(self, roster: Roster, driver: Driver, handover: Handover) -> None:
-        self.roster, self.driver, self.handover = roster, driver, handover
+    def __init__(self, registry: EndpointRegistry, driver: Driver, handover: Handover) -> None:
+        self.registry, self.driver, self.handover = registry, driver, handover
 
     def carry_out(self, name: str, out: bool, certain: bool = False) -> bool:
         """Here, for a server that is known, or certain as another process knows it; whether it was known."""
-        known = self.roster.knows(name)
+        known = self.registry.is_known(name)
         if known or certain:
-            number = self.roster.remember(name)
-            (self.roster.barred.add if out else self.roster.barred.discard)(name)
-            self.driver.post(api.Detach(number) if out else api.Attach(number))
+            number = self.registry.number_of(name)
+            (self.registry.detached.add if out else self.registry.detached.discard)(name)
+            self.driver.post(api.DetachServer(number) if out else api.AttachServer(number))
         return known
 
     async def moved(self, name: str, out: bool) -> bool:
@@ -33,5 +33,5 @@
 
     def repeat(self) -> None:
         """Tell the decisions of every ban that was handed over, where they could not take over the rest."""
-        for name in sorted(self.roster.barred):
+        for name in sorted(self.registry.detached):
             self.carry_out(name, out=True)
--- a/brackenloft/net/discovery.py
+++ b/quota_gateway/net/discovery_client.py
@@ -12,10 +12,10 @@
 
 import httptools
 
-from brackenloft import interface as api
-from brackenloft.net.roster import LongDocument, Roster
-from brackenloft.net.servers import Address
-from brackenloft.subset import Subset
+from quota_gateway import model as api
+from quota_gateway.net.endpoint_registry import EndpointRegistry, StreamingSnapshotReader
+from quota_gateway.net.upstream_pool import Address
+from quota_gateway.policy.subset import Subset
 
 log = logging.getLogger(__name__)
 
@@ -34,10 +34,10 @@
 PIECE = 16 * 1024  # bytes of it that are read before the others have their turn, a hundred rows
 BEAT = object()  # an empty line: nothing has changed
 STRING, OPENING, CLOSING = re.compile(rb'"(?:[^"\\]|\\.)*"'), re.compile(rb"[{\[]"), re.compile(rb"[}\]]")
-News = Callable[[api.ServerList, dict[int, Address]], None]
+EndpointUpdateHandler = Callable[[api.EndpointUpdate, dict[int, Address]], None]
 
 
-class Documents:
+class JsonLineReader:
     """Finds the JSON documents in what a watch brings: one a line, or indented over many.
 
     Guards against taking each line of an indented list for a list of its own. A string holds no line end,
@@ -71,14 +71,14 @@
         return whole
 
 
-class Watch(asyncio.Protocol):
+class WatchConnection(asyncio.Protocol):
     """One HTTP exchange: a chunked answer with a JSON object a line, which may be indented."""
 
-    def __init__(self, feed: Feed, target: str) -> None:
+    def __init__(self, feed: DiscoveryWatcher, target: str) -> None:
         self.feed, self.target = feed, target
         self.parser = httptools.HttpResponseParser(self)
-        self.line, self.documents = bytearray(), Documents()
-        self.long: LongDocument | None = None  # while a document too long to be read at once is read
+        self.line, self.documents = bytearray(), JsonLineReader()
+        self.long: StreamingSnapshotReader | None = None  # while a document too long to be read at once is read
         self.backlog = bytearray()  # what has come meanwhile
         self.complete = self.lost = False  # nothing comes behind that, and the connection is gone
         self.digesting: asyncio.Task[None] | None = None
@@ -166,7 +166,7 @@
     def _read_in_pieces(self, begun: bytes) -> None:
         """A long document has begun: guards against one long stall while all of it is read."""
         self.line.clear()
-        self.backlog, self.long = bytearray(begun), LongDocument(self.feed.discovery.roster)
+        self.backlog, self.long = bytearray(begun), StreamingSnapshotReader(self.feed.discovery.registry)
         self._digest_on()
 
     def _digest_on(self) -> None:
@@ -190,7 +190,7 @@
         elif not self.ended and self.transport:
             self.transport.resume_reading()
 
-    async def _digest_some(self, long: LongDocument) -> None:
+    async def _digest_some(self, long: StreamingSnapshotReader) -> None:
         """One piece; behind the last one, what the document tells is passed on, some at a time."""
         piece, rows = bytes(self.backlog[:PIECE]), long.rows
         del self.backlog[:PIECE]
@@ -226,47 +226,47 @@
             self.done.set_result(None)
 
 
-class Feed:
+class DiscoveryWatcher:
     """Keeps a watch open at one address, each from where the last one there ended."""
 
-    def __init__(self, discovery: Discovery, address: Address) -> None:
+    def __init__(self, discovery: DiscoveryClient, address: Address) -> None:
         self.discovery, self.address = discovery, address
         self.backoff_s = BACKOFF_S[0]
         self.generation: int | None = None  # nothing: the whole list is asked for
         self.ended = self.spoken = self.turned_away = False
-        self.watch: Watch | None = None
+        self.watch: WatchConnection | None = None
         self.task = asyncio.get_running_loop().create_task(self._run())
 
-    def take(self, document: Any, watch: Watch) -> bool:
+    def take(self, document: Any, watch: WatchConnection) -> bool:
         """One list of the watch; whether the watch goes on. Of a malformed one see below."""
         if self.ended or watch is not self.watch:
             return False
         try:
-            listing, addresses = self.discovery.roster.read(document)
+            listing, addresses = self.discovery.registry.read(document)
         except (ValueError, KeyError, TypeError, AttributeError) as error:
             self.malformed(error, watch)
             return False
         self.pass_on(listing, addresses)
-        return self.has_read(listing.version, listing.kind is api.ListKind.FULL, watch)
+        return self.has_read(listing.version, listing.kind is api.UpdateKind.SNAPSHOT, watch)
 
-    def pass_on(self, listing: api.ServerList, addresses: dict[int, Address]) -> None:
+    def pass_on(self, listing: api.EndpointUpdate, addresses: dict[int, Address]) -> None:
         """What a document tells, or a part of that."""
         self.discovery.spoke(self, listing, addresses)
 
-    def has_read(self, generation: int, is_whole_list: bool, watch: Watch) -> bool:
+    def has_read(self, generation: int, is_whole_list: bool, watch: WatchConnection) -> bool:
         """A document has been read to its end; whether the watch goes on.
 
         Where too many of the nearest have gone, the whole list is asked for: it alone tells who follows them.
         """
         self.backoff_s = BACKOFF_S[0]
         self.generation, self.spoken = generation, True
-        if is_whole_list or not self.discovery.roster.used_up():
+        if is_whole_list or not self.discovery.registry.used_up():
             return True
         self.generation = None
         watch.close("the nearest servers are used up")
         return False
 
-    def malformed(self, error: Exception, watch: Watch) -> None:
+    def malformed(self, error: Exception, watch: WatchConnection) -> None:
         """What can't be read is logged, what is known stays, and the whole list is asked for."""
         log.error("malformed line from discovery: %r", error)
         self.generation = None
@@ -292,7 +292,7 @@
                 if self.watch:  # the call before, or one that came up just as its time was over
                     self.watch.close("another is opened")
             if not self.spoken:
-                self.discovery.on_unheard()
+                self.discovery.on_unavailable()
             await asyncio.sleep(self._wait(loop.time() - begun))
 
     def _wait(self, spent_s: float = 0.0) -> float:
@@ -308,25 +308,25 @@
         self.backoff_s = min(BACKOFF_S[1], self.backoff_s * 2.0)
         return wait
 
-    def _new_watch(self) -> Watch:
+    def _new_watch(self) -> WatchConnection:
         from_then = "" if self.generation is None else f"&from={self.generation}"
-        self.watch = Watch(self, f"/discovery/hosts?watch=1{from_then}")
+        self.watch = WatchConnection(self, f"/discovery/hosts?watch=1{from_then}")
         return self.watch
 
 
-class Discovery:
+class DiscoveryClient:
     """What discovery says, from the address that was named last and has spoken."""
 
-    def __init__(self, news: News, seed: int, subset: Subset | None = None) -> None:
-        self.news, self.roster, self.random = news, Roster(subset), random.Random(seed)
-        self.on_unheard: Callable[[], None] = lambda: None  # a watch ended before it had said anything
-        self.feed: Feed | None = None
-        self.next: Feed | None = None  # named last, has not spoken yet
+    def __init__(self, news: EndpointUpdateHandler, seed: int, subset: Subset | None = None) -> None:
+        self.news, self.registry, self.random = news, EndpointRegistry(subset), random.Random(seed)
+        self.on_unavailable: Callable[[], None] = lambda: None  # a watch ended before it had said anything
+        self.feed: DiscoveryWatcher | None = None
+        self.next: DiscoveryWatcher | None = None  # named last, has not spoken yet
 
     def known(self, document: Any) -> None:
         """The list as the configuration has it; it may be old."""
         try:
-            self.news(*self.roster.read(document, known=True))
+            self.news(*self.registry.read(document, known=True))
         except (ValueError, KeyError, TypeError, AttributeError) as error:
             log.error("malformed known list: %r", error)
 
@@ -338,9 +338,9 @@
         """
         if self.next:
             self.next.end()
-        self.next = Feed(self, address)
+        self.next = DiscoveryWatcher(self, address)
 
-    def spoke(self, feed: Feed, listing: api.ServerList, addresses: dict[int, Address]) -> None:
+    def spoke(self, feed: DiscoveryWatcher, listing: api.EndpointUpdate, addresses: dict[int, Address]) -> None:
         """News from a feed; the first of a new one ends the one before."""
         if feed is self.next:
             if self.feed:
--- a/brackenloft/net/driver.py
+++ b/quota_gateway/net/driver.py
@@ -12,9 +12,9 @@
 from math import ceil, inf
 from typing import Any, Protocol
 
-from brackenloft import interface as api
-from brackenloft.logic import Gateway
-from brackenloft.net.servers import Attempt, Reply, Servers, Sink
+from quota_gateway import model as api
+from quota_gateway.net.upstream_pool import Attempt, BodyConsumer, UpstreamPool, UpstreamReply
+from quota_gateway.policy.engine import PolicyEngine
 
 log = logging.getLogger(__name__)
 
@@ -34,7 +34,7 @@
         return (time.monotonic() + self._offset) * 1000.0
 
 
-class Value(Protocol):
+class BodyWriter(Protocol):
     """Where a large value goes, at a client."""
 
     def take(self, piece: bytes) -> None:
@@ -44,7 +44,7 @@
         """All has come, or no more will."""
 
 
-class Call:
+class ActiveRequest:
     """A client's request in hand, until it has been answered and no attempt is out."""
 
     __slots__ = ("request_id", "encode", "on_answer", "on_value", "waits", "value", "deadline", "sends",
@@ -52,39 +52,39 @@
 
     def __init__(
         self, request_id: str, encode: Callable[[float], bytes], on_answer: Callable[[bytes], None],
-        on_value: Callable[[int, Attempt], Value] | None = None, waits: Callable[[], bool] = lambda: True,
+        on_value: Callable[[int, Attempt], BodyWriter] | None = None, waits: Callable[[], bool] = lambda: True,
     ) -> None:
         self.request_id, self.encode, self.on_answer, self.on_value = request_id, encode, on_answer, on_value
         self.waits = waits  # whether the client is still there
-        self.value: Value | None = None  # once a large one has begun
+        self.value: BodyWriter | None = None  # once a large one has begun
         self.deadline, self.sends, self.answered = 0.0, 0, False
         self.gone = False  # the client has left
         self.out: dict[int, Attempt] = {}
 
 
 class Driver:
-    """Drives one ``Gateway``: hands it events one after the other and carries out what it decides."""
+    """Drives one ``PolicyEngine``: hands it events one after the other and carries out what it decides."""
 
-    def __init__(self, gateway: Gateway, servers: Servers, clock: Callable[[], float]) -> None:
+    def __init__(self, gateway: PolicyEngine, servers: UpstreamPool, clock: Callable[[], float]) -> None:
         self.gateway, self.servers, self.clock = gateway, servers, clock
-        self.calls: dict[str, Call] = {}
+        self.calls: dict[str, ActiveRequest] = {}
         self.events: deque[api.Event] = deque()
-        self.over: list[Call] = []  # calls that may be over once the actions of this event are done
+        self.over: list[ActiveRequest] = []  # calls that may be over once the actions of this event are done
         self.handling = False
         self.timers: list[tuple[float, int, Callable[[Any], None], Any]] = []
         self.order = count()
         self.alarm: tuple[float, asyncio.TimerHandle] | None = None
         self.estate: dict[str, Any] = {}  # as the decisions gave it last
-        self.tell_other: Callable[[api.Elsewhere], None] = lambda news: None
+        self.tell_other: Callable[[api.PeerProcessUsage], None] = lambda news: None
         self.loop = asyncio.get_running_loop()
         self.actions: dict[type, Callable[[Any], None]] = {
-            api.Send: self._send, api.Refuse: self._refuse, api.Fail: self._fail, api.Cancel: self._cancel,
-            api.SetTimer: self._set_timer, api.Log: lambda action: log.info("%s", action.text),
+            api.StartAttempt: self._send, api.Reject: self._refuse, api.Fail: self._fail, api.CancelAttempt: self._cancel,
+            api.SetTimer: self._set_timer, api.LogMessage: lambda action: log.info("%s", action.text),
             api.CloseIdle: lambda action: servers.close_idle(action.server),
-            api.Bar: lambda action: servers.bar(action.server, action.barred),
+            api.SetServerDetached: lambda action: servers.set_detached(action.server, action.detached),
             api.Subscribe: lambda action: None,  # the watch, always open, asks
-            api.Estate: lambda action: setattr(self, "estate", action.state),
-            api.TellOther: lambda action: self.tell_other(action.news),
+            api.StateSnapshot: lambda action: setattr(self, "estate", action.state),
+            api.NotifyPeerProcess: lambda action: self.tell_other(action.news),
         }
 
     # ---- Events in
@@ -124,7 +124,7 @@
         else:
             log.error("no such action on these sockets: %r", action)
 
-    def request(self, call: Call, request: api.Request, waits_ms: float) -> None:
+    def request(self, call: ActiveRequest, request: api.Request, waits_ms: float) -> None:
         """Take a client's request; it is answered through ``call.on_answer``, once."""
         call.deadline = self.clock() + waits_ms
         self.calls[call.request_id] = call
@@ -136,21 +136,21 @@
         if call and not call.answered:
             call.answered = call.gone = True
             self.over.append(call)
-            self.post(api.ClientGone(request_id))
+            self.post(api.ClientDisconnected(request_id))
 
-    def bequeath(self) -> dict[str, Any]:
+    def export_state(self) -> dict[str, Any]:
         """The decisions' state for a process that takes over."""
-        self.post(api.Bequeath())
+        self.post(api.ExportState())
         return self.estate
 
-    def inherit(self, state: dict[str, Any]) -> bool:
+    def restore_state(self, state: dict[str, Any]) -> bool:
         """Hand the decisions what a process before has left; whether they could take it over."""
-        self.post(api.Inherit(state))
-        return self.gateway.paired
+        self.post(api.RestoreState(state))
+        return self.gateway.has_peer_process
 
     # ---- Actions out
 
-    def _send(self, action: api.Send) -> None:
+    def _send(self, action: api.StartAttempt) -> None:
         call = self.calls.get(action.request_id)
         if call is None:
             log.error("sent after its end: %r", action)
@@ -161,21 +161,21 @@
         if action.timeout_ms:
             wait = min(wait, action.timeout_ms)
         if call.answered or wait <= 0.0:
-            self._outcome(call, number, action.server, now, Reply(api.Status.NOT_SENT))
+            self._outcome(call, number, action.server, now, UpstreamReply(api.AttemptStatus.NOT_SENT))
             return
 
         first_ms = inf  # until the first bytes of a large value
 
-        def done(reply: Reply) -> None:
+        def done(reply: UpstreamReply) -> None:
             call.out.pop(number, None)
             if attempt.sink and call.value:
                 call.value.end(reply.value is not None)
             self._outcome(call, number, action.server, now, reply, first_ms)
 
-        def begun(length: int) -> Sink:
+        def begun(length: int) -> BodyConsumer:
             nonlocal first_ms
             if call.answered or call.on_value is None:
-                self.servers.stop(attempt, api.Status.CANCELLED)
+                self.servers.stop(attempt, api.AttemptStatus.CANCELLED)
                 return lambda piece: None
             call.answered, first_ms = True, self.clock() - now
             call.value = value = call.on_value(length, attempt)
@@ -193,10 +193,10 @@
 
     def _time_out(self, attempt: Attempt) -> None:
         if attempt.sink is None:  # of a large value only the first bytes are timed
-            self.servers.stop(attempt, api.Status.TIMEOUT)
+            self.servers.stop(attempt, api.AttemptStatus.TIMEOUT)
 
     def _outcome(
-        self, call: Call, number: int, server: int, sent: float, reply: Reply, first_ms: float = inf,
+        self, call: ActiveRequest, number: int, server: int, sent: float, reply: UpstreamReply, first_ms: float = inf,
     ) -> None:
         """The outcome of an attempt; a good answer goes to the client first, if it still waits."""
         if reply.value is not None and not call.answered:
@@ -206,7 +206,7 @@
             call.request_id, number, server, reply.status, min(first_ms, self.clock() - sent), call.answered,
             reply.used, reply.cost, reply.load))
 
-    def _refuse(self, action: api.Refuse) -> None:
+    def _refuse(self, action: api.Reject) -> None:
         advice = round(action.retry_after_ms)
         self._final(action.request_id, b"-BUSY %d\r\n" % advice if advice > 0 else b"-BUSY\r\n")
 
@@ -221,11 +221,11 @@
             if not call.out:
                 self.calls.pop(call.request_id, None)
 
-    def _answer(self, call: Call, answer: bytes) -> None:
+    def _answer(self, call: ActiveRequest, answer: bytes) -> None:
         call.answered = True
         call.on_answer(answer)
 
-    def _end(self, call: Call) -> None:
+    def _end(self, call: ActiveRequest) -> None:
         """Once a request is over: call off what has not gone out whole, forget the call when nothing is out.
 
         Guards against a connection that comes up, or takes the rest of a command, after the answer: what
@@ -234,17 +234,17 @@
         if not call.answered:
             return
         for attempt in list(call.out.values()):
-            self.servers.call_off(attempt)
+            self.servers.cancel_unsent(attempt)
         if not call.out:
             self.calls.pop(call.request_id, None)
 
-    def _cancel(self, action: api.Cancel) -> None:
+    def _cancel(self, action: api.CancelAttempt) -> None:
         call = self.calls.get(action.request_id)
         attempt = call.out.get(action.attempt) if call else None
         if call and attempt:
             if call.gone:  # that it has not come up yet says nothing of its server
-                self.servers.call_off(attempt)
-            self.servers.stop(attempt, api.Status.CANCELLED)
+                self.servers.cancel_unsent(attempt)
+            self.servers.stop(attempt, api.AttemptStatus.CANCELLED)
 
     # ---- Timers
 
--- a/brackenloft/net/roster.py
+++ b/quota_gateway/net/endpoint_registry.py
@@ -15,9 +15,9 @@
 
 import ijson
 
-from brackenloft import interface as api
-from brackenloft.net.servers import Address
-from brackenloft.subset import Nearest, Subset
+from quota_gateway import model as api
+from quota_gateway.net.upstream_pool import Address
+from quota_gateway.policy.subset import NearestEndpoints, Subset
 
 log = logging.getLogger(__name__)
 
@@ -28,23 +28,23 @@
 SLICE = 32  # rows of a long list that are told at a time, or more where a gateway works with most servers,
 MOST_SLICES = 64  # as all that are known are sorted anew after each
 STATES = {
-    "Ready": api.ServerState.READY, "Terminating": api.ServerState.DRAINING, "Gone": api.ServerState.GONE,
+    "Ready": api.EndpointLifecycle.READY, "Terminating": api.EndpointLifecycle.DRAINING, "Gone": api.EndpointLifecycle.GONE,
 }
 Row = dict[str, Any]
-Told = tuple[api.ServerEntry, Address]
-News = tuple[api.ServerList, dict[int, Address]]  # what has changed, and the addresses of those in it
+Told = tuple[api.Endpoint, Address]
+RegistryChange = tuple[api.EndpointUpdate, dict[int, Address]]  # what has changed, and the addresses of those in it
 
 
-class Roster:
+class EndpointRegistry:
     """The servers that are listed; the nearest of them get numbers, as the decisions know them."""
 
     def __init__(self, subset: Subset | None = None) -> None:
         self.subset = subset or Subset(1, 0)
-        self.nearest = Nearest(self.subset)  # the names of ``rows``
+        self.nearest = NearestEndpoints(self.subset)  # the names of ``rows``
         self.others: set[str] = set()  # the names of those that are listed too
         self.numbers: dict[str, int] = {}
         self.absent: dict[str, int] = {}  # of servers that have no row any more, the latest last
-        self.barred: set[str] = set()  # servers that operators took out: their numbers are never forgotten
+        self.detached: set[str] = set()  # servers that operators took out: their numbers are never forgotten
         self.rows: dict[str, Row] = {}  # as discovery last gave them
         self.unused = count(1)  # never used for another: an attempt on a server that is gone may still be out
 
@@ -52,11 +52,11 @@
         """The number of a server that has a row, or had."""
         return self.numbers.get(name, self.absent.get(name))
 
-    def knows(self, name: str) -> bool:
+    def is_known(self, name: str) -> bool:
         """Whether a server is listed, or was, as far as is remembered."""
         return name in self.others or self.find(name) is not None
 
-    def remember(self, name: str) -> int:
+    def number_of(self, name: str) -> int:
         """The number of a server that is listed or that another process of this gateway knows."""
         number = self.find(name)
         if number is None:
@@ -66,19 +66,19 @@
     def leave(self) -> dict[str, Any]:
         """What a process that takes over has to know: the list, and which number stands for whom."""
         return {"rows": list(self.rows.values()), "numbers": self.numbers, "absent": self.absent,
-                "barred": sorted(self.barred)}
+                "barred": sorted(self.detached)}
 
-    def inherit(self, left: Any) -> dict[str, Any]:
+    def restore_state(self, left: Any) -> dict[str, Any]:
         """Take over what the process before has left; the list as a document. ValueError if malformed."""
         try:
             named = {str(name): int(number) for part in (left["numbers"], left["absent"])
                      for name, number in part.items()}
-            rows, barred = list(left["rows"]), {str(name) for name in left["barred"]}
+            rows, detached = list(left["rows"]), {str(name) for name in left["barred"]}
         except (KeyError, TypeError, AttributeError) as error:
             raise ValueError(f"the roster that was left is malformed: {error!r}") from error
-        if len(set(named.values())) != len(named) or not barred <= set(named):
+        if len(set(named.values())) != len(named) or not detached <= set(named):
             raise ValueError("the roster that was left contradicts itself")
-        self.numbers, self.absent, self.barred = {}, named, barred  # the list takes its own out of these
+        self.numbers, self.absent, self.detached = {}, named, detached  # the list takes its own out of these
         self.unused = count(max(named.values(), default=0) + 1)
         return {"generation": 0, "reset": True, "instances": rows}
 
@@ -86,17 +86,17 @@
         """Whether so many of the nearest have gone that only the whole list tells which follow them."""
         return self.nearest.sure() < self.subset.size(self.nearest.listed)
 
-    def read(self, document: Any, known: bool = False) -> News:
+    def read(self, document: Any, known: bool = False) -> RegistryChange:
         """A short list; raises ValueError, KeyError or TypeError if it is malformed."""
         full, rows = known or bool(document["reset"]), list(document["instances"])
         generation = int(document["generation"])
-        reading = Reading(self, full)
+        reading = SnapshotReader(self, full)
         for row in rows:
             reading.take(row)
         told = reading.told()
         if full:
             reading.replace()
-        kind = api.ListKind.CACHED if known else api.ListKind.FULL if full else api.ListKind.CHANGES
+        kind = api.UpdateKind.CACHED if known else api.UpdateKind.SNAPSHOT if full else api.UpdateKind.DELTA
         return reading.news(kind, told, generation)
 
     def forget(self, name: str) -> Told | None:
@@ -106,9 +106,9 @@
             return None
         self.absent[name] = number
         if len(self.absent) > MOST_ABSENT:
-            oldest = next((name for name in self.absent if name not in self.barred), None)
+            oldest = next((name for name in self.absent if name not in self.detached), None)
             self.absent.pop(oldest or name)
-        return api.ServerEntry(number, row["zone"], state=api.ServerState.GONE, name=name), ("", 0)
+        return api.Endpoint(number, row["zone"], state=api.EndpointLifecycle.GONE, name=name), ("", 0)
 
     def as_known(self, row: Any) -> Row | None:
         """What was known of the server of a row that can't be read, if that can be told at all.
@@ -133,7 +133,7 @@
         number = self.numbers.get(name)
         if number is None:
             number = self.numbers[name] = self.absent.pop(name, 0) or next(self.unused)
-        entry = api.ServerEntry(
+        entry = api.Endpoint(
             server=number, zone=zone, kind=kind, cell=cell, state=state, size=size, started_ms=started,
             name=name)
         return entry, address
@@ -143,13 +143,13 @@
     return isinstance(name, str) and 0 < len(name) <= LONGEST_NAME
 
 
-class Reading:
+class SnapshotReader:
     """One list while it is read. A whole list changes nothing in the roster until it takes its place."""
 
-    def __init__(self, roster: Roster, full: bool) -> None:
-        self.roster, self.full = roster, full
-        self.nearest = Nearest(roster.subset) if full else roster.nearest
-        self.others: set[str] = set() if full else roster.others
+    def __init__(self, registry: EndpointRegistry, full: bool) -> None:
+        self.registry, self.full = registry, full
+        self.nearest = NearestEndpoints(registry.subset) if full else registry.nearest
+        self.others: set[str] = set() if full else registry.others
         self.rows: dict[str, Row] = {}  # of those to be told of, in the list's order
         self.taken = False  # whether there was any
 
@@ -165,7 +165,7 @@
             if gone:
                 self.others.discard(name)
                 self.nearest.drop(name)
-        elif name in self.rows or not self.full and name in self.roster.rows:
+        elif name in self.rows or not self.full and name in self.registry.rows:
             self.rows[name] = row
         elif not gone:
             self._offer(name, row)
@@ -182,16 +182,16 @@
     def _pass(self, name: str) -> None:
         """Others are nearer: the server is listed, but no more of it is known."""
         self.others.add(name)
-        if self.full or name not in self.roster.rows:
+        if self.full or name not in self.registry.rows:
             self.rows.pop(name, None)
         else:
-            self.rows[name] = {**self.roster.rows[name], "lifecycle": "Gone"}
+            self.rows[name] = {**self.registry.rows[name], "lifecycle": "Gone"}
 
     def told(self) -> list[Told]:
         """What the decisions are told of all the rows."""
         return [told for name in list(self.rows) if (told := self._tell(name))]
 
-    def slices(self, version: int) -> Iterator[News]:
+    def slices(self, version: int) -> Iterator[RegistryChange]:
         """The same as changes, some at a time; the last part alone has the list's version.
 
         A whole list takes the place of the one before behind its rows. ValueError for one of which no row
@@ -201,55 +201,55 @@
         rows = iter(list(self.rows))
         while part := list(islice(rows, size)):
             told = [one for name in part if (one := self._tell(name))]
-            yield self.news(api.ListKind.CHANGES, told, 0)
-        yield self.news(api.ListKind.CHANGES, self.replace() if self.full else [], version)
+            yield self.news(api.UpdateKind.DELTA, told, 0)
+        yield self.news(api.UpdateKind.DELTA, self.replace() if self.full else [], version)
 
     def _tell(self, name: str) -> Told | None:
         """The row of this name, or what was known before where it can't be read; None if nothing was."""
-        roster, row = self.roster, self.rows[name]
+        registry, row = self.registry, self.rows[name]
         try:
-            entry, address = roster.entry(row)
+            entry, address = registry.entry(row)
         except (ValueError, KeyError, TypeError, AttributeError, OverflowError, OSError) as error:
             log.error("malformed row from discovery: %r in %.200r", error, row)
-            known = roster.as_known(row)
+            known = registry.as_known(row)
             if known is None:
                 self.nearest.drop(name)
                 del self.rows[name]
                 return None
             row = self.rows[name] = known
-            entry, address = roster.entry(row)
-        if entry.state is api.ServerState.GONE:
+            entry, address = registry.entry(row)
+        if entry.state is api.EndpointLifecycle.GONE:
             if name in self.nearest:  # else others are nearer now
                 self.nearest.drop(name)
-            roster.rows[name] = row
-            roster.forget(name)
+            registry.rows[name] = row
+            registry.forget(name)
         else:
-            roster.rows[name] = row
+            registry.rows[name] = row
         return entry, address
 
-    def news(self, kind: api.ListKind, told: list[Told], version: int) -> News:
+    def news(self, kind: api.UpdateKind, told: list[Told], version: int) -> RegistryChange:
         """What the decisions and the connections are told."""
-        listing = api.ServerList(kind, tuple(entry for entry, _ in told), version, self.nearest.listed)
+        listing = api.EndpointUpdate(kind, tuple(entry for entry, _ in told), version, self.nearest.listed)
         return listing, {entry.server: address for entry, address in told}
 
     def replace(self) -> list[Told]:
         """Take the place of the list before; what is told of servers that it alone has named."""
-        roster = self.roster
+        registry = self.registry
         if self.taken and not self.rows:
             raise ValueError("no row can be read")
-        roster.nearest, roster.others = self.nearest, self.others
-        return [told for name in list(roster.rows) if name not in self.rows and (told := roster.forget(name))]
+        registry.nearest, registry.others = self.nearest, self.others
+        return [told for name in list(registry.rows) if name not in self.rows and (told := registry.forget(name))]
 
 
-class LongDocument:
+class StreamingSnapshotReader:
     """Reads a list too long to be read at once, in pieces of any size; indented or not.
 
     Guards against one long stall of all requests, and against a document that never ends: rows may go on
     up to MOST_LISTED, and each has to end. ValueError for what is malformed.
     """
 
-    def __init__(self, roster: Roster) -> None:
-        self.roster, self.errors = roster, (ijson.JSONError, UnicodeDecodeError)
+    def __init__(self, registry: EndpointRegistry) -> None:
+        self.registry, self.errors = registry, (ijson.JSONError, UnicodeDecodeError)
         self.events = ijson.sendable_list()
         self.parser = ijson.basic_parse_coro(self.events, use_float=True)
         self.fields: Row = {}  # of the document beside its rows
@@ -258,7 +258,7 @@
         self.depth, self.rows, self.since = 0, 0, 0  # brackets open, rows so far, bytes since one ended
         self.whole, self.blank = False, True  # whether nothing stands on the line so far
         self.early: list[Any] = []  # rows that came before it was known whether the list is whole
-        self.reading: Reading | None = None
+        self.reading: SnapshotReader | None = None
 
     def take(self, piece: bytes) -> bytes | None:
         """The next bytes; what came behind the end of the document, or None while it has not come."""
@@ -333,14 +333,14 @@
         if self.rows > MOST_LISTED:
             raise ValueError("more rows than there is memory for")
 
-    def _begin(self) -> Reading:
-        self.reading = Reading(self.roster, bool(self.fields["reset"]))
+    def _begin(self) -> SnapshotReader:
+        self.reading = SnapshotReader(self.registry, bool(self.fields["reset"]))
         for row in self.early:
             self.reading.take(row)
         self.early = []
         return self.reading
 
-    def news(self) -> Iterator[News]:
+    def news(self) -> Iterator[RegistryChange]:
         """What the document tells, some at a time, once it is whole; ValueError if a field is missing."""
         try:
             self.fields["generation"] = int(self.fields["generation"])
--- a/brackenloft/net/handover.py
+++ b/quota_gateway/net/handover.py
@@ -20,10 +20,10 @@
 from pathlib import Path
 from typing import Any
 
-from brackenloft import interface as api
-from brackenloft.net.clients import Before, Clients
-from brackenloft.net.driver import Driver
-from brackenloft.net.servers import Servers
+from quota_gateway import model as api
+from quota_gateway.net.client_listener import ClientListener, ResumedConnection
+from quota_gateway.net.driver import Driver
+from quota_gateway.net.upstream_pool import UpstreamPool
 
 log = logging.getLogger(__name__)
 
@@ -39,7 +39,7 @@
 Message = tuple[dict[str, Any], bytes, int | None]
 
 
-def place(listen: tuple[str, int]) -> Path | None:
+def rendezvous_path(listen: tuple[str, int]) -> Path | None:
     """Where the processes of a gateway meet; nowhere without $TMPDIR."""
     folder = os.environ.get("TMPDIR")
     return Path(folder) / f"handover-{listen[0]}-{listen[1]}" if folder else None
@@ -51,7 +51,7 @@
     return f"/proc/self/fd/{folder}/{path.name}", folder
 
 
-class Channel:
+class ProcessChannel:
     """One connection between two processes: whole messages in order, each with a descriptor at most."""
 
     def __init__(self, sock: socket.socket) -> None:
@@ -185,16 +185,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Estate:
+class HandoverState:
     """What a process before has left, and the channel to it."""
 
-    channel: Channel
+    channel: ProcessChannel
     listener: socket.socket
     state: dict[str, Any]
-    roster: dict[str, Any]
+    registry: dict[str, Any]
 
 
-async def ask(path: Path | None) -> Estate | None:
+async def request_handover(path: Path | None) -> HandoverState | None:
     """Ask a process that serves for its estate; None if there is none, or it does not answer as it should.
 
     Guards against what a dead process left there, and one that is silent or malformed: a start goes on
@@ -219,7 +219,7 @@
         return None
     finally:
         os.close(folder)
-    channel = Channel(sock)
+    channel = ProcessChannel(sock)
     try:
         async with asyncio.timeout(ANSWER_S):
             channel.send({"kind": "hello", "version": VERSION})
@@ -230,12 +230,12 @@
     return _estate(channel, *message) if message else None
 
 
-def _estate(channel: Channel, head: dict[str, Any], raw: bytes, descriptor: int | None) -> Estate | None:
+def _estate(channel: ProcessChannel, head: dict[str, Any], raw: bytes, descriptor: int | None) -> HandoverState | None:
     try:
         if head.get("kind") != "estate" or head.get("version") != VERSION or descriptor is None:
             raise ValueError("no estate of this version")
         left = json.loads(raw)
-        estate = Estate(channel, socket.socket(fileno=descriptor), dict(left["state"]), dict(left["roster"]))
+        estate = HandoverState(channel, socket.socket(fileno=descriptor), dict(left["state"]), dict(left["roster"]))
         if not estate.listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
             raise ValueError("that is no listener")
     except (ValueError, KeyError, TypeError, OSError) as error:
@@ -250,14 +250,14 @@
 class Handover:
     """What this process does with the one before it and the one after it."""
 
-    def __init__(self, path: Path | None, driver: Driver, clients: Clients, servers: Servers) -> None:
+    def __init__(self, path: Path | None, driver: Driver, clients: ClientListener, servers: UpstreamPool) -> None:
         self.path, self.driver, self.clients, self.servers = path, driver, clients, servers
         self.loop = asyncio.get_running_loop()
         self.leave_roster: Callable[[], dict[str, Any]] = dict
         self.on_ban: Callable[[str, bool, bool], bool] = lambda name, out, known: False
         self.listener: socket.socket | None = None
-        self.before: Channel | None = None  # the process that served before
-        self.after: Channel | None = None  # the one that takes over
+        self.before: ProcessChannel | None = None  # the process that served before
+        self.after: ProcessChannel | None = None  # the one that takes over
         self.passing: asyncio.TimerHandle | None = None
         self.patience: asyncio.TimerHandle | None = None  # for the word that it serves
         self.told: dict[str, int] = {}
@@ -267,11 +267,11 @@
 
     # ---- Taking over
 
-    def took_over(self, estate: Estate, spare_bytes: int) -> None:
+    def took_over(self, estate: HandoverState, spare_bytes: int) -> None:
         """This process serves now, with the estate of the one before, which may have some bytes less held."""
         channel = self.before = estate.channel
-        self.clients.most_held -= spare_bytes
-        self.servers.most_held -= spare_bytes
+        self.clients.max_buffered_bytes -= spare_bytes
+        self.servers.max_buffered_bytes -= spare_bytes
         channel.on_end = lambda: self._alone(spare_bytes)
         channel.take(lambda *message: self._hear(channel, *message))
         if channel.closed:
@@ -282,32 +282,32 @@
 
     def _alone(self, spare_bytes: int) -> None:
         self.before = None
-        self.clients.most_held += spare_bytes
-        self.servers.most_held += spare_bytes
-        self.clients.elsewhere = self.servers.elsewhere = 0
+        self.clients.max_buffered_bytes += spare_bytes
+        self.servers.max_buffered_bytes += spare_bytes
+        self.clients.peer_connections = self.servers.peer_connections = 0
         self._answer_all()
         log.info("the process before has ended")
         if self.after is None:
-            self.driver.post(api.Alone())
+            self.driver.post(api.PeerProcessExited())
 
     # ---- Messages of either side
 
-    def _hear(self, channel: Channel, head: dict[str, Any], raw: bytes, descriptor: int | None) -> None:
+    def _hear(self, channel: ProcessChannel, head: dict[str, Any], raw: bytes, descriptor: int | None) -> None:
         kind = head["kind"]
         if kind == "connection" and channel is self.before and descriptor is not None:
             sock, owing_s = socket.socket(fileno=descriptor), float(head["owing_s"])
             owing_s = owing_s if isfinite(owing_s) else 0.0
-            self.clients.take(sock, Before(bool(head["spoke"]), int(head["asked"]), owing_s, raw))
+            self.clients.take(sock, ResumedConnection(bool(head["spoke"]), int(head["asked"]), owing_s, raw))
             return
         if descriptor is not None:
             os.close(descriptor)
         if kind == "serving" and channel is self.after:
             self._pass_on()
         elif kind == "holds" and channel is self.before:
-            self.clients.elsewhere = max(0, int(head["clients"]))
-            self.servers.elsewhere = max(0, int(head["servers"]))
+            self.clients.peer_connections = max(0, int(head["clients"]))
+            self.servers.peer_connections = max(0, int(head["servers"]))
         elif kind == "out":
-            self.driver.post(api.Elsewhere(
+            self.driver.post(api.PeerProcessUsage(
                 str(head["plan"]), str(head["customer"]), int(head["out"]), float(head["change"])))
         elif kind == "ban":
             known = self.on_ban(str(head["id"]), bool(head["out"]), bool(head["known"]))
@@ -317,10 +317,10 @@
             if asked and not asked.done():
                 asked.set_result(bool(head["known"]))
 
-    def _channels(self) -> list[Channel]:
+    def _channels(self) -> list[ProcessChannel]:
         return [channel for channel in (self.before, self.after) if channel]
 
-    def _tell_other(self, news: api.Elsewhere) -> None:
+    def _tell_other(self, news: api.PeerProcessUsage) -> None:
         for channel in self._channels():
             channel.send({"kind": "out", "plan": news.plan, "customer": news.customer, "out": news.out,
                           "change": news.change})
@@ -384,7 +384,7 @@
             sock, _ = self.listener.accept()
         except OSError:
             return
-        channel = Channel(sock)
+        channel = ProcessChannel(sock)
         silent = self.loop.call_later(HELLO_S, channel.close, "it said no hello")
         channel.on_end = silent.cancel
 
@@ -399,7 +399,7 @@
 
         channel.take(hello)
 
-    def _give(self, channel: Channel) -> None:
+    def _give(self, channel: ProcessChannel) -> None:
         """Stop serving and hand the estate over. Nothing is passed on before the other one serves."""
         if self.clients.listener is None:
             channel.close("this process has ended to listen")
@@ -409,7 +409,7 @@
         channel.on_end = self._go_on
         channel.take(lambda *message: self._hear(channel, *message))
         self.clients.suspend()
-        left = {"state": self.driver.bequeath(), "roster": self.leave_roster()}
+        left = {"state": self.driver.export_state(), "roster": self.leave_roster()}
         self.told = {}
         channel.send({"kind": "estate", "version": VERSION}, json.dumps(left).encode(),
                      os.dup(self.clients.listener.fileno()))
@@ -425,14 +425,14 @@
         self.after = self.patience = self.passing = None
         self._answer_all()
         if self.before is None:
-            self.driver.post(api.Alone())
+            self.driver.post(api.PeerProcessExited())
         self.clients.resume()
         if self.listener is None:
             self.wait()
 
     def _tell_holds(self) -> None:
         """Tell what this process still holds of the limits that both share, when it has changed."""
-        holds = {"clients": self.clients.places, "servers": self.servers.places}
+        holds = {"clients": self.clients.descriptors_in_use, "servers": self.servers.descriptors_in_use}
         if holds != self.told and self.after:
             self.told = holds
             self.after.send({"kind": "holds", **holds})
--- a/brackenloft/net/resp.py
+++ b/quota_gateway/net/resp.py
@@ -26,7 +26,7 @@
     """What was read is not of the form that the protocol has."""
 
 
-class Bulks:
+class BulkArrayReader:
     """Reads arrays of bulk strings, each at most as long as ``longest`` says for its place."""
 
     def __init__(
@@ -115,7 +115,7 @@
             raise ProtocolError("bad header")
 
 
-class Commands(Bulks):
+class CommandReader(BulkArrayReader):
     """Commands of clients: name, customer, id, list of names and values, body."""
 
     def __init__(self) -> None:
@@ -129,7 +129,7 @@
 Answer = list[bytes | None] | str  # value, figures on use, load report; or an error line without its dash
 
 
-class Answers(Bulks):
+class ReplyReader(BulkArrayReader):
     """Answers of a server: an array of value, figures on use and load report, or an error line."""
 
     def __init__(self) -> None:
--- a/brackenloft/net/servers.py
+++ b/quota_gateway/net/upstream_pool.py
@@ -17,9 +17,9 @@
 from math import inf
 from typing import cast
 
-from brackenloft import interface as api
-from brackenloft.net.resp import Answer, Answers, ProtocolError
-from brackenloft.settings import REPORT_FIELD
+from quota_gateway import model as api
+from quota_gateway.net.resp import Answer, ProtocolError, ReplyReader
+from quota_gateway.settings_format import REPORT_FIELD
 
 log = logging.getLogger(__name__)
 
@@ -38,20 +38,20 @@
 
 
 @dataclass(slots=True)
-class Reply:
+class UpstreamReply:
     """What an attempt came to."""
 
-    status: api.Status
+    status: api.AttemptStatus
     value: bytes | None = None
     used: float | None = None
     cost: float | None = None
     load: tuple[float, ...] | None = None
 
 
-Sink = Callable[[bytes], None]  # takes the bytes of a large value, piece by piece
+BodyConsumer = Callable[[bytes], None]  # takes the bytes of a large value, piece by piece
 
 
-def _no_sink(length: int) -> Sink:
+def _no_sink(length: int) -> BodyConsumer:
     return lambda piece: None
 
 
@@ -69,22 +69,22 @@
     __slots__ = ("payload", "done", "connection", "begun", "sink", "renew", "wanted")
 
     def __init__(
-        self, payload: bytes, done: Callable[[Reply], None], begun: Callable[[int], Sink] = _no_sink,
+        self, payload: bytes, done: Callable[[UpstreamReply], None], begun: Callable[[int], BodyConsumer] = _no_sink,
         renew: Callable[[], bytes] | None = None, wanted: Callable[[], bool] = _wanted,
     ) -> None:
         self.renew = renew  # the command as it reads once a connection is up, which may take a while
         self.wanted = wanted  # whether its client is still there
         self.payload, self.begun = payload, begun
-        self.done: Callable[[Reply], None] | None = done
-        self.connection: Connection | None = None
-        self.sink: Sink | None = None  # once a large value has begun
+        self.done: Callable[[UpstreamReply], None] | None = done
+        self.connection: UpstreamConnection | None = None
+        self.sink: BodyConsumer | None = None  # once a large value has begun
 
     def pause(self, pause: bool) -> None:
         """Read no more of the value for now, or go on."""
         if self.connection:
             self.connection.pause(pause)
 
-    def finish(self, reply: Reply) -> None:
+    def finish(self, reply: UpstreamReply) -> None:
         """Tell the outcome, the first only.
 
         The command and the client are let go. Guards against bodies that are kept until the attempt's time
@@ -104,76 +104,76 @@
     return {name: float(number) for name, _, number in (part.partition("=") for part in parts)}
 
 
-class Readings:
+class ReplyParser:
     """Reads what servers answer, figures on use and load reports included.
 
     Figures that can't be read, or can't be, are dropped and the good value is served. Guards against what
     would stay in the decisions for long: an excess, a queue, a mean that is no number.
     """
 
-    def __init__(self, load_fields: tuple[str, ...], largest_units: float) -> None:
-        self.load_fields, self.most_cost = load_fields, COST_LARGEST * largest_units
+    def __init__(self, load_report_fields: tuple[str, ...], max_request_units: float) -> None:
+        self.load_report_fields, self.most_cost = load_report_fields, COST_LARGEST * max_request_units
 
-    def reply(self, answer: Answer) -> Reply:
+    def reply(self, answer: Answer) -> UpstreamReply:
         """An answer as the protocol's table has it."""
         if isinstance(answer, str):
             return self._error(answer)
         value, *figures = answer
-        reply = Reply(api.Status.OK, value)
+        reply = UpstreamReply(api.AttemptStatus.OK, value)
         for text in figures:
             if text is not None:
                 self._figures(reply, text.decode("latin-1"))
         return reply
 
-    def _error(self, line: str) -> Reply:
+    def _error(self, line: str) -> UpstreamReply:
         word, *rest = line.split(" ")
         if word not in ("ERR", "BUSY", "NOPERM", "SYNTAX"):
             raise ProtocolError("an error line that no server writes")
         if word == "SYNTAX":
             log.error("a server could not read a command: %.200s", line)
-        reply = Reply(api.Status.FULL if word == "BUSY" else api.Status.ERROR)
+        reply = UpstreamReply(api.AttemptStatus.OVERLOADED if word == "BUSY" else api.AttemptStatus.ERROR)
         for figures in rest:
             self._figures(reply, figures)
         return reply
 
-    def _figures(self, reply: Reply, text: str) -> None:
+    def _figures(self, reply: UpstreamReply, text: str) -> None:
         figures = _pairs(text)
         if figures.get("used", inf) <= MOST_PERCENT:
             reply.used = figures["used"]
         if figures.get("cost", inf) <= self.most_cost:
             reply.cost = figures["cost"]
         load = {REPORT_FIELD.get(name, name): value for name, value in figures.items() if value <= MOST_LOAD}
-        if self.load_fields and all(name in load for name in self.load_fields):
-            reply.load = tuple(load[name] for name in self.load_fields)
+        if self.load_report_fields and all(name in load for name in self.load_report_fields):
+            reply.load = tuple(load[name] for name in self.load_report_fields)
 
 
-class Host:
+class UpstreamHost:
     """A server as discovery last told it. Each change that makes old connections useless is an epoch."""
 
-    __slots__ = ("address", "started", "listed", "barred", "idle", "epoch")
+    __slots__ = ("address", "started", "listed", "detached", "idle", "epoch")
 
     def __init__(self) -> None:
         self.address: Address = ("", 0)
         self.started, self.epoch = 0.0, 0
-        self.listed = self.barred = False  # as ready by discovery, and held out by operators
-        self.idle: list[Connection] = []  # the most recently used last
+        self.listed = self.detached = False  # as ready by discovery, and held out by operators
+        self.idle: list[UpstreamConnection] = []  # the most recently used last
 
     @property
     def ready(self) -> bool:
         """Whether anything may go there."""
-        return self.listed and not self.barred
+        return self.listed and not self.detached
 
 
-class Connection(asyncio.Protocol):
+class UpstreamConnection(asyncio.Protocol):
     """One connection to a server: connecting, idle, or with one attempt out."""
 
-    def __init__(self, servers: Servers, host: Host, attempt: Attempt) -> None:
+    def __init__(self, servers: UpstreamPool, host: UpstreamHost, attempt: Attempt) -> None:
         self.servers, self.host, self.epoch = servers, host, host.epoch
         self.attempt: Attempt | None = attempt
         self.transport: asyncio.Transport | None = None
         self.socket: socket.socket | None = None
         self.task: asyncio.Task[None] | None = None
-        self.reader = Answers()
+        self.reader = ReplyReader()
         self.held = 0  # bytes of an answer that is not whole yet
         self.handed = False  # the attempt's last byte to the kernel
         self.tail = b""  # of its command, held back until the rest has gone
@@ -196,7 +196,7 @@
             self.socket = sock
             await loop.create_connection(lambda: self, sock=sock)
         except (OSError, TimeoutError):  # out of descriptors is an OSError too: an outcome, not a crash
-            self.close(api.Status.CONNECT_FAILED)
+            self.close(api.AttemptStatus.CONNECT_FAILED)
         finally:
             if sock and self.socket is None:
                 sock.close()
@@ -215,10 +215,10 @@
             self.transport.abort()
         elif self.epoch != self.host.epoch or not self.host.ready:
             # Guards against a first byte to a server that began to drain, left or moved meanwhile.
-            self.close(api.Status.CONNECT_FAILED)
+            self.close(api.AttemptStatus.CONNECT_FAILED)
         elif not self.attempt.wanted():
             # Guards against beginning for a client that left meanwhile, whose end the loop has not come to.
-            self.close(api.Status.NOT_SENT)
+            self.close(api.AttemptStatus.NOT_SENT)
         else:
             renew = self.attempt.renew
             self._write(renew() if renew else self.attempt.payload)
@@ -254,7 +254,7 @@
             self.handed = True
         elif self.attempt and self.transport and not self.transport.is_closing():
             if not self.attempt.wanted():
-                self.close(api.Status.NOT_SENT)
+                self.close(api.AttemptStatus.NOT_SENT)
                 return
             self.transport.write(tail)
             self.handed = self.transport.get_write_buffer_size() == 0
@@ -268,7 +268,7 @@
         if self.closed:
             return
         if self.attempt is None:
-            self.close(api.Status.RESET)
+            self.close(api.AttemptStatus.RESET)
             return
         self.reader.feed(data)
         try:
@@ -285,11 +285,11 @@
             reply = self.servers.readings.reply(answer)
         except ProtocolError as error:
             log.warning("an answer that can't be read: %s: %.60r", error, data[:60])
-            self.close(api.Status.ERROR)  # it may have run
+            self.close(api.AttemptStatus.ERROR)  # it may have run
             return
         attempt, self.attempt = self.attempt, None
         if self.reader.buffer:
-            self.close(api.Status.RESET)
+            self.close(api.AttemptStatus.RESET)
         else:
             self.servers.give_back(self)
         attempt.finish(reply)
@@ -351,10 +351,10 @@
         """
         if self.socket:
             self.socket.detach()
-        self.close(api.Status.RESET if self.handed else api.Status.CONNECT_FAILED)
+        self.close(api.AttemptStatus.RESET if self.handed else api.AttemptStatus.CONNECT_FAILED)
         self.servers.place_free()  # the loop closes the descriptor as this returns
 
-    def close(self, status: api.Status) -> None:
+    def close(self, status: api.AttemptStatus) -> None:
         """Close at once; the attempt on it, if any, ends with this status.
 
         The socket is shut down before the outcome is told, so that a further attempt, which the outcome
@@ -373,44 +373,44 @@
                         self.socket.shutdown(socket.SHUT_RDWR)
                 self.transport.abort()
         if attempt:
-            attempt.finish(Reply(status))
+            attempt.finish(UpstreamReply(status))
 
 
-class Servers:
+class UpstreamPool:
     """The servers of discovery's list and all connections to them, bounded over all."""
 
-    def __init__(self, settings: api.Settings, most_connections: int, most_held: int) -> None:
+    def __init__(self, settings: api.Settings, max_connections: int, max_buffered_bytes: int) -> None:
         self.loop = asyncio.get_running_loop()
         self.connect_timeout_s = settings.limits.connect_timeout_ms / 1000.0
         self.idle_limit_s = settings.limits.connection_idle_ms / 1000.0 * IDLE_SHARE
-        self.readings = Readings(settings.load_fields, settings.largest_units)
-        self.most_connections, self.most_held = most_connections, most_held
+        self.readings = ReplyParser(settings.load_report_fields, settings.max_request_units)
+        self.max_connections, self.max_buffered_bytes = max_connections, max_buffered_bytes
         self.held = 0  # bytes of answers that are not whole yet
-        self.elsewhere = 0  # connections of the other process of this gateway
-        self.hosts: dict[int, Host] = {}
-        self.barred: set[int] = set()  # also those that no list names now
-        self.connections: set[Connection] = set()
-        self.places = 0  # descriptors taken: counted from before they are opened until they are closed
-        self.waiting: deque[Connection] = deque()  # for those that are closing to be closed
+        self.peer_connections = 0  # connections of the other process of this gateway
+        self.hosts: dict[int, UpstreamHost] = {}
+        self.detached: set[int] = set()  # also those that no list names now
+        self.connections: set[UpstreamConnection] = set()
+        self.descriptors_in_use = 0  # descriptors taken: counted from before they are opened until they are closed
+        self.waiting: deque[UpstreamConnection] = deque()  # for those that are closing to be closed
         self.sweeper = self.loop.call_later(SWEEP_S, self._sweep)
 
-    def update(self, news: api.ServerList, addresses: Mapping[int, Address]) -> None:
+    def update(self, news: api.EndpointUpdate, addresses: Mapping[int, Address]) -> None:
         """Take over discovery's news; connections that it makes useless are closed."""
-        listed = {entry.server for entry in news.entries}
-        if news.kind is not api.ListKind.CHANGES:
+        listed = {entry.server for entry in news.endpoints}
+        if news.kind is not api.UpdateKind.DELTA:
             for server in [number for number in self.hosts if number not in listed]:
                 self._remove(server)
-        for entry in news.entries:
-            if entry.state is api.ServerState.GONE:
+        for entry in news.endpoints:
+            if entry.state is api.EndpointLifecycle.GONE:
                 self._remove(entry.server)
                 continue
-            host = self.hosts.setdefault(entry.server, Host())
+            host = self.hosts.setdefault(entry.server, UpstreamHost())
             address = addresses[entry.server]
             # Guards against an old connection to a server that restarted or whose address was replaced.
             fresh = host.address == address and host.started == entry.started_ms
             host.address, host.started = address, entry.started_ms
-            host.listed = entry.state is api.ServerState.READY
-            host.barred = entry.server in self.barred
+            host.listed = entry.state is api.EndpointLifecycle.READY
+            host.detached = entry.server in self.detached
             if not (fresh and host.ready):
                 self._renew(host)
 
@@ -420,31 +420,31 @@
             host.listed = False
             self._renew(host)
 
-    def bar(self, server: int, barred: bool) -> None:
+    def set_detached(self, server: int, detached: bool) -> None:
         """Keep all that has not begun from a server, or no longer: new attempts, those still connecting."""
-        (self.barred.add if barred else self.barred.discard)(server)
+        (self.detached.add if detached else self.detached.discard)(server)
         host = self.hosts.get(server)
         if host is None:
             return
-        host.barred = barred
-        if barred:
+        host.detached = detached
+        if detached:
             self._renew(host)
             for connection in [c for c in self.connections if c.host is host and c.transport is None]:
-                connection.close(api.Status.CONNECT_FAILED)
+                connection.close(api.AttemptStatus.CONNECT_FAILED)
 
-    def _renew(self, host: Host) -> None:
+    def _renew(self, host: UpstreamHost) -> None:
         host.epoch += 1
         for connection in list(host.idle):
-            connection.close(api.Status.RESET)
+            connection.close(api.AttemptStatus.RESET)
 
     def start(self, server: int, attempt: Attempt) -> None:
         """Send on the connection used last, or on a new one; nothing where nobody waits any more."""
         host = self.hosts.get(server)
         if host is None or not host.ready:
-            attempt.finish(Reply(api.Status.CONNECT_FAILED))
+            attempt.finish(UpstreamReply(api.AttemptStatus.CONNECT_FAILED))
             return
         if not attempt.wanted():
-            attempt.finish(Reply(api.Status.NOT_SENT))
+            attempt.finish(UpstreamReply(api.AttemptStatus.NOT_SENT))
             return
         connection = self._rested(host)
         if connection:
@@ -452,7 +452,7 @@
         else:
             self._connect(host, attempt)
 
-    def _rested(self, host: Host) -> Connection | None:
+    def _rested(self, host: UpstreamHost) -> UpstreamConnection | None:
         """The idle connection used last, but not just now.
 
         Guards against bytes right behind an answer that have not come yet: nothing tells them from the
@@ -465,14 +465,14 @@
             if connection.alive():
                 host.idle.remove(connection)
                 return connection
-            connection.close(api.Status.RESET)
+            connection.close(api.AttemptStatus.RESET)
         return None
 
-    def _connect(self, host: Host, attempt: Attempt) -> None:
-        if len(self.connections) + self.elsewhere >= self.most_connections and not self._evict():
-            attempt.finish(Reply(api.Status.CONNECT_FAILED))
+    def _connect(self, host: UpstreamHost, attempt: Attempt) -> None:
+        if len(self.connections) + self.peer_connections >= self.max_connections and not self._evict():
+            attempt.finish(UpstreamReply(api.AttemptStatus.CONNECT_FAILED))
             return
-        connection = Connection(self, host, attempt)
+        connection = UpstreamConnection(self, host, attempt)
         self.connections.add(connection)
         self.waiting.append(connection)
         self._open_waiting()
@@ -483,15 +483,15 @@
         Guards against running out of descriptors where many connections are closed and as many opened in
         one turn of the loop: it closes their descriptors some turns later.
         """
-        while self.waiting and self.places + self.elsewhere < self.most_connections:
+        while self.waiting and self.descriptors_in_use + self.peer_connections < self.max_connections:
             connection = self.waiting.popleft()
-            self.places += 1
+            self.descriptors_in_use += 1
             connection.task = self.loop.create_task(connection.open())
             connection.task.add_done_callback(connection.opened)
 
     def place_free(self) -> None:
         """The descriptor of a connection has been closed, or is as the loop goes on."""
-        self.places -= 1
+        self.descriptors_in_use -= 1
         self._open_waiting()
 
     def _evict(self) -> bool:
@@ -499,48 +499,48 @@
         idle = [host.idle[0] for host in self.hosts.values() if host.idle]
         oldest = min(idle, key=lambda connection: connection.idle_since, default=None)
         if oldest:
-            oldest.close(api.Status.RESET)
+            oldest.close(api.AttemptStatus.RESET)
         return oldest is not None
 
-    def stop(self, attempt: Attempt, status: api.Status) -> None:
+    def stop(self, attempt: Attempt, status: api.AttemptStatus) -> None:
         """Stop waiting: the connection is closed, then the outcome told. One not up yet never ran."""
         connection = attempt.connection
         if attempt.done and connection:
-            connection.close(status if connection.transport else api.Status.CONNECT_FAILED)
+            connection.close(status if connection.transport else api.AttemptStatus.CONNECT_FAILED)
 
-    def call_off(self, attempt: Attempt) -> None:
+    def cancel_unsent(self, attempt: Attempt) -> None:
         """Stop an attempt that has not gone out whole, and so never ran; one that has is let be."""
         connection = attempt.connection
         if attempt.done and connection and not connection.handed:
-            connection.close(api.Status.NOT_SENT)
+            connection.close(api.AttemptStatus.NOT_SENT)
 
     def close_idle(self, server: int) -> None:
         """Close the idle connections to a server."""
         host = self.hosts.get(server)
         for connection in list(host.idle) if host else []:
-            connection.close(api.Status.RESET)
+            connection.close(api.AttemptStatus.RESET)
 
-    def give_back(self, connection: Connection) -> None:
+    def give_back(self, connection: UpstreamConnection) -> None:
         """An attempt has ended well: keep its connection, unless the server changed meanwhile.
 
         Nor where the answer came before the command had gone whole, as its rest is still to be written.
         """
         changed = connection.epoch != connection.host.epoch
         if connection.closed or changed or not connection.handed:
-            connection.close(api.Status.RESET)
+            connection.close(api.AttemptStatus.RESET)
             return
         connection.pause(False)
         connection.idle_since = self.loop.time()
         connection.host.idle.append(connection)
 
-    def hold(self, size: int, connection: Connection) -> None:
+    def hold(self, size: int, connection: UpstreamConnection) -> None:
         """Count bytes held for an answer. Guards against answers that together outgrow the memory."""
         connection.held += size
         self.held += size
-        if size > 0 and self.held > self.most_held:
+        if size > 0 and self.held > self.max_buffered_bytes:
             raise ProtocolError("more answers than there is memory for")
 
-    def forget(self, connection: Connection) -> None:
+    def forget(self, connection: UpstreamConnection) -> None:
         """A connection that is closing counts no more; its place stays taken until it is closed."""
         self.connections.discard(connection)
         with suppress(ValueError):
@@ -553,10 +553,10 @@
         before = self.loop.time() - self.idle_limit_s
         for host in self.hosts.values():
             for connection in [c for c in host.idle if c.idle_since < before]:
-                connection.close(api.Status.RESET)
+                connection.close(api.AttemptStatus.RESET)
         before = self.loop.time() - STALLED_S
         for connection in [c for c in self.connections if c.stalled(before)]:
-            connection.close(api.Status.RESET)
+            connection.close(api.AttemptStatus.RESET)
         self._open_waiting()  # the other process may have let go of some
         self.sweeper = self.loop.call_later(SWEEP_S, self._sweep)
 
@@ -569,4 +569,4 @@
         """Close everything, at the end."""
         self.sweeper.cancel()
         for connection in list(self.connections):
-            connection.close(api.Status.CANCELLED)
+            connection.close(api.AttemptStatus.CANCELLED)
--- a/brackenloft/subset.py
+++ b/quota_gateway/policy/subset.py
@@ -59,7 +59,7 @@
         return self.gateways * self.size(servers) / servers if servers > 0 else float(self.gateways)
 
 
-class Nearest:
+class NearestEndpoints:
     """The nearest names of a list that is read row by row, RESERVE times the subset; iterates nearest first.
 
     What a row costs depends on how many are kept, not on how many are listed. Each name is to be offered
--- a/brackenloft/settings.py
+++ b/quota_gateway/settings_format.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from brackenloft import interface as api
+from quota_gateway import model as api
 
 Fields = dict[str, Any]
 
@@ -21,40 +21,40 @@
 
 def _class(row: Fields) -> api.RequestClass:
     return api.RequestClass(
-        name=row["name"], aim_ms=row["slo_ms"], deadline_ms=row["hard_limit_ms"],
-        effect=api.Effect(row["effect"]), worth=row["value"], late_share=row["late_share"],
-        key_scope=api.KeyScope(row["key_scope"]), key_memory_ms=row["memory_span_ms"],
-        streamed=row["stream"], aim_stretch=row.get("aim_stretch") or 0.0,
+        name=row["name"], latency_objective_ms=row["slo_ms"], deadline_ms=row["hard_limit_ms"],
+        idempotency=api.Idempotency(row["effect"]), priority_weight=row["value"], value_after_objective=row["late_share"],
+        idempotency_scope=api.IdempotencyScope(row["key_scope"]), idempotency_window_ms=row["memory_span_ms"],
+        streamed=row["stream"], objective_stretch=row.get("aim_stretch") or 0.0,
     )
 
 
 def _plan(row: Fields) -> api.Plan:
     return api.Plan(
         name=row["name"], rate=row["refill"], burst=row["most_at_once"], max_in_flight=row["parallel"],
-        price=row["value_factor"], over_worth=row["excess_worth"], over_cost=row["overrun_cost"],
+        weight=row["value_factor"], excess_value=row["excess_worth"], excess_cost=row["overrun_cost"],
         ceiling_rate=row["cap_rate"], ceiling_burst=row["cap_depth"], ceiling_slack=row["hard_slack"],
     )
 
 
-def _limits(row: Fields) -> api.Limits:
-    return api.Limits(
+def _limits(row: Fields) -> api.GatewayLimits:
+    return api.GatewayLimits(
         max_attempts=row["attempts_cap"], may_duplicate=row["may_duplicate"], can_cancel=row["cancelling"],
-        can_probe=row["probes"], can_message_peers=row["peers"], can_advise_retry=row["retry_after"],
+        can_probe=row["probes"], can_message_peers=row["peers"], can_send_retry_after=row["retry_after"],
         max_open=row["open_cap"], connect_timeout_ms=row["connect_timeout_ms"],
         max_retry_after_ms=row["max_retry_after_ms"],
         connection_idle_ms=row.get("conn_idle_ms") or api.DEFAULT_IDLE_MS,
     )
 
 
-def _contract(row: Fields) -> api.Contract:
-    return api.Contract(
+def _contract(row: Fields) -> api.ServiceRules:
+    return api.ServiceRules(
         answer_slack_ms=row["answer_slack_ms"], drain_grace_ms=row["drain_grace_ms"],
-        cold_share=row["start_capacity"], warm_up_ms=row["warm_up_ms"], tip_multiple=row["tip_multiple"],
-        tip_window_ms=row["fall_ms"], ask_within_ms=row["must_ask_in_ms"],
+        initial_capacity_share=row["start_capacity"], warm_up_ms=row["warm_up_ms"], overload_factor=row["tip_multiple"],
+        overload_window_ms=row["fall_ms"], poll_deadline_ms=row["must_ask_in_ms"],
     )
 
 
-def settings_from(env: Fields) -> api.Settings:
+def settings_from_document(env: Fields) -> api.Settings:
     """The settings object that an instance of the simulator, or a real gateway, is given at its start."""
     info, load = env["family_info"], env["load_info"]
     return api.Settings(
@@ -63,8 +63,8 @@
         plans=tuple(_plan(row) for row in env["tariffs"]),
         limits=_limits(env["limits"]), contract=_contract(env["contract"]),
         discovery=DISCOVERY[env["discovery"]],
-        load_fields=tuple(LOAD_FIELD.get(name, name) for name in load["names"]),
-        meter_period_ms=info["meter_ms"], largest_units=info["largest"], settles=info["settles"],
+        load_report_fields=tuple(LOAD_FIELD.get(name, name) for name in load["names"]),
+        usage_period_ms=info["meter_ms"], max_request_units=info["largest"], reports_final_units=info["settles"],
         has_counter=info["has_counter"], counter_timeout_ms=info["count_limit_ms"],
-        tick_ms=env["tick_ms"], cross_zone_price=env["deductions"]["cross_zone"],
+        tick_ms=env["tick_ms"], cross_zone_cost=env["deductions"]["cross_zone"],
     )
--- a/brackenloft/adapter.py
+++ b/quota_gateway/simulator.py
@@ -11,19 +11,19 @@
 from collections.abc import Callable
 from typing import Any, TextIO
 
-from brackenloft import interface as api
-from brackenloft.logic import Gateway
-from brackenloft.settings import Fields, settings_from
+from quota_gateway import model as api
+from quota_gateway.policy.engine import PolicyEngine
+from quota_gateway.settings_format import Fields, settings_from_document
 
 STATUS = {
-    200: api.Status.OK, 500: api.Status.ERROR, 503: api.Status.FULL, 504: api.Status.TIMEOUT,
-    502: api.Status.CONNECT_FAILED, 598: api.Status.RESET, 499: api.Status.CANCELLED,
-    410: api.Status.NOT_SENT,
+    200: api.AttemptStatus.OK, 500: api.AttemptStatus.ERROR, 503: api.AttemptStatus.OVERLOADED, 504: api.AttemptStatus.TIMEOUT,
+    502: api.AttemptStatus.CONNECT_FAILED, 598: api.AttemptStatus.RESET, 499: api.AttemptStatus.CANCELLED,
+    410: api.AttemptStatus.NOT_SENT,
 }
-STATE = {"U": api.ServerState.READY, "L": api.ServerState.DRAINING, "D": api.ServerState.GONE}
+STATE = {"U": api.EndpointLifecycle.READY, "L": api.EndpointLifecycle.DRAINING, "D": api.EndpointLifecycle.GONE}
 LIST_KIND = {
-    "Partial": api.ListKind.CHANGES, "Complete": api.ListKind.FULL,
-    "Persisted": api.ListKind.CACHED, "Error": api.ListKind.FAILED,
+    "Partial": api.UpdateKind.DELTA, "Complete": api.UpdateKind.SNAPSHOT,
+    "Persisted": api.UpdateKind.CACHED, "Error": api.UpdateKind.FAILED,
 }
 
 
@@ -31,8 +31,8 @@
     """What came in is not the wire."""
 
 
-def _entry(row: Fields) -> api.ServerEntry:
-    return api.ServerEntry(
+def _entry(row: Fields) -> api.Endpoint:
+    return api.Endpoint(
         server=row["server"], zone=row["locality"], kind=row["generation_hw"], cell=row["cluster"],
         state=STATE[row["phase"]], size=row["size"], started_ms=row["since_ms"] or 0.0,
     )
@@ -60,9 +60,9 @@
     "Knock": _request,
     "Outcome": _outcome,
     "Alarm": lambda f: api.TimerFired(f["mark"]),
-    "Vanished": lambda f: api.ClientGone(f["op_id"]),
+    "Vanished": lambda f: api.ClientDisconnected(f["op_id"]),
     "Flowing": lambda f: api.StreamStarted(f["op_id"], f["seq_no"], f["server"], f["delay_seen_ms"]),
-    "Sampled": lambda f: api.ProbeResult(
+    "Sampled": lambda f: api.HealthCheckResult(
         f["server"], STATUS[f["code"]], f["delay_seen_ms"], _load(f["gauge"])),
     "Memo": lambda f: api.PeerMessage(f["origin_peer"], bytes.fromhex(f["body"])),
     "Reckoned": lambda f: api.CounterReply(
@@ -70,18 +70,18 @@
 }
 
 ACTIONS: dict[type, Callable[[Any], tuple[str, Fields]]] = {
-    api.Send: lambda a: ("Try", {"op_id": a.request_id, "server": a.server, "within_ms": a.timeout_ms}),
-    api.Refuse: lambda a: ("OverloadReply", {"op_id": a.request_id, "stay_away_ms": a.retry_after_ms}),
+    api.StartAttempt: lambda a: ("Try", {"op_id": a.request_id, "server": a.server, "within_ms": a.timeout_ms}),
+    api.Reject: lambda a: ("OverloadReply", {"op_id": a.request_id, "stay_away_ms": a.retry_after_ms}),
     api.Fail: lambda a: ("RespondError", {"op_id": a.request_id}),
-    api.Cancel: lambda a: ("AbortAttempt", {"op_id": a.request_id, "seq_no": a.attempt}),
+    api.CancelAttempt: lambda a: ("AbortAttempt", {"op_id": a.request_id, "seq_no": a.attempt}),
     api.SetTimer: lambda a: ("Schedule", {"after_ms": a.delay_ms, "mark": a.token}),
-    api.Log: lambda a: ("Debug", {"what": a.text}),
+    api.LogMessage: lambda a: ("Debug", {"what": a.text}),
     api.Subscribe: lambda a: ("Follow", {"active": a.active}),
-    api.FetchList: lambda a: ("Fetch", {}),
-    api.Probe: lambda a: ("Touch", {"server": a.server}),
+    api.PollEndpoints: lambda a: ("Fetch", {}),
+    api.HealthCheck: lambda a: ("Touch", {"server": a.server}),
     api.CloseIdle: lambda a: ("DropConns", {"server": a.server}),
-    api.TellPeer: lambda a: ("Share", {"dst": a.peer, "body": a.data.hex()}),
-    api.CounterAdd: lambda a: (
+    api.SendPeerMessage: lambda a: ("Share", {"dst": a.peer, "body": a.data.hex()}),
+    api.IncrementCounter: lambda a: (
         "Add", {"counter_key": a.name, "add": a.amount, "expire_in_ms": a.lifetime_ms}),
 }
 
@@ -91,8 +91,8 @@
 
     def __init__(self) -> None:
         self.now_ms = 0.0
-        self.gateways: dict[str, Gateway] = {}
-        self.lists: dict[int, tuple[api.ServerEntry, ...]] = {}
+        self.gateways: dict[str, PolicyEngine] = {}
+        self.lists: dict[int, tuple[api.Endpoint, ...]] = {}
         self.reply: list[str] = []
 
     def message(self, name: str, fields: Fields) -> bool:
@@ -112,14 +112,14 @@
         instance = fields["i"]
         if name == "OpenInstance":
             env = fields["env"]
-            settings = settings_from(json.loads(env) if isinstance(env, str) else env)
-            self.gateways[instance] = Gateway(settings, fields["rng_seed"])
+            settings = settings_from_document(json.loads(env) if isinstance(env, str) else env)
+            self.gateways[instance] = PolicyEngine(settings, fields["rng_seed"])
         elif name == "Destroy":
             self.gateways.pop(instance, None)
         elif name == "Discovery":
             kind = LIST_KIND[fields["scope"]]
-            entries = () if kind is api.ListKind.FAILED else self.lists[fields["ref"]]
-            self._deliver(instance, api.ServerList(kind, entries, fields["epoch"] or 0))
+            endpoints = () if kind is api.UpdateKind.FAILED else self.lists[fields["ref"]]
+            self._deliver(instance, api.EndpointUpdate(kind, endpoints, fields["epoch"] or 0))
         elif name in EVENTS:
             self._deliver(instance, EVENTS[name](fields))
         else:
@@ -176,7 +176,7 @@
     try:
         serve(sys.stdin, sys.stdout)
     except WireError as error:
-        print(f"brackenloft adapter: {error}", file=sys.stderr)
+        print(f"quota_gateway adapter: {error}", file=sys.stderr)
         return 1
     return 0
 
--- a/scale/capacity.py
+++ b/scale/capacity.py
@@ -12,8 +12,8 @@
         "verdict", "extrapolated")
 LEAST_SIZES, MOST_RESIDUAL = 4, 0.25  # a line through fewer sizes, or farther off, tells nothing of others
 
-CHANGES, RESTARTS, VERSIONS = 2_100, 11_061, 3  # a day; a restart is told as draining, gone, and ready again
-VERSIONS_S = (CHANGES + VERSIONS * RESTARTS) / 86_400
+DELTA, RESTARTS, VERSIONS = 2_100, 11_061, 3  # a day; a restart is told as draining, gone, and ready again
+VERSIONS_S = (DELTA + VERSIONS * RESTARTS) / 86_400
 CONTROL_MS, CONTROL_BYTES, MEMORY_MB, IN_FORCE_MS, ADDED_MS = 18.0, 5_000.0, 128.0, 5_000.0, 1.3
 STALL_MS = 5.0  # the aim for a whole list, in the letter on the larger fleet
 NEWS_S = 4.0  # that a gateway keeps a customer for, at least, where a meter's period is a second
--- a/scale/child.py
+++ b/scale/child.py
@@ -66,7 +66,7 @@
     """Serve until the input ends."""
     _, most = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (most, most))
-    logging.getLogger("brackenloft").setLevel(logging.CRITICAL)  # a fleet without its watches would fill it
+    logging.getLogger("quota_gateway").setLevel(logging.CRITICAL)  # a fleet without its watches would fill it
     uvloop.run(serve(sys.argv[1]))
 
 
--- a/scale/hollow.py
+++ b/scale/hollow.py
@@ -18,13 +18,13 @@
 
 import psutil
 
-from brackenloft import interface as api
-from brackenloft.logic import Gateway
-from brackenloft.net.discovery import Discovery
-from brackenloft.net.driver import Call, Clock, Driver
-from brackenloft.net.roster import Roster
-from brackenloft.net.servers import Address, Servers
-from brackenloft.settings import settings_from
+from quota_gateway import model as api
+from quota_gateway.net.discovery_client import DiscoveryClient
+from quota_gateway.net.driver import ActiveRequest, Clock, Driver
+from quota_gateway.net.endpoint_registry import EndpointRegistry
+from quota_gateway.net.upstream_pool import Address, UpstreamPool
+from quota_gateway.policy.engine import PolicyEngine
+from quota_gateway.settings_format import settings_from_document
 from scale.config import zones
 from scale.load import arrivals, encode
 
@@ -35,11 +35,11 @@
 NS_PER_MS = 1e6
 
 
-class Versions(Roster):
+class Versions(EndpointRegistry):
     """A roster that keeps nothing but the version: for gateways that only hold the watch."""
 
-    def read(self, document: Any, known: bool = False) -> tuple[api.ServerList, dict[int, Address]]:
-        return api.ServerList(api.ListKind.CHANGES, (), int(document["generation"])), {}
+    def read(self, document: Any, known: bool = False) -> tuple[api.EndpointUpdate, dict[int, Address]]:
+        return api.EndpointUpdate(api.UpdateKind.DELTA, (), int(document["generation"])), {}
 
 
 class Hollow:
@@ -48,16 +48,16 @@
     def __init__(self, settings: api.Settings | None, seed: int) -> None:
         self.driver: Driver | None = None
         if settings is None:
-            self.discovery = Discovery(self._news, seed)
-            self.discovery.roster = Versions()
+            self.discovery = DiscoveryClient(self._news, seed)
+            self.discovery.registry = Versions()
         else:
-            gateway = Gateway(settings, seed)
-            self.discovery = Discovery(self._news, seed, gateway.subset)
-            self.servers = Servers(settings, DESCRIPTORS, HELD)
+            gateway = PolicyEngine(settings, seed)
+            self.discovery = DiscoveryClient(self._news, seed, gateway.subset)
+            self.servers = UpstreamPool(settings, DESCRIPTORS, HELD)
             self.driver = Driver(gateway, self.servers, Clock())
         self.heard: list[tuple[int, float]] = []
 
-    def _news(self, listing: api.ServerList, addresses: dict[int, Address]) -> None:
+    def _news(self, listing: api.EndpointUpdate, addresses: dict[int, Address]) -> None:
         if self.driver:
             self.servers.update(listing, addresses)
             self.driver.post(listing)
@@ -96,7 +96,7 @@
     """Many hollow gateways. The role of a child; its methods are the parent's calls."""
 
     def __init__(self, document: dict[str, Any], kind: str, first: int, number: int, zone_count: int) -> None:
-        settings, names = settings_from(document), zones(zone_count)
+        settings, names = settings_from_document(document), zones(zone_count)
         self.all = []
         for index in range(first, first + number):
             own = replace(settings, index=index % settings.gateways, zone=names[index % zone_count])
@@ -140,7 +140,7 @@
         for number, arrival in enumerate(arrivals(seed, rate * len(drivers), seconds, tenants, skew)):
             await asyncio.sleep(max(0.0, start + arrival.due_s - time.monotonic()))
             command, name = encode(CLASS, PLAN, DEADLINE_MS, arrival.tenant, number, 1), f"{seed}-{number}"
-            call = Call(name, lambda left_ms, command=command: command,  # type: ignore[misc]
+            call = ActiveRequest(name, lambda left_ms, command=command: command,  # type: ignore[misc]
                         lambda answer: results.update([answer[:5].decode("latin-1").strip()]))
             request = api.Request(name, CLASS, PLAN, f"{arrival.tenant:016x}", DEADLINE_MS)
             source.choice(drivers).request(call, request, DEADLINE_MS)
@@ -165,13 +165,13 @@
         self.process = psutil.Process()
         gc.collect()
         self.at_first = self.process.memory_info().rss
-        self.settings = settings_from(document)
-        self.gateway = Gateway(self.settings, 1)
+        self.settings = settings_from_document(document)
+        self.gateway = PolicyEngine(self.settings, 1)
         self.now, self.order = 0.0, count()
         self.due: list[tuple[float, int, api.Event]] = []
         self.results: Counter[str] = Counter()
-        self._handle(api.ServerList(api.ListKind.FULL, tuple(
-            api.ServerEntry(number, self.settings.zone) for number in range(1, servers + 1)), 1))
+        self._handle(api.EndpointUpdate(api.UpdateKind.SNAPSHOT, tuple(
+            api.Endpoint(number, self.settings.zone) for number in range(1, servers + 1)), 1))
 
     async def start(self) -> None:
         """Nothing to listen on."""
@@ -207,9 +207,9 @@
             self.results[type(action).__name__] += 1
             if isinstance(action, api.SetTimer):
                 self._at(action.delay_ms, api.TimerFired(action.token))
-            elif isinstance(action, api.Send):
+            elif isinstance(action, api.StartAttempt):
                 self._at(LATENCY_MS, api.Outcome(
-                    action.request_id, 0, action.server, api.Status.OK, LATENCY_MS, True))
+                    action.request_id, 0, action.server, api.AttemptStatus.OK, LATENCY_MS, True))
 
     def _at(self, delay_ms: float, event: api.Event) -> None:
         heapq.heappush(self.due, (self.now + delay_ms, next(self.order), event))
--- a/scale/subsets.py
+++ b/scale/subsets.py
@@ -2,7 +2,7 @@
 
     python -m scale.subsets --gateways 3800 --servers 38000 --seed 1 --json result.json
 
-All ways get the size that brackenloft.subset gives, the same servers and the same gateways' parts of the
+All ways get the size that quota_gateway.policy.subset gives, the same servers and the same gateways' parts of the
 traffic. Balance: a server's load is the sum, over its gateways, of the gateway's traffic by the size of its
 subset. Churn: share of the fleet's entries (a gateway and a server) that are new after a change.
 """
@@ -25,12 +25,12 @@
 import numpy as np
 from numpy.typing import NDArray
 
-from brackenloft import subset
+from quota_gateway.policy import subset
 
 ZONES, REGIONS, RACK = 15, 4, 40  # zones, the regions they lie in, and servers in a rack
 DRAWS = 20  # of uneven traffic: gamma with shape 1, a gateway in a hundred has 4.6 times the mean
 SETTLED, STEPS = 4, 40  # draws, and steps of half the way, until gateways have moved to servers with less
-CHANGES = 5  # servers that go, and that come, one at a time
+DELTA = 5  # servers that go, and that come, one at a time
 ROWS = 200  # timed for a way whose rows take milliseconds
 GOLDEN = (sqrt(5.0) - 1.0) / 2.0
 OWN = (GOLDEN, sqrt(2.0) - 1.0, sqrt(3.0) - 1.0, (sqrt(13.0) - 3.0) / 2.0)  # a step for each ring
@@ -75,7 +75,7 @@
 
 
 class Ring:
-    """The nearest servers on one or more rings; the way that brackenloft.subset goes."""
+    """The nearest servers on one or more rings; the way that quota_gateway.policy.subset goes."""
 
     def __init__(self, steps: tuple[float, ...]) -> None:
         self.steps, self.places = steps, np.empty(0)
@@ -241,8 +241,8 @@
     down = rng.choice(ids, part, replace=False)
     return {
         "server goes": float(np.mean([churn(fleet, choose(world.but([s], False)))
-                                      for s in rng.choice(ids, CHANGES, replace=False)])),
-        "server comes": float(np.mean([churn(fleet, choose(world.but([s], True))) for s in spare[:CHANGES]])),
+                                      for s in rng.choice(ids, DELTA, replace=False)])),
+        "server comes": float(np.mean([churn(fleet, choose(world.but([s], True))) for s in spare[:DELTA]])),
         "gateway goes": churn(fleet, choose(fewer)), "gateway comes": churn(fleet, choose(more)),
         "1% down": churn(fleet, choose(World(world.names, world.but(down, False).listed, world.gateways,
                                              world.size()))),  # they stay listed, so the size stays
@@ -261,7 +261,7 @@
         return blake2b(f"{name} {gateway}".encode(), digest_size=8).digest()
 
     def stream() -> None:
-        nearest = subset.Nearest(chosen)
+        nearest = subset.NearestEndpoints(chosen)
         for name in names:
             nearest.offer(name)
 
@@ -289,7 +289,7 @@
 def agree(world: World, fleet: Fleet) -> None:
     """The chosen way, as numbers here and as the gateway does it, gives the same; RuntimeError if not."""
     for gateway in range(0, world.gateways, max(1, world.gateways // 5)):
-        nearest = subset.Nearest(subset.Subset(world.gateways, gateway, world.least))
+        nearest = subset.NearestEndpoints(subset.Subset(world.gateways, gateway, world.least))
         for index in np.flatnonzero(world.listed):
             nearest.offer(world.names[index])
         if sorted(list(nearest)[:world.size()]) != [world.names[index] for index in fleet[gateway]]:
@@ -298,7 +298,7 @@
 
 def compare(gateways: int, servers: int, seed: int, least: int, ways: list[str]) -> dict[str, Any]:
     """Every figure of every way."""
-    drawn, spare = random.Random(seed), max(CHANGES, servers // 100)
+    drawn, spare = random.Random(seed), max(DELTA, servers // 100)
     names: set[str] = set()
     while len(names) < servers + spare:
         names.add(f"s-{drawn.getrandbits(32):08x}")
--- /dev/null
+++ b/tests/net/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the socket code, in one process on loopback."""
--- a/tests/test_leaving.py
+++ b/tests/net/test_client_disconnect.py
@@ -11,17 +11,17 @@
 
 import hiredis
 import pytest
-from fakes import FakeServer, Peer, array, call, node, run, until
 
-from brackenloft import Effect, Limits, Plan, RequestClass, ServerEntry, TimerFired
-from brackenloft.net import clients as clients_module
-from brackenloft.net import servers as servers_module
-from brackenloft.net.servers import Attempt, Connection
+from quota_gateway import Endpoint, GatewayLimits, Idempotency, Plan, RequestClass, TimerFired
+from quota_gateway.net import client_listener as clients_module
+from quota_gateway.net import upstream_pool as servers_module
+from quota_gateway.net.upstream_pool import Attempt, UpstreamConnection
+from tests.support.fakes import FakeServer, Peer, array, call, node, run, until
 
-CLASSES = (RequestClass("read", 200_000.0, 600_000.0, Effect.SAFE),  # nothing falls due by itself
-           RequestClass("buy", 200_000.0, 600_000.0, Effect.UNSAFE))
+CLASSES = (RequestClass("read", 200_000.0, 600_000.0, Idempotency.IDEMPOTENT),  # nothing falls due by itself
+           RequestClass("buy", 200_000.0, 600_000.0, Idempotency.NON_IDEMPOTENT))
 PLANS = (Plan("free"), Plan("held", rate=0.2, burst=2.0), Plan("two", max_in_flight=2))  # one of two here
-LIMITS = Limits(max_attempts=3, may_duplicate=True, can_cancel=True, connect_timeout_ms=2000.0)
+LIMITS = GatewayLimits(max_attempts=3, may_duplicate=True, can_cancel=True, connect_timeout_ms=2000.0)
 LIMIT_MS = 10_000  # generous: what a loopback end takes to arrive
 FIRST, SECOND = 1, 2  # requests of the client that leaves
 OTHER, LAST = 50, 99  # of another client
@@ -76,13 +76,13 @@
     gateway.driver.post(TimerFired(token))
 
 
-def out(gateway, number: int) -> list[Connection]:
+def out(gateway, number: int) -> list[UpstreamConnection]:
     """The connections that a request is out on."""
     held = gateway.driver.calls[name(number).decode()]
     return [attempt.connection for attempt in held.out.values()]
 
 
-def answer(connection: Connection, reply: bytes) -> None:
+def answer(connection: UpstreamConnection, reply: bytes) -> None:
     """A server's answer, which the loop reads before it comes to the client."""
     connection.data_received(reply)
 
@@ -241,7 +241,7 @@
 
 @pytest.mark.parametrize("how", ["end", "reset"])
 def test_connection_that_comes_up_once_the_client_has_left_brings_nothing_to_the_server(how, monkeypatch):
-    made, leavers = Connection.connection_made, []
+    made, leavers = UpstreamConnection.connection_made, []
 
     def leave_first(self, transport):
         while leavers:
@@ -257,7 +257,7 @@
             await until(lambda: not leavers)
             await nothing_more(gateway, leaver, [])
 
-    monkeypatch.setattr(Connection, "connection_made", leave_first)
+    monkeypatch.setattr(UpstreamConnection, "connection_made", leave_first)
     run(test())
 
 
@@ -287,7 +287,7 @@
     loop = asyncio.get_running_loop()
     listener.setblocking(False)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    gateway.told((ServerEntry(1, "a"), listener.getsockname()))
+    gateway.told((Endpoint(1, "a"), listener.getsockname()))
     await leaver.open(gateway)
     leaver.socket.setblocking(False)
     await loop.sock_sendall(leaver.socket, ask(FIRST, kind="buy", body=b"x" * 4_000_000))
--- a/tests/test_net_clients.py
+++ b/tests/net/test_client_listener.py
@@ -6,13 +6,13 @@
 import struct
 
 import pytest
-from fakes import FakeServer, array, call, node, resp, run, slow_reader, until
 
-from brackenloft import Plan
-from brackenloft.net import clients as module
-from brackenloft.net.clients import MOST_PIPELINED
-from brackenloft.net.driver import Driver
-from brackenloft.net.servers import Connection
+from quota_gateway import Plan
+from quota_gateway.net import client_listener as module
+from quota_gateway.net.client_listener import MOST_PIPELINED
+from quota_gateway.net.driver import Driver
+from quota_gateway.net.upstream_pool import UpstreamConnection
+from tests.support.fakes import FakeServer, array, call, node, resp, run, slow_reader, until
 
 GOOD = "c=read,t=free,d=4000,units=1,spread=2,first=0"
 WHO, ID = "00000000b4d65521", "00000000000000aa"
@@ -163,7 +163,7 @@
 @pytest.mark.parametrize("wait", ["held by the bucket", "parked", "for a connection"])
 def test_what_a_client_waited_for_when_it_left_is_not_sent_on_and_its_units_come_back(
         wait, how, monkeypatch):
-    up, plain = asyncio.Event(), Connection.open
+    up, plain = asyncio.Event(), UpstreamConnection.open
 
     async def open_late(self):
         await up.wait()
@@ -180,7 +180,7 @@
                 up.set()
                 assert await peer.ask(call(0, plan="held")) == b"0000000000000000"
             elif wait == "for a connection":
-                monkeypatch.setattr(Connection, "open", open_late)
+                monkeypatch.setattr(UpstreamConnection, "open", open_late)
             peer.send(call(last, plan="held"))
             await until(lambda: len(gateway.driver.calls) == 1)
             (flight,) = gateway.driver.gateway.flights.values()
@@ -248,7 +248,7 @@
 
     async def test():
         server = FakeServer(lambda words: None if words[2].endswith(b"1") else array(words[2]))
-        async with node(server, most_connections=1) as gateway:
+        async with node(server, max_connections=1) as gateway:
             busy = await gateway.peer()
             busy.send(call(1))
             await server.until(lambda: len(server.commands) == 1)
@@ -302,7 +302,7 @@
 
     async def test():
         server = FakeServer(lambda words: None)
-        async with node(server, most_connections=2) as gateway:
+        async with node(server, max_connections=2) as gateway:
             idle, busy = await gateway.peer(), await gateway.peer()
             assert await idle.ask(resp("PING")) == b"PONG"
             busy.send(call(1))
@@ -317,7 +317,7 @@
             server.writers[0].write(array(b"value"))
             assert await busy.reply() == b"value"  # and it is idle now, and makes room
             await server.until(lambda: len(server.commands) == 3)
-            assert gateway.clients.places == 2 == len(gateway.clients.connections)
+            assert gateway.clients.descriptors_in_use == 2 == len(gateway.clients.connections)
 
     run(test())
 
@@ -329,7 +329,7 @@
     monkeypatch.setattr(module, "COMMAND_S", 3600.0)
 
     async def test():
-        async with node(FakeServer(), most_connections=3) as gateway:
+        async with node(FakeServer(), max_connections=3) as gateway:
             idle, within, silent = await gateway.peer(), await gateway.peer(), await gateway.peer()
             assert await idle.ask(resp("PING")) == b"PONG"
             within.send(call(1)[:-3])
@@ -348,7 +348,7 @@
     monkeypatch.setattr(module, "ROOM", 1)
 
     async def test():
-        async with node(FakeServer(), most_connections=2) as gateway:
+        async with node(FakeServer(), max_connections=2) as gateway:
             usual, once = await gateway.peer(), await gateway.peer()
             for number in (1, 2):
                 assert await usual.ask(call(number)) == b"%016x" % number
@@ -462,7 +462,7 @@
     async def test():
         server = FakeServer(lambda words: None)
         async with node(server) as gateway:
-            gateway.clients.most_held = 150_000
+            gateway.clients.max_buffered_bytes = 150_000
             first, second, third = [await gateway.peer() for _ in range(3)]
             for number, peer in enumerate((first, second)):
                 peer.send(call(number, "buy", body=b"x" * 60_000))
--- a/tests/test_operators.py
+++ b/tests/net/test_detachments.py
@@ -4,21 +4,21 @@
 from contextlib import asynccontextmanager
 
 import pytest
-from conftest import entry, rig_with
-from fakes import FakeServer, array, call, node, row, run, until
 
-from brackenloft import Attach, Detach, ListKind, ServerState, Status
-from brackenloft.net import management as module
-from brackenloft.net.discovery import Roster
-from brackenloft.net.management import Management
-from brackenloft.net.servers import Attempt, Reply
+from quota_gateway import AttachServer, AttemptStatus, DetachServer, EndpointLifecycle, UpdateKind
+from quota_gateway.net import admin as module
+from quota_gateway.net.admin import AdminServer
+from quota_gateway.net.discovery_client import EndpointRegistry
+from quota_gateway.net.upstream_pool import Attempt, UpstreamReply
+from tests.support.engine_harness import entry, rig_with
+from tests.support.fakes import FakeServer, array, call, node, row, run, until
 
 ALL = [
     lambda rig: rig.servers(entry(1), entry(2)),
-    lambda rig: rig.servers(entry(1, started_ms=rig.now), kind=ListKind.CHANGES),
+    lambda rig: rig.servers(entry(1, started_ms=rig.now), kind=UpdateKind.DELTA),
     lambda rig: (rig.servers(entry(2)), rig.servers(entry(1), entry(2))),
-    lambda rig: (rig.servers(entry(1, state=ServerState.GONE), kind=ListKind.CHANGES),
-                 rig.servers(entry(1), kind=ListKind.CHANGES)),
+    lambda rig: (rig.servers(entry(1, state=EndpointLifecycle.GONE), kind=UpdateKind.DELTA),
+                 rig.servers(entry(1), kind=UpdateKind.DELTA)),
 ]
 
 
@@ -34,55 +34,55 @@
 
 @pytest.mark.parametrize("listed", ALL)
 def test_server_that_is_out_gets_nothing_whatever_discovery_says(rig, listed):
-    rig.do(Detach(1))
+    rig.do(DetachServer(1))
     listed(rig)
-    rig.do(Detach(1))  # the call may come twice
+    rig.do(DetachServer(1))  # the call may come twice
     assert set(asked(rig)) == {2}
-    rig.do(Attach(1))
+    rig.do(AttachServer(1))
     rig.run(20_000.0)
     assert set(asked(rig)) == {1, 2}
 
 
 @pytest.mark.parametrize("listed", [ALL[0], ALL[2], lambda rig: None])
 def test_server_that_is_let_in_again_is_cold_even_if_no_list_told_of_its_start(rig, listed):
-    rig.do(Detach(1))
+    rig.do(DetachServer(1))
     rig.run(1000.0)
-    rig.do(Attach(1))
+    rig.do(AttachServer(1))
     listed(rig)
     assert 0 < asked(rig, 400).count(1) < 200 * 0.45  # an even share would be 200
     warmth = rig.gateway._warmth(rig.gateway.servers[1])
     assert 0.2 <= warmth < 0.3
-    rig.servers(entry(1, started_ms=rig.now - 900.0), kind=ListKind.CHANGES)  # the list tells of it after all
+    rig.servers(entry(1, started_ms=rig.now - 900.0), kind=UpdateKind.DELTA)  # the list tells of it after all
     assert rig.gateway._warmth(rig.gateway.servers[1]) > warmth
 
 
 def test_server_that_was_not_out_is_let_in_without_effect(rig):
-    rig.do(Attach(1))
+    rig.do(AttachServer(1))
     assert rig.gateway._warmth(rig.gateway.servers[1]) == 1.0
 
 
 def test_what_waits_goes_to_a_server_as_it_is_let_in():
     rig = rig_with()
     rig.servers(entry(1))
-    rig.do(Detach(1))
+    rig.do(DetachServer(1))
     names = [rig.ask() for _ in range(30)]
     assert not rig.sent
-    rig.do(Attach(1))
+    rig.do(AttachServer(1))
     rig.run(2000.0)
     assert set(rig.sent) <= set(names) and rig.sent
 
 
 def test_number_of_a_server_that_is_out_outlives_its_absence_from_the_lists():
-    roster = Roster()
+    registry = EndpointRegistry()
     document = {"generation": 1, "reset": True, "instances": [row("s-1", 1)]}
-    roster.read(document)
-    number = roster.find("s-1")
-    roster.barred.add("s-1")
+    registry.read(document)
+    number = registry.find("s-1")
+    registry.detached.add("s-1")
     for name in range(2000):
-        roster.read({"generation": 2, "reset": True, "instances": [row(f"x-{name}", 1)]})
-    assert roster.find("s-1") == number and roster.find("x-1") is None
-    roster.read(document)
-    assert roster.find("s-1") == number
+        registry.read({"generation": 2, "reset": True, "instances": [row(f"x-{name}", 1)]})
+    assert registry.find("s-1") == number and registry.find("x-1") is None
+    registry.read(document)
+    assert registry.find("s-1") == number
 
 
 def test_before_a_server_is_out_its_idle_and_connecting_connections_are_closed():
@@ -98,9 +98,9 @@
             gateway.servers.start(1, Attempt(b"*1\r\n$4\r\nPING\r\n", replies.append))
             gateway.servers.start(1, Attempt(b"*1\r\n$4\r\nPING\r\n", replies.append))
             got = len(first.commands)
-            gateway.driver.post(Detach(1))
+            gateway.driver.post(DetachServer(1))
             assert not gateway.servers.hosts[1].idle
-            assert Reply(Status.CONNECT_FAILED) in replies
+            assert UpstreamReply(AttemptStatus.CONNECT_FAILED) in replies
             await first.until(lambda: first.ended == len(first.writers))
             for number in range(200, 230):
                 assert await peer.ask(call(number)) is not None
@@ -116,7 +116,7 @@
             peer = await gateway.peer()
             peer.send(call(1))
             await server.until(lambda: server.commands)
-            gateway.driver.post(Detach(1))
+            gateway.driver.post(DetachServer(1))
             server.writers[0].write(array(b"v"))
             assert await peer.reply() == b"v"
             await server.until(lambda: server.ended)  # and its connection is not used again
@@ -133,7 +133,7 @@
         told.append((name, out))
         return name.startswith("s-")
 
-    management = Management(ready, moved)
+    management = AdminServer(ready, moved)
     await management.listen(("127.0.0.1", 0))
     port = management.server.sockets[0].getsockname()[1]
     try:
--- a/tests/test_net_discovery.py
+++ b/tests/net/test_discovery_client.py
@@ -6,18 +6,18 @@
 from contextlib import asynccontextmanager
 
 import pytest
-from fakes import FakeDiscovery, chunk, listing, row, run
 
-from brackenloft import ListKind, ServerState
-from brackenloft.net import discovery as module
-from brackenloft.net.discovery import Discovery, Feed
+from quota_gateway import EndpointLifecycle, UpdateKind
+from quota_gateway.net import discovery_client as module
+from quota_gateway.net.discovery_client import DiscoveryClient, DiscoveryWatcher
+from tests.support.fakes import FakeDiscovery, chunk, listing, row, run
 
 
 @asynccontextmanager
 async def watched():
     """A running watch, the fake it watches, and the news that came of it."""
     fake, news = await FakeDiscovery().start(), asyncio.Queue()
-    discovery = Discovery(lambda *told: news.put_nowait(told), seed=1)
+    discovery = DiscoveryClient(lambda *told: news.put_nowait(told), seed=1)
     discovery.watch(("127.0.0.1", fake.port))
     try:
         yield discovery, fake, news
@@ -31,22 +31,22 @@
         async with watched() as (discovery, fake, news):
             discovery.known({"generation": 41, "reset": True, "instances": [row("s-1", 1), row("s-2", 2)]})
             told, addresses = await news.get()
-            assert told.kind is ListKind.CACHED and addresses == {1: ("127.0.0.1", 1), 2: ("127.0.0.1", 2)}
+            assert told.kind is UpdateKind.CACHED and addresses == {1: ("127.0.0.1", 1), 2: ("127.0.0.1", 2)}
             target, watch = await fake.watch()
             assert target == "/discovery/hosts?watch=1"  # the known list may be old, or another agent's
             line = listing(43, row("s-2", 2, "Terminating"), row("s-3", 3, started=9))
             for part in (line[:20], line[20:], b"\n"):  # a line over two chunks, then an empty one
                 watch.write(chunk(part))
             told, addresses = await news.get()
-            assert told.kind is ListKind.CHANGES and told.version == 43
-            assert [(e.server, e.state, e.started_ms) for e in told.entries] == [
-                (2, ServerState.DRAINING, 0.0), (3, ServerState.READY, 9.0)]
+            assert told.kind is UpdateKind.DELTA and told.version == 43
+            assert [(e.server, e.state, e.started_ms) for e in told.endpoints] == [
+                (2, EndpointLifecycle.DRAINING, 0.0), (3, EndpointLifecycle.READY, 9.0)]
             watch.close()
             target, watch = await fake.watch()
             assert target == "/discovery/hosts?watch=1&from=43"
             watch.write(chunk(listing(50, row("s-1", 7), reset=True)))
             told, addresses = await news.get()
-            assert told.kind is ListKind.FULL and addresses == {1: ("127.0.0.1", 7)}
+            assert told.kind is UpdateKind.SNAPSHOT and addresses == {1: ("127.0.0.1", 7)}
 
     run(test())
 
@@ -66,7 +66,7 @@
             assert target == "/discovery/hosts?watch=1"
             watch.write(chunk(listing(2, row("s-1", 1), reset=True)))
             told, _ = await news.get()
-            assert told.version == 2 and [entry.server for entry in told.entries] == [1]
+            assert told.version == 2 and [entry.server for entry in told.endpoints] == [1]
 
     run(test())
 
@@ -91,9 +91,9 @@
             watch.write(chunk(listing(2, *rows, reset=reset)))
             told, addresses = await news.get()
             # the one that drains and the new one are heard of; the one whose row is spoilt stays as it was
-            assert [(e.server, e.state) for e in told.entries] == [
-                (1, ServerState.READY), (2, ServerState.DRAINING), (3, ServerState.READY)]
-            assert addresses[1] == ("127.0.0.1", 1) and set(discovery.roster.numbers) == {"s-1", "s-2", "s-3"}
+            assert [(e.server, e.state) for e in told.endpoints] == [
+                (1, EndpointLifecycle.READY), (2, EndpointLifecycle.DRAINING), (3, EndpointLifecycle.READY)]
+            assert addresses[1] == ("127.0.0.1", 1) and set(discovery.registry.numbers) == {"s-1", "s-2", "s-3"}
             watch.write(chunk(listing(3, row("s-4", 4))))  # the watch goes on
             assert (await news.get())[1] == {4: ("127.0.0.1", 4)}
 
@@ -156,7 +156,7 @@
 
 def test_agent_that_is_silent_or_refuses_is_asked_again_within_the_time_in_which_sends_must_end():
     async def test():
-        feed = Feed(Discovery(lambda *told: None, 1), ("127.0.0.1", 9))
+        feed = DiscoveryWatcher(DiscoveryClient(lambda *told: None, 1), ("127.0.0.1", 9))
         feed.end()
         waits = [feed._wait() for _ in range(20)]
         assert max(waits) <= module.AGENT_S
@@ -205,7 +205,7 @@
             writer.write(answer)
 
         server = await asyncio.start_server(odd, "127.0.0.1", 0)
-        discovery = Discovery(lambda *told: None, seed=1)
+        discovery = DiscoveryClient(lambda *told: None, seed=1)
         discovery.watch(server.sockets[0].getsockname())
         for _ in range(3):
             await asked.get()
@@ -231,8 +231,8 @@
 
         server = await asyncio.start_server(overbooked_at_first, "127.0.0.1", 0)
         news: asyncio.Queue[object] = asyncio.Queue()
-        discovery = Discovery(lambda *told: news.put_nowait(told), seed=1)
-        discovery.on_unheard = lambda: unheard.put_nowait(asked)
+        discovery = DiscoveryClient(lambda *told: news.put_nowait(told), seed=1)
+        discovery.on_unavailable = lambda: unheard.put_nowait(asked)
         discovery.watch(server.sockets[0].getsockname())
         assert [await unheard.get(), await unheard.get()] == [1, 2] and news.empty()
         await news.get()
@@ -247,7 +247,7 @@
 
 def test_gateways_that_are_turned_away_ask_again_later_each_time_and_not_in_step():
     async def test():
-        feeds = [Feed(Discovery(lambda *told: None, seed), ("127.0.0.1", 9)) for seed in range(40)]
+        feeds = [DiscoveryWatcher(DiscoveryClient(lambda *told: None, seed), ("127.0.0.1", 9)) for seed in range(40)]
         for feed in feeds:
             feed.end()
             feed.turned_away = True
@@ -262,16 +262,16 @@
 
 
 def test_server_that_is_gone_is_forgotten_by_name():
-    roster = module.Roster()
-    roster.read({"generation": 1, "reset": True, "instances": [row("s-1", 1), row("s-2", 2)]})
-    told, _ = roster.read({"generation": 2, "reset": False, "instances": [row("s-1", 1, "Gone")]})
-    assert told.entries[0].state is ServerState.GONE and set(roster.numbers) == {"s-2"}
-    (second,) = roster.numbers.values()
-    roster.read({"generation": 3, "reset": False, "instances": [row("s-2", 2, "Gone")]})
-    roster.read({"generation": 3, "reset": False, "instances": [row("s-4", 4)]})
-    assert roster.numbers["s-4"] > second  # attempts on s-2 may still be out under its number
-    roster.read({"generation": 3, "reset": True, "instances": [row("s-3", 3)]})
-    assert set(roster.numbers) == {"s-3"}
+    registry = module.EndpointRegistry()
+    registry.read({"generation": 1, "reset": True, "instances": [row("s-1", 1), row("s-2", 2)]})
+    told, _ = registry.read({"generation": 2, "reset": False, "instances": [row("s-1", 1, "Gone")]})
+    assert told.endpoints[0].state is EndpointLifecycle.GONE and set(registry.numbers) == {"s-2"}
+    (second,) = registry.numbers.values()
+    registry.read({"generation": 3, "reset": False, "instances": [row("s-2", 2, "Gone")]})
+    registry.read({"generation": 3, "reset": False, "instances": [row("s-4", 4)]})
+    assert registry.numbers["s-4"] > second  # attempts on s-2 may still be out under its number
+    registry.read({"generation": 3, "reset": True, "instances": [row("s-3", 3)]})
+    assert set(registry.numbers) == {"s-3"}
 
 
 def test_watch_that_moves_serves_from_the_old_until_the_new_has_spoken_and_asks_for_all():
@@ -287,10 +287,10 @@
                 assert target == "/discovery/hosts?watch=1"
                 old.write(chunk(listing(42, row("s-2", 2, "Terminating"))))
                 told, _ = await news.get()
-                assert told.kind is ListKind.CHANGES
+                assert told.kind is UpdateKind.DELTA
                 watch.write(chunk(listing(generation, row("s-2", 2), row("s-3", 3), reset=True)))
                 told, addresses = await news.get()
-                assert told.kind is ListKind.FULL and sorted(addresses) == [2, 3]  # s-2 keeps its number
+                assert told.kind is UpdateKind.SNAPSHOT and sorted(addresses) == [2, 3]  # s-2 keeps its number
                 assert discovery.feed.address == ("127.0.0.1", other.port) and discovery.next is None
                 await fake.ended.get()  # the old one has been closed
                 fake, old = other, watch
--- a/tests/test_discovery_chains.py
+++ b/tests/net/test_discovery_notification.py
@@ -12,11 +12,11 @@
 from contextlib import suppress
 
 import pytest
-from fakes import chunk, listing, row
-from virtual import VirtualLoop, run_virtual
 
-from brackenloft import ServerList
-from brackenloft.net.discovery import Discovery
+from quota_gateway import EndpointUpdate
+from quota_gateway.net.discovery_client import DiscoveryClient
+from tests.support.fakes import chunk, listing, row
+from tests.support.virtual_loop import VirtualLoop, run_virtual
 
 TOLD_S = 6.0  # STANDING: a change counts as told so long after discovery had it and could be reached
 MOVED_S = 4.0  # TERMS: the same after SIGHUP
@@ -114,9 +114,9 @@
     def __init__(self, seed: int) -> None:
         self.at: dict[int, float] = {}
         self.news = asyncio.Event()
-        self.discovery = Discovery(self._hear, seed)
+        self.discovery = DiscoveryClient(self._hear, seed)
 
-    def _hear(self, told: ServerList, _: object) -> None:
+    def _hear(self, told: EndpointUpdate, _: object) -> None:
         self.at.setdefault(told.version, asyncio.get_running_loop().time())
         self.news.set()
 
--- a/tests/test_net_driver.py
+++ b/tests/net/test_driver.py
@@ -7,25 +7,25 @@
 import weakref
 
 import pytest
-from fakes import FakeServer, array, call, node, run, until
 
-from brackenloft import (
-    Cancel,
-    ClientGone,
+from quota_gateway import (
+    AttemptStatus,
+    CancelAttempt,
+    ClientDisconnected,
+    Endpoint,
     Fail,
-    ListKind,
-    Log,
+    LogMessage,
     Outcome,
-    Refuse,
+    Reject,
     Request,
-    Send,
-    ServerEntry,
     SetTimer,
-    Status,
+    StartAttempt,
     TimerFired,
+    UpdateKind,
 )
-from brackenloft.net.driver import Call, Clock, Driver
-from brackenloft.net.servers import Attempt, Connection
+from quota_gateway.net.driver import ActiveRequest, Clock, Driver
+from quota_gateway.net.upstream_pool import Attempt, UpstreamConnection
+from tests.support.fakes import FakeServer, array, call, node, run, until
 
 
 class Script:
@@ -50,7 +50,7 @@
 def scripted(gateway, script, wait_ms=60_000.0):
     """Put a request before a script; the answers its client gets."""
     gateway.driver.gateway, answers = script, []
-    made = Call("r", lambda wait: b"*1\r\n$4\r\nWAIT\r\n", answers.append)
+    made = ActiveRequest("r", lambda wait: b"*1\r\n$4\r\nWAIT\r\n", answers.append)
     gateway.driver.request(made, Request("r", "read", "free", "c", wait_ms), wait_ms)
     return answers
 
@@ -59,13 +59,13 @@
     async def test():
         async with node() as gateway:
             sends = []
-            script = Script(Request=lambda e: [Send("r", 9), Send("r", 9), Log("after both")],
+            script = Script(Request=lambda e: [StartAttempt("r", 9), StartAttempt("r", 9), LogMessage("after both")],
                             Outcome=lambda e: sends.append(gateway.driver.calls["r"].sends) or (
-                                [Refuse("r")] if e.attempt == 1 else []))
+                                [Reject("r")] if e.attempt == 1 else []))
             answers = scripted(gateway, script)
             assert sends == [2, 2]
             assert script.outcomes() == [
-                (0, Status.CONNECT_FAILED, False), (1, Status.CONNECT_FAILED, False)]
+                (0, AttemptStatus.CONNECT_FAILED, False), (1, AttemptStatus.CONNECT_FAILED, False)]
             assert answers == [b"-BUSY\r\n"] and not gateway.driver.calls
 
     run(test())
@@ -74,7 +74,7 @@
 def test_only_the_first_final_answer_goes_out_and_advice_is_in_whole_milliseconds():
     async def test():
         async with node() as gateway:
-            script = Script(Request=lambda e: [Refuse("r", 249.6), Fail("r"), Refuse("r"), Send("r", 1)])
+            script = Script(Request=lambda e: [Reject("r", 249.6), Fail("r"), Reject("r"), StartAttempt("r", 1)])
             assert scripted(gateway, script) == [b"-BUSY 250\r\n"]
             assert script.outcomes() == [] and not gateway.driver.calls
 
@@ -86,10 +86,10 @@
         server = FakeServer(lambda words: None)
         async with node(server) as gateway:
             script = Script(Request=lambda e: [
-                Send("r", 1), Fail("r"), Refuse("r"), Send("r", 1), Cancel("r", 0)])
+                StartAttempt("r", 1), Fail("r"), Reject("r"), StartAttempt("r", 1), CancelAttempt("r", 0)])
             assert scripted(gateway, script) == [b"-ERR failed\r\n"]
             assert sorted(script.outcomes(), key=lambda outcome: outcome[0]) == [
-                (0, Status.CONNECT_FAILED, True), (1, Status.NOT_SENT, True)]
+                (0, AttemptStatus.CONNECT_FAILED, True), (1, AttemptStatus.NOT_SENT, True)]
             assert not server.commands and not gateway.driver.calls
 
     run(test())
@@ -99,15 +99,15 @@
     async def test():
         server, other = FakeServer(lambda words: None), FakeServer(lambda words: None)
         async with node(server, other) as gateway:
-            script = Script(Request=lambda e: [Send("r", 1)],
-                            Outcome=lambda e: [Send("r", 2)] if e.attempt == 0 else [])
+            script = Script(Request=lambda e: [StartAttempt("r", 1)],
+                            Outcome=lambda e: [StartAttempt("r", 2)] if e.attempt == 0 else [])
             scripted(gateway, script)
             await server.until(lambda: len(server.commands) == 1)
-            gateway.driver._perform(Cancel("r", 0))
-            gateway.driver._perform(Cancel("r", 0))
+            gateway.driver._perform(CancelAttempt("r", 0))
+            gateway.driver._perform(CancelAttempt("r", 0))
             await server.until(lambda: server.ended == 1)
             await other.until(lambda: len(other.commands) == 1)
-            assert script.outcomes() == [(0, Status.CANCELLED, False)]
+            assert script.outcomes() == [(0, AttemptStatus.CANCELLED, False)]
 
     run(test())
 
@@ -117,8 +117,8 @@
     async def test():
         quick, late = FakeServer(lambda words: None), FakeServer()
         async with node(quick, late) as gateway:
-            script = Script(Request=lambda e: [Send("r", 1), Send("r", 2)],
-                            TimerFired=lambda e: [Refuse("r")])
+            script = Script(Request=lambda e: [StartAttempt("r", 1), StartAttempt("r", 2)],
+                            TimerFired=lambda e: [Reject("r")])
             answers = scripted(gateway, script)
             await quick.until(lambda: len(quick.commands) == 1)  # the second is gated from here on
             assert answers == [] and script.outcomes() == []
@@ -130,16 +130,16 @@
             else:
                 gateway.driver.client_gone("r")
             up.set()
-            await until(lambda: any(e[:2] == (1, Status.NOT_SENT) for e in script.outcomes()))
+            await until(lambda: any(e[:2] == (1, AttemptStatus.NOT_SENT) for e in script.outcomes()))
             told = asyncio.Event()
             gateway.servers.start(2, Attempt(b"*1\r\n$4\r\nLAST\r\n", lambda reply: told.set()))
             await told.wait()
             assert [words[0] for words in late.commands] == [b"LAST"]
             if end == "answered by another":
-                assert [status for _, status, _ in script.outcomes()] == [Status.OK, Status.NOT_SENT]
+                assert [status for _, status, _ in script.outcomes()] == [AttemptStatus.OK, AttemptStatus.NOT_SENT]
                 assert not gateway.driver.calls
 
-    up, plain = asyncio.Event(), Connection.open
+    up, plain = asyncio.Event(), UpstreamConnection.open
 
     async def open_late(self):
         if self.host.address[1] != first_port(self):
@@ -149,7 +149,7 @@
     def first_port(connection):
         return connection.servers.hosts[1].address[1]
 
-    monkeypatch.setattr(Connection, "open", open_late)
+    monkeypatch.setattr(UpstreamConnection, "open", open_late)
     run(test())
 
 
@@ -158,16 +158,16 @@
         async with node() as gateway:
             with socket.create_server(("127.0.0.1", 0)) as listener:
                 listener.setblocking(False)
-                gateway.told((ServerEntry(1, "a"), listener.getsockname()))
-                script, whole = Script(Request=lambda e: [Send("r", 1)]), 32_000_000
+                gateway.told((Endpoint(1, "a"), listener.getsockname()))
+                script, whole = Script(Request=lambda e: [StartAttempt("r", 1)]), 32_000_000
                 gateway.driver.gateway = script
-                gateway.driver.request(Call("r", lambda wait: b"x" * whole, lambda answer: None),
+                gateway.driver.request(ActiveRequest("r", lambda wait: b"x" * whole, lambda answer: None),
                                        Request("r", "read", "free", "c", 60_000.0), 60_000.0)
                 loop = asyncio.get_running_loop()
                 accepted, _ = await loop.sock_accept(listener)
                 got = len(await loop.sock_recv(accepted, 1))  # the rest waits for this reader
                 gateway.driver.client_gone("r")
-                assert script.outcomes() == [(0, Status.NOT_SENT, True)]
+                assert script.outcomes() == [(0, AttemptStatus.NOT_SENT, True)]
                 while piece := await received(loop, accepted):
                     got += len(piece)
                 assert 0 < got < whole
@@ -188,10 +188,10 @@
     async def test():
         server = FakeServer(lambda words: None)
         async with node(server) as gateway:
-            script = Script(Request=lambda e: [Send("r", 1, 200.0)], Outcome=lambda e: [Fail("r")])
+            script = Script(Request=lambda e: [StartAttempt("r", 1, 200.0)], Outcome=lambda e: [Fail("r")])
             answers = scripted(gateway, script)
             await server.until(lambda: server.ended == 1)
-            assert script.outcomes() == [(0, Status.TIMEOUT, False)] and answers == [b"-ERR failed\r\n"]
+            assert script.outcomes() == [(0, AttemptStatus.TIMEOUT, False)] and answers == [b"-ERR failed\r\n"]
 
     run(test())
 
@@ -200,15 +200,15 @@
     async def test():
         server = FakeServer(lambda words: None)
         async with node(server) as gateway:
-            script = Script(Request=lambda e: [Send("r", 1)])
+            script = Script(Request=lambda e: [StartAttempt("r", 1)])
             answers = scripted(gateway, script)
             await server.until(lambda: len(server.commands) == 1)
             gateway.driver.client_gone("r")
             gateway.driver.client_gone("r")
             server.writers[0].write(array(b"late"))
             await until(lambda: bool(script.outcomes()))
-            assert script.outcomes() == [(0, Status.OK, True)] and answers == []
-            assert [e for e in script.events if isinstance(e, ClientGone)] == [ClientGone("r")]
+            assert script.outcomes() == [(0, AttemptStatus.OK, True)] and answers == []
+            assert [e for e in script.events if isinstance(e, ClientDisconnected)] == [ClientDisconnected("r")]
             assert not gateway.driver.calls
 
     run(test())
@@ -274,7 +274,7 @@
             await server.start()
             _, address = server.entry(1)
             started = gateway.driver.clock() - 5_000.0  # half of the warm-up
-            gateway.told((ServerEntry(1, "a", started_ms=started), address), kind=ListKind.FULL)
+            gateway.told((Endpoint(1, "a", started_ms=started), address), kind=UpdateKind.SNAPSHOT)
             (known,) = gateway.driver.gateway.servers.values()
             assert 0.59 < gateway.driver.gateway._warmth(known) < 1.0
             await asyncio.sleep(0)
@@ -302,7 +302,7 @@
     async def test():
         server = FakeServer()
         async with node(server) as gateway:
-            monkeypatch.setattr(Connection, "open", never)
+            monkeypatch.setattr(UpstreamConnection, "open", never)
             peer = await gateway.peer()
             peer.send(call(1))
             await until(lambda: any(held.out for held in gateway.driver.calls.values()))
--- a/tests/test_crowds.py
+++ b/tests/net/test_idle_connections.py
@@ -3,9 +3,9 @@
 import asyncio
 
 import pytest
-from fakes import FakeServer, array, call, node, resp, run
 
-from brackenloft.net import clients as module
+from quota_gateway.net import client_listener as module
+from tests.support.fakes import FakeServer, array, call, node, resp, run
 
 PLACES = 8
 
@@ -26,12 +26,12 @@
     monkeypatch.setattr(module, "IDLE_S", 50.0)
 
     async def test():
-        async with node(FakeServer(), most_connections=PLACES) as gateway:
+        async with node(FakeServer(), max_connections=PLACES) as gateway:
             peers = await crowd(gateway, said)
             for number in range(10, 14):
                 peer = await gateway.peer()
                 assert await peer.ask(call(number)) == b"%016x" % number
-            assert gateway.clients.places <= PLACES
+            assert gateway.clients.descriptors_in_use <= PLACES
             del peers
 
     run(test())
@@ -42,7 +42,7 @@
     monkeypatch.setattr(module, "IDLE_S", 50.0)
 
     async def test():
-        async with node(FakeServer(), most_connections=PLACES) as gateway:
+        async with node(FakeServer(), max_connections=PLACES) as gateway:
             slow, command = await gateway.peer(), call(7)
             peers = []
             for at in range(0, len(command), 4):
--- a/tests/test_long_lists.py
+++ b/tests/net/test_large_endpoint_lists.py
@@ -7,17 +7,26 @@
 from dataclasses import replace
 
 import pytest
-from conftest import SETTINGS, Rig
-from fakes import FakeDiscovery, FakeServer, call, chunk, listing, node, row, run, until
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from brackenloft import ListKind, Outcome, Request, Send, ServerEntry, ServerList, ServerState, Status
-from brackenloft.net import discovery as module
-from brackenloft.net import roster as roster_module
-from brackenloft.net.discovery import Discovery
-from brackenloft.net.roster import LongDocument, Roster
-from brackenloft.subset import Subset
+from quota_gateway import (
+    AttemptStatus,
+    Endpoint,
+    EndpointLifecycle,
+    EndpointUpdate,
+    Outcome,
+    Request,
+    StartAttempt,
+    UpdateKind,
+)
+from quota_gateway.net import discovery_client as module
+from quota_gateway.net import endpoint_registry as roster_module
+from quota_gateway.net.discovery_client import DiscoveryClient
+from quota_gateway.net.endpoint_registry import EndpointRegistry, StreamingSnapshotReader
+from quota_gateway.policy.subset import Subset
+from tests.support.engine_harness import SETTINGS, Rig
+from tests.support.fakes import FakeDiscovery, FakeServer, call, chunk, listing, node, row, run, until
 
 FLEET, SERVERS, SIZE = 3800, 38_000, 256
 FEW = Subset(380, 17, least=16)  # of a fleet that is large beside so few servers
@@ -29,24 +38,24 @@
 
 def follow(subset: Subset, port: int):
     """A watch and what it has been told: each server's state by name, as changes add up."""
-    known: dict[str, ServerState] = {}
+    known: dict[str, EndpointLifecycle] = {}
 
     def take(told, addresses):
-        if told.kind is not ListKind.CHANGES:
+        if told.kind is not UpdateKind.DELTA:
             known.clear()
-        for entry in told.entries:
+        for entry in told.endpoints:
             known[entry.name] = entry.state
-            if entry.state is ServerState.GONE:
+            if entry.state is EndpointLifecycle.GONE:
                 del known[entry.name]
             else:
                 assert addresses[entry.server]
 
-    discovery = Discovery(take, 1, subset)
+    discovery = DiscoveryClient(take, 1, subset)
     discovery.watch(("127.0.0.1", port))
     return discovery, known
 
 
-async def read_up(discovery: Discovery, generation: int) -> int:
+async def read_up(discovery: DiscoveryClient, generation: int) -> int:
     """Wait until this version has been read; how many turns others have had meanwhile."""
     turns = 0
     async with asyncio.timeout(30.0):
@@ -85,10 +94,10 @@
         turns = await read_up(discovery, 7)
         assert turns >= len(whole) / module.PIECE  # the others have had a turn after each piece
         names = [line["instanceId"] for line in rows(*range(SERVERS))]
-        assert set(known) == nearest(subset, names, 2 * SIZE) == set(discovery.roster.rows)
+        assert set(known) == nearest(subset, names, 2 * SIZE) == set(discovery.registry.rows)
         # a server that is not near costs its name: no row, no number, nothing told
-        assert len(discovery.roster.others) == SERVERS - 2 * SIZE
-        assert len(discovery.roster.numbers) == 2 * SIZE
+        assert len(discovery.registry.others) == SERVERS - 2 * SIZE
+        assert len(discovery.registry.numbers) == 2 * SIZE
         watch.write(chunk(listing(8, *rows(SERVERS + 1, *range(0, 200)))))
         await read_up(discovery, 8)
         assert len(known) == 2 * SIZE and fake.targets.empty()
@@ -108,7 +117,7 @@
             size = FEW.size(1000)
             assert nearest(FEW, names, size) <= set(known) <= set(names) and len(known) == 2 * size
             assert before != set(known)
-            assert discovery.roster.nearest.listed == 1000
+            assert discovery.registry.nearest.listed == 1000
 
     run(test())
 
@@ -151,7 +160,7 @@
 
 def test_rows_without_end_are_given_up_within_a_bound_on_memory(monkeypatch):
     monkeypatch.setattr(roster_module, "MOST_LISTED", 2000)
-    long = LongDocument(Roster(FEW))
+    long = StreamingSnapshotReader(EndpointRegistry(FEW))
     with pytest.raises(ValueError):
         long.take(b'{"generation":2,"reset":true,"instances":[' + b",".join(
             json.dumps(line).encode() for line in rows(*range(3000))))
@@ -165,9 +174,9 @@
 DOCUMENTS = st.lists(st.tuples(st.booleans(), ROWS), min_size=1, max_size=5)
 
 
-def told_in_parts(roster: Roster, document, indent, cut: int):
+def told_in_parts(registry: EndpointRegistry, document, indent, cut: int):
     """What a long document tells, read in pieces of so many bytes; None if it is malformed."""
-    long, text = LongDocument(roster), json.dumps(document, indent=indent).encode() + b"\nrest"
+    long, text = StreamingSnapshotReader(registry), json.dumps(document, indent=indent).encode() + b"\nrest"
     try:
         for at in range(0, len(text), cut):
             if (behind := long.take(text[at:at + cut])) is not None:
@@ -176,13 +185,13 @@
         news = [listing for listing, _ in long.news()]
     except ValueError:
         return None
-    return [entry for told in news for entry in told.entries]
+    return [entry for told in news for entry in told.endpoints]
 
 
 @settings(deadline=None, max_examples=60)
 @given(DOCUMENTS, st.sampled_from([None, 2]), st.integers(1, 400))
 def test_list_read_in_pieces_comes_to_the_same_as_one_read_at_once(documents, indent, cut):
-    at_once, in_pieces, known = Roster(FEW), Roster(FEW), {}
+    at_once, in_pieces, known = EndpointRegistry(FEW), EndpointRegistry(FEW), {}
     for generation, (reset, drawn) in enumerate(documents):
         lines = [{**rows(number)[0], **odd} for number, odd in drawn]
         document = {"generation": generation, "reset": reset, "instances": lines}
@@ -198,7 +207,7 @@
         assert in_pieces.rows == at_once.rows and list(in_pieces.nearest) == list(at_once.nearest)
         assert in_pieces.others == at_once.others and set(in_pieces.rows) == set(in_pieces.nearest)
         assert in_pieces.nearest.listed == len(in_pieces.rows) + len(in_pieces.others)
-        left = {name for name, state in known.items() if state is not ServerState.GONE}
+        left = {name for name, state in known.items() if state is not EndpointLifecycle.GONE}
         assert left == set(in_pieces.rows) == set(in_pieces.numbers)
     at_once_names = at_once.others | set(at_once.rows)
     if not at_once.used_up():
@@ -209,7 +218,7 @@
 def test_once_too_many_of_the_nearest_have_gone_the_whole_list_is_asked_for():
     async def test():
         async with few_known() as (discovery, fake, watch, known):
-            near = [int(name[2:]) for name in discovery.roster.nearest]
+            near = [int(name[2:]) for name in discovery.registry.nearest]
             gone = near[:FEW.size(1000) + 1]
             watch.write(chunk(listing(2, *rows(*gone, state="Gone"))))
             target, watch = await fake.watch()
@@ -218,20 +227,20 @@
             watch.write(chunk(listing(2, *rows(*left), reset=True)))
             await read_up(discovery, 2)
             names = [line["instanceId"] for line in rows(*left)]
-            assert nearest(FEW, names, FEW.size(len(left))) <= set(known) and not discovery.roster.used_up()
+            assert nearest(FEW, names, FEW.size(len(left))) <= set(known) and not discovery.registry.used_up()
 
     run(test())
 
 
 def test_server_of_which_no_row_is_kept_is_known_to_operators_and_keeps_its_number_when_it_is_near():
-    roster = Roster(FEW)
-    roster.read({"generation": 1, "reset": True, "instances": rows(*range(1000))})
-    name = sorted(roster.others, key=FEW.distance)[0]
-    assert roster.knows(name) and roster.find(name) is None and not roster.knows("s-none")
-    number = roster.remember(name)
-    gone = [int(near[2:]) for near in list(roster.nearest)[:3]]
-    roster.read({"generation": 2, "reset": True, "instances": rows(*sorted(set(range(1000)) - set(gone)))})
-    assert roster.numbers[name] == number
+    registry = EndpointRegistry(FEW)
+    registry.read({"generation": 1, "reset": True, "instances": rows(*range(1000))})
+    name = sorted(registry.others, key=FEW.distance)[0]
+    assert registry.is_known(name) and registry.find(name) is None and not registry.is_known("s-none")
+    number = registry.number_of(name)
+    gone = [int(near[2:]) for near in list(registry.nearest)[:3]]
+    registry.read({"generation": 2, "reset": True, "instances": rows(*sorted(set(range(1000)) - set(gone)))})
+    assert registry.numbers[name] == number
 
 
 # ---- The decisions
@@ -239,16 +248,16 @@
 LARGE = replace(SETTINGS, gateways=FLEET, index=17)
 
 
-def entries(count: int, **more) -> list[ServerEntry]:
+def endpoints(count: int, **more) -> list[Endpoint]:
     numbers = range(1, count + 1)
-    return [ServerEntry(number, "a", name=f"s-{number}", **more) for number in numbers]
+    return [Endpoint(number, "a", name=f"s-{number}", **more) for number in numbers]
 
 
 def large_rig(count: int = 2 * SIZE) -> tuple[Rig, list[int]]:
     """A gateway of a large fleet that knows so many servers, and their numbers, the nearest first."""
     rig = Rig(LARGE)
-    known = entries(count)
-    rig.do(ServerList(ListKind.FULL, tuple(known), 1, SERVERS))
+    known = endpoints(count)
+    rig.do(EndpointUpdate(UpdateKind.SNAPSHOT, tuple(known), 1, SERVERS))
     rig.gateway.pool = 1e9
     order = sorted(known, key=lambda entry: rig.gateway.subset.distance(entry.name))
     return rig, [entry.server for entry in order]
@@ -262,23 +271,23 @@
     rig, order = large_rig()
     assert ready(rig) == set(order[:SIZE])
     drained = order[3:10]
-    rig.servers(*(ServerEntry(number, "a", state=ServerState.DRAINING) for number in drained),
-                kind=ListKind.CHANGES)
+    rig.servers(*(Endpoint(number, "a", state=EndpointLifecycle.DRAINING) for number in drained),
+                kind=UpdateKind.DELTA)
     rig.gateway.listed = SERVERS
-    rig.do(ServerList(ListKind.CHANGES, (), 2, SERVERS))
+    rig.do(EndpointUpdate(UpdateKind.DELTA, (), 2, SERVERS))
     assert ready(rig) == set(order[:SIZE + 7]) - set(drained)
     assert rig.gateway.reserve[-1].id == order[SIZE + 7]
 
 
 def test_gateway_where_all_servers_fit_works_with_all_of_them():
     rig = Rig(replace(SETTINGS, gateways=200, index=17))
-    rig.do(ServerList(ListKind.FULL, tuple(entries(200))))
+    rig.do(EndpointUpdate(UpdateKind.SNAPSHOT, tuple(endpoints(200))))
     assert len(rig.gateway.ready) == 200 and not rig.gateway.reserve
 
 
 def test_share_of_what_may_be_out_goes_by_all_servers_listed_not_by_those_that_are_known():
     rig = Rig(LARGE)
-    rig.do(ServerList(ListKind.CACHED, tuple(entries(2 * SIZE)), 1, SERVERS))
+    rig.do(EndpointUpdate(UpdateKind.CACHED, tuple(endpoints(2 * SIZE)), 1, SERVERS))
     assert rig.gateway.pool == pytest.approx(6.0 * SERVERS / FLEET)
 
 
@@ -289,10 +298,10 @@
     for _ in range(4):
         rig.count += 1
         name = f"f{rig.count}"
-        sent = [a for a in rig.do(Request(name, "unsafe", "free", "c", 4000.0)) if isinstance(a, Send)]
+        sent = [a for a in rig.do(Request(name, "unsafe", "free", "c", 4000.0)) if isinstance(a, StartAttempt)]
         assert [a.server for a in sent] == [server]
         rest, gateway.ready = gateway.ready, before  # another may have come to stand in
-        rig.do(Outcome(name, 0, server, Status.RESET, 10.0))
+        rig.do(Outcome(name, 0, server, AttemptStatus.RESET, 10.0))
         before = gateway.ready
         gateway.ready = rest if rest is not before else [s for s in before if s.id == server]
     gateway.ready = before
@@ -303,13 +312,13 @@
     for server in order[:5]:
         fail(rig, server)
     assert ready(rig) == set(order[:SIZE + 5])
-    rig.do(ServerList(ListKind.CHANGES, (), 2, SERVERS))  # some news: they stay as long as the doubt does
+    rig.do(EndpointUpdate(UpdateKind.DELTA, (), 2, SERVERS))  # some news: they stay as long as the doubt does
     assert ready(rig) == set(order[:SIZE + 5])
     rig.run(60_000.0)
     for _ in range(100):  # the others are well
         rig.finish(rig.ask(class_name="unsafe"))
     rig.gateway.sends += 100 * len(order)  # each might have been met again since
-    rig.do(ServerList(ListKind.CHANGES, (), 3, SERVERS))
+    rig.do(EndpointUpdate(UpdateKind.DELTA, (), 3, SERVERS))
     assert ready(rig) == set(order[:SIZE])
 
 
@@ -320,7 +329,7 @@
         name = rig.ask(patience=60_000.0)
         while name not in rig.answers and rig.sent.get(name):
             server = rig.sent[name][-1]
-            rig.finish(name, Status.CONNECT_FAILED if server in down else Status.OK)
+            rig.finish(name, AttemptStatus.CONNECT_FAILED if server in down else AttemptStatus.OK)
             served += rig.answers.get(name) == "Ok"
             if server in down and len(rig.sent[name]) == LARGE.limits.max_attempts:
                 break
@@ -333,7 +342,7 @@
 
     def __init__(self, seed: int) -> None:
         super().__init__(replace(SETTINGS, gateways=380, index=17), seed)
-        self.gateway.subset, self.roster, self.draw = FEW, Roster(FEW), random.Random(seed)
+        self.gateway.subset, self.registry, self.draw = FEW, EndpointRegistry(FEW), random.Random(seed)
         self.states = dict.fromkeys(range(400), "Ready")
         self.tell(True, sorted(self.states))
         self.moves = 0  # sends to a server that was not worked with at first
@@ -342,14 +351,14 @@
     def tell(self, whole: bool, numbers: list[int]) -> None:
         started = int(self.now) if self.draw.random() < 0.3 else 0
         lines = [row(f"s-{number}", 1, self.states[number], started) for number in numbers]
-        self.do(self.roster.read({"generation": 1, "reset": whole, "instances": lines})[0])
+        self.do(self.registry.read({"generation": 1, "reset": whole, "instances": lines})[0])
 
     def do(self, event) -> list:
         actions = super().do(event)
         for action in actions:
-            if isinstance(action, Send):
-                (name,) = [name for name, number in self.roster.numbers.items() if number == action.server]
-                assert self.roster.rows[name]["lifecycle"] == "Ready" and action.server in ready(self)
+            if isinstance(action, StartAttempt):
+                (name,) = [name for name, number in self.registry.numbers.items() if number == action.server]
+                assert self.registry.rows[name]["lifecycle"] == "Ready" and action.server in ready(self)
                 self.moves += action.server not in self.first
         return actions
 
@@ -361,14 +370,14 @@
         elif what < 0.7 and (open_now := [(name, number) for name, flight in self.gateway.flights.items()
                                           for number in flight.out]):
             name, number = self.draw.choice(open_now)
-            how = self.draw.choice((Status.OK, Status.RESET, Status.FULL, Status.TIMEOUT))
+            how = self.draw.choice((AttemptStatus.OK, AttemptStatus.RESET, AttemptStatus.OVERLOADED, AttemptStatus.TIMEOUT))
             self.finish(name, how, number)
         elif what < 0.95:
             numbers = self.draw.sample(sorted(self.states), 6)
             for number in numbers:
                 self.states[number] = self.draw.choice(("Ready", "Ready", "Terminating", "Gone"))
             self.tell(False, numbers)
-            assert len(ready(self)) <= len(self.roster.rows)
+            assert len(ready(self)) <= len(self.registry.rows)
         else:
             self.tell(True, [number for number, state in self.states.items() if state != "Gone"])
         self.run(self.draw.uniform(0.0, 40.0))
@@ -379,13 +388,13 @@
     rig = Crossing(seed)
     for _ in range(600):
         rig.step()
-        assert {server.id for server in rig.gateway.servers.values()} == set(rig.roster.numbers.values())
+        assert {server.id for server in rig.gateway.servers.values()} == set(rig.registry.numbers.values())
         most = FEW.size(rig.gateway.listed)
         assert len(rig.gateway.ready) <= 2 * most
     rig.run(10_000.0)
     for name, flight in list(rig.gateway.flights.items()):
         for number in list(flight.out):
-            rig.finish(name, Status.CANCELLED, number)
+            rig.finish(name, AttemptStatus.CANCELLED, number)
     assert not rig.gateway.flights and len(rig.answers) == rig.count
     assert rig.moves >= 10
 
@@ -398,8 +407,8 @@
             peer.send(call(1))
             await slow.until(lambda: len(slow.commands) == 1)
             await other.start()
-            gone = replace(slow.entry(1)[0], state=ServerState.GONE), ("", 0)  # others are nearer now
-            gateway.told(gone, other.entry(2), kind=ListKind.CHANGES)
+            gone = replace(slow.entry(1)[0], state=EndpointLifecycle.GONE), ("", 0)  # others are nearer now
+            gateway.told(gone, other.entry(2), kind=UpdateKind.DELTA)
             assert await (await gateway.peer()).ask(call(2)) == b"0000000000000002"
             slow.writers[0].write(b"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
             assert await peer.reply() == b"v"
--- a/tests/test_large_values.py
+++ b/tests/net/test_large_replies.py
@@ -3,10 +3,10 @@
 import asyncio
 
 import pytest
-from fakes import FakeServer, array, call, node, run, until
 
-from brackenloft.net import servers as servers_module
-from brackenloft.net.resp import Answers, ProtocolError
+from quota_gateway.net import upstream_pool as servers_module
+from quota_gateway.net.resp import ProtocolError, ReplyReader
+from tests.support.fakes import FakeServer, array, call, node, run, until
 
 LARGE = bytes(range(256)) * 16_384  # 4 MiB
 HEAD = b"*3\r\n$%d\r\n" % len(LARGE)
@@ -15,7 +15,7 @@
 
 def in_pieces(answer: bytes, size: int) -> tuple[bytes, list]:
     """What a reader of answers makes of bytes that come in pieces: the large value, and all answers."""
-    reader, value, answers = Answers(), b"", []
+    reader, value, answers = ReplyReader(), b"", []
     for at in range(0, len(answer), size):
         reader.feed(answer[at:at + size])
         got = reader.answer()
@@ -85,7 +85,7 @@
     async def test():
         server = FakeServer(lambda words: None)
         async with node(server) as gateway:
-            gateway.clients.most_held = 200_000
+            gateway.clients.max_buffered_bytes = 200_000
             peer = await gateway.peer()
             peer.writer.transport.pause_reading()
             many = 4 * LARGE
@@ -105,7 +105,7 @@
     async def test():
         server = FakeServer(lambda words: None)
         async with node(server) as gateway:
-            gateway.clients.most_held = 200_000
+            gateway.clients.max_buffered_bytes = 200_000
             peer = await gateway.peer()
             peer.send(call(1), call(2))
             await server.until(lambda: len(server.commands) == 2)
--- a/tests/test_net_servers.py
+++ b/tests/net/test_upstream_pool.py
@@ -5,11 +5,11 @@
 import socket
 
 import pytest
-from fakes import FakeServer, array, call, node, resp, run, until
 
-from brackenloft import Limits, ListKind, ServerEntry, ServerState, Status
-from brackenloft.net import servers as module
-from brackenloft.net.servers import Attempt, Readings, Reply
+from quota_gateway import AttemptStatus, Endpoint, EndpointLifecycle, GatewayLimits, UpdateKind
+from quota_gateway.net import upstream_pool as module
+from quota_gateway.net.upstream_pool import Attempt, ReplyParser, UpstreamReply
+from tests.support.fakes import FakeServer, array, call, node, resp, run, until
 
 COMMAND = resp("CALL.GET", "00000000b4d65521", "00000000000000aa", "c=read,t=free,d=10")
 
@@ -18,12 +18,12 @@
     """Collects what attempts came to."""
 
     def __init__(self) -> None:
-        self.replies: asyncio.Queue[Reply] = asyncio.Queue()
+        self.replies: asyncio.Queue[UpstreamReply] = asyncio.Queue()
 
     def attempt(self, payload: bytes = COMMAND) -> Attempt:
         return Attempt(payload, self.replies.put_nowait)
 
-    async def status(self) -> Status:
+    async def status(self) -> AttemptStatus:
         return (await self.replies.get()).status
 
     def empty(self) -> bool:
@@ -41,7 +41,7 @@
             assert sorted(server.by) == [0, 1]
             for number in (1, 0):
                 server.writers[number].write(array(b"v"))
-                assert await ends.status() is Status.OK
+                assert await ends.status() is AttemptStatus.OK
             await asyncio.sleep(4.0 * module.REST_S)
             gateway.servers.start(1, ends.attempt())
             await server.until(lambda: len(server.commands) == 3)
@@ -51,11 +51,11 @@
 
 
 @pytest.mark.parametrize("answer, status", [
-    (array(b"v"), Status.OK), (b"-BUSY\r\n", Status.FULL), (b"-ERR failed\r\n", Status.ERROR),
-    (b"", Status.RESET), (b"$1\r\nv\r\n", Status.ERROR), (b"*3\r\n$-1\r\n$-1\r\n$-1\r\n", Status.ERROR),
-    (b"*0\r\n", Status.ERROR), (b"*-1\r\n", Status.ERROR), (b"+OK\r\n", Status.ERROR),
-    (b"HTTP/1.1 200 OK\r\n\r\n", Status.ERROR), (b"$500000000\r\n" + b"x" * 3_000_000, Status.ERROR),
-    (b"*4000000000\r\n", Status.ERROR), (b"*1\r\n:5\r\n", Status.ERROR),
+    (array(b"v"), AttemptStatus.OK), (b"-BUSY\r\n", AttemptStatus.OVERLOADED), (b"-ERR failed\r\n", AttemptStatus.ERROR),
+    (b"", AttemptStatus.RESET), (b"$1\r\nv\r\n", AttemptStatus.ERROR), (b"*3\r\n$-1\r\n$-1\r\n$-1\r\n", AttemptStatus.ERROR),
+    (b"*0\r\n", AttemptStatus.ERROR), (b"*-1\r\n", AttemptStatus.ERROR), (b"+OK\r\n", AttemptStatus.ERROR),
+    (b"HTTP/1.1 200 OK\r\n\r\n", AttemptStatus.ERROR), (b"$500000000\r\n" + b"x" * 3_000_000, AttemptStatus.ERROR),
+    (b"*4000000000\r\n", AttemptStatus.ERROR), (b"*1\r\n:5\r\n", AttemptStatus.ERROR),
 ])
 def test_outcome_by_the_table_and_one_only(answer, status):
     async def test():
@@ -71,14 +71,14 @@
 
 
 def test_figures_on_use_and_load_in_answers_and_error_lines():
-    read = Readings(("utilisation", "queue"), 1.0).reply
-    assert read([b"v", b"used=37,cost=4", b"inflight=7,queue=2,util=0.61"]) == Reply(
-        Status.OK, b"v", 37.0, 4.0, (0.61, 2.0))
-    assert read([b"v", None, None]) == Reply(Status.OK, b"v")
-    assert read("ERR failed used=120 util=0.5,queue=3") == Reply(
-        Status.ERROR, None, 120.0, None, (0.5, 3.0))
-    assert read("BUSY used=9") == Reply(Status.FULL, None, 9.0)
-    assert read([b"v", b"used=x,,=,nan", b"util=0.5"]) == Reply(Status.OK, b"v")
+    read = ReplyParser(("utilisation", "queue"), 1.0).reply
+    assert read([b"v", b"used=37,cost=4", b"inflight=7,queue=2,util=0.61"]) == UpstreamReply(
+        AttemptStatus.OK, b"v", 37.0, 4.0, (0.61, 2.0))
+    assert read([b"v", None, None]) == UpstreamReply(AttemptStatus.OK, b"v")
+    assert read("ERR failed used=120 util=0.5,queue=3") == UpstreamReply(
+        AttemptStatus.ERROR, None, 120.0, None, (0.5, 3.0))
+    assert read("BUSY used=9") == UpstreamReply(AttemptStatus.OVERLOADED, None, 9.0)
+    assert read([b"v", b"used=x,,=,nan", b"util=0.5"]) == UpstreamReply(AttemptStatus.OK, b"v")
 
 
 @pytest.mark.parametrize("number", ["nan", "inf", "-1", "1e9", "999999999", "0x1", "1_0", " 1", "", "\xff"])
@@ -136,9 +136,9 @@
         gone.server.close()
         await gone.server.wait_closed()
         async with node(server) as gateway:
-            gateway.told(gone.entry(1), kind=ListKind.FULL)
+            gateway.told(gone.entry(1), kind=UpdateKind.SNAPSHOT)
             peer = await gateway.peer()
-            gateway.told(server.entry(2), kind=ListKind.CHANGES)
+            gateway.told(server.entry(2), kind=UpdateKind.DELTA)
             for number in range(8):
                 assert await peer.ask(call(number, "buy")) == b"%016x" % number
 
@@ -162,14 +162,14 @@
             listener = socket.create_server(("127.0.0.1", 0))
             listener.setblocking(False)
             port = listener.getsockname()[1]
-            gateway.told((ServerEntry(1, "a"), ("127.0.0.1", port)))
+            gateway.told((Endpoint(1, "a"), ("127.0.0.1", port)))
             ends = Ends()
             gateway.servers.start(1, ends.attempt(b"x" * 32_000_000))
             loop = asyncio.get_running_loop()
             accepted, _ = await loop.sock_accept(listener)
             await loop.sock_recv(accepted, 1)
             accepted.close()  # with bytes unread: a reset
-            assert await ends.status() is Status.CONNECT_FAILED
+            assert await ends.status() is AttemptStatus.CONNECT_FAILED
             listener.close()
 
     run(test())
@@ -193,19 +193,19 @@
             listener.setblocking(False)
             port = listener.getsockname()[1]
             async with node() as gateway:
-                gateway.told((ServerEntry(1, "a"), ("127.0.0.1", port)))
+                gateway.told((Endpoint(1, "a"), ("127.0.0.1", port)))
                 ends, loop = Ends(), asyncio.get_running_loop()
                 gateway.servers.start(1, ends.attempt())
                 accepted, _ = await loop.sock_accept(listener)
                 await loop.sock_recv(accepted, 1000)
                 await loop.sock_sendall(accepted, array(b"v"))
-                assert await ends.status() is Status.OK
+                assert await ends.status() is AttemptStatus.OK
                 accepted.close()
                 gateway.servers.start(1, ends.attempt())  # before the loop could see the end
                 accepted, _ = await loop.sock_accept(listener)
                 await loop.sock_recv(accepted, 1000)
                 await loop.sock_sendall(accepted, array(b"v"))
-                assert await ends.status() is Status.OK
+                assert await ends.status() is AttemptStatus.OK
                 accepted.close()
 
     run(test())
@@ -214,17 +214,17 @@
 def test_idle_connection_is_retired_before_the_server_would_close_it():
     async def test():
         server = FakeServer()
-        async with node(server, limits=Limits(connection_idle_ms=1.0)) as gateway:
+        async with node(server, limits=GatewayLimits(connection_idle_ms=1.0)) as gateway:
             ends = Ends()
             gateway.servers.start(1, ends.attempt())
-            assert await ends.status() is Status.OK
+            assert await ends.status() is AttemptStatus.OK
             await server.until(lambda: server.ended == 1)
             assert not gateway.servers.connections
 
     run(test())
 
 
-@pytest.mark.parametrize("state", [ServerState.DRAINING, ServerState.GONE])
+@pytest.mark.parametrize("state", [EndpointLifecycle.DRAINING, EndpointLifecycle.GONE])
 def test_no_first_byte_to_a_server_that_drains_or_goes_while_it_is_connected_to(state):
     async def test():
         server = FakeServer()
@@ -232,20 +232,20 @@
             ends = Ends()
             gateway.servers.start(1, ends.attempt())
             (connection,) = gateway.servers.connections
-            gateway.told(server.entry(1, state=state), kind=ListKind.CHANGES)
-            assert await ends.status() is Status.CONNECT_FAILED
+            gateway.told(server.entry(1, state=state), kind=UpdateKind.DELTA)
+            assert await ends.status() is AttemptStatus.CONNECT_FAILED
             gateway.servers.start(1, ends.attempt())
-            assert await ends.status() is Status.CONNECT_FAILED
+            assert await ends.status() is AttemptStatus.CONNECT_FAILED
             await until(connection.task.done)
-            gateway.told(server.entry(2), kind=ListKind.FULL)
+            gateway.told(server.entry(2), kind=UpdateKind.SNAPSHOT)
             gateway.servers.start(2, ends.attempt())
-            assert await ends.status() is Status.OK
+            assert await ends.status() is AttemptStatus.OK
             assert len(server.commands) == 1
 
     run(test())
 
 
-@pytest.mark.parametrize("change", [{"started_ms": 5.0}, {"state": ServerState.DRAINING}])
+@pytest.mark.parametrize("change", [{"started_ms": 5.0}, {"state": EndpointLifecycle.DRAINING}])
 def test_old_connections_are_closed_when_a_server_restarts_or_drains(change):
     async def test():
         server = FakeServer(lambda words: None)
@@ -255,13 +255,13 @@
                 gateway.servers.start(1, ends.attempt())
             await server.until(lambda: len(server.commands) == 2)
             server.writers[0].write(array(b"v"))
-            assert await ends.status() is Status.OK
-            gateway.told(server.entry(1, **change), kind=ListKind.CHANGES)
+            assert await ends.status() is AttemptStatus.OK
+            gateway.told(server.entry(1, **change), kind=UpdateKind.DELTA)
             (kept,) = gateway.servers.connections
             assert kept.attempt
             await server.until(lambda: server.ended == 1)
             server.writers[1].write(array(b"v"))  # what is out may finish, its connection is not kept
-            assert await ends.status() is Status.OK
+            assert await ends.status() is AttemptStatus.OK
             assert not gateway.servers.connections
             await server.until(lambda: server.ended == 2)
 
@@ -274,10 +274,10 @@
         async with node(server) as gateway:
             ends = Ends()
             gateway.servers.start(1, ends.attempt())
-            assert await ends.status() is Status.OK
-            gateway.told(other.entry(1), kind=ListKind.CHANGES)
+            assert await ends.status() is AttemptStatus.OK
+            gateway.told(other.entry(1), kind=UpdateKind.DELTA)
             gateway.servers.start(1, ends.attempt())
-            assert await ends.status() is Status.OK
+            assert await ends.status() is AttemptStatus.OK
             assert len(server.commands) == len(other.commands) == 1
 
     run(test())
@@ -286,17 +286,17 @@
 def test_connections_are_bounded_and_idle_ones_make_room():
     async def test():
         server, other = FakeServer(), FakeServer(lambda words: None)
-        async with node(server, other, most_connections=1) as gateway:
+        async with node(server, other, max_connections=1) as gateway:
             ends = Ends()
             gateway.servers.start(1, ends.attempt())
-            assert await ends.status() is Status.OK
+            assert await ends.status() is AttemptStatus.OK
             gateway.servers.start(2, ends.attempt())
             await server.until(lambda: server.ended == 1)
             gateway.servers.start(1, ends.attempt())
-            assert await ends.status() is Status.CONNECT_FAILED
+            assert await ends.status() is AttemptStatus.CONNECT_FAILED
             await other.until(lambda: len(other.commands) == 1)
             other.writers[0].write(array(b"v"))
-            assert await ends.status() is Status.OK
+            assert await ends.status() is AttemptStatus.OK
 
     run(test())
 
@@ -311,9 +311,9 @@
             with monkeypatch.context() as patch:
                 patch.setattr(module.socket, "socket", none_left)
                 gateway.servers.start(1, ends.attempt())
-                assert await ends.status() is Status.CONNECT_FAILED
+                assert await ends.status() is AttemptStatus.CONNECT_FAILED
             gateway.servers.start(1, ends.attempt())
-            assert await ends.status() is Status.OK
+            assert await ends.status() is AttemptStatus.OK
 
     run(test())
 
@@ -327,11 +327,11 @@
                 full.append(socket.socket())
                 full[-1].setblocking(False)
                 full[-1].connect_ex(("127.0.0.1", port))
-            async with node(limits=Limits(connect_timeout_ms=50.0)) as gateway:
-                gateway.told((ServerEntry(1, "a"), ("127.0.0.1", port)))
+            async with node(limits=GatewayLimits(connect_timeout_ms=50.0)) as gateway:
+                gateway.told((Endpoint(1, "a"), ("127.0.0.1", port)))
                 ends = Ends()
                 gateway.servers.start(1, ends.attempt())
-                assert await ends.status() is Status.CONNECT_FAILED
+                assert await ends.status() is AttemptStatus.CONNECT_FAILED
                 assert not gateway.servers.connections
             for one in full:
                 one.close()
@@ -340,13 +340,13 @@
 
 
 def test_wait_that_a_server_is_told_is_what_is_left_once_the_connection_is_up(monkeypatch):
-    up, plain = asyncio.Event(), module.Connection.open
+    up, plain = asyncio.Event(), module.UpstreamConnection.open
 
     async def open_late(self):
         await up.wait()
         await plain(self)
 
-    monkeypatch.setattr(module.Connection, "open", open_late)
+    monkeypatch.setattr(module.UpstreamConnection, "open", open_late)
 
     async def test():
         server = FakeServer()
@@ -381,8 +381,8 @@
                 told.append(reply)
 
             attempt.done = done
-            gateway.servers.stop(attempt, Status.CANCELLED)
-            assert [reply.status for reply in told] == [Status.CANCELLED]
+            gateway.servers.stop(attempt, AttemptStatus.CANCELLED)
+            assert [reply.status for reply in told] == [AttemptStatus.CANCELLED]
             await server.until(lambda: server.ended == 1)
 
     run(test())
@@ -394,7 +394,7 @@
         async with node(server) as gateway:
             ends = Ends()
             gateway.servers.start(1, ends.attempt())
-            assert await ends.status() is Status.OK
+            assert await ends.status() is AttemptStatus.OK
             await server.until(lambda: server.ended == 1)
             assert not gateway.servers.connections
 
@@ -407,7 +407,7 @@
         async with node(server) as gateway:
             peer = await gateway.peer()
             assert await peer.ask(call(1, "buy")) == b"v" * 60_000
-            gateway.servers.most_held = 20_000
+            gateway.servers.max_buffered_bytes = 20_000
             peer.send(call(2, "buy"))
             await server.until(lambda: len(server.commands) == 2)
             server.writers[-1].write(array(b"v" * 60_000)[:-1])
--- /dev/null
+++ b/tests/process/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the whole program as a process."""
--- a/tests/test_net_process.py
+++ b/tests/process/test_process.py
@@ -12,8 +12,11 @@
 from pathlib import Path
 
 import pytest
-from fakes import SETTINGS as FAKE_SETTINGS
-from fakes import (
+
+from quota_gateway import __main__ as program_module
+from quota_gateway.net.client_listener import MOST_PIPELINED
+from tests.support.fakes import SETTINGS as FAKE_SETTINGS
+from tests.support.fakes import (
     FakeDiscovery,
     FakeServer,
     Peer,
@@ -28,12 +31,9 @@
     slow_reader,
     until,
 )
-from test_adapter import ENV
-
-from brackenloft import __main__ as program_module
-from brackenloft.net.clients import MOST_PIPELINED
+from tests.unit.test_simulator import ENV
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 RUN = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
 SETTINGS = {
     **ENV,
@@ -252,7 +252,7 @@
     """SIGHUP at the first moment that code of ours runs in ``main``: its default would end the process."""
     async def test():
         code = (
-            "import os, signal; from brackenloft import __main__ as program\n"
+            "import os, signal; from quota_gateway import __main__ as program\n"
             "load = program.Config.load\n"
             "def slow(env):\n    os.kill(os.getpid(), signal.SIGHUP)\n    return load(env)\n"
             "program.Config.load = slow\n"
@@ -270,7 +270,7 @@
 
 
 def test_lines_of_the_log_are_rationed_and_what_was_left_out_is_told():
-    ration, lines = program_module.Ration(), []
+    ration, lines = program_module.LogRateLimiter(), []
     for number in range(3 * program_module.LOG_LINES):
         record = logging.makeLogRecord({"msg": "bad %d", "args": (number,), "created": 1000.0})
         lines += [record.getMessage()] if ration.filter(record) else []
--- a/tests/test_restarts.py
+++ b/tests/process/test_restarts.py
@@ -4,9 +4,10 @@
 import sys
 
 import pytest
-import test_net_process as process_module
-from fakes import FakeDiscovery, FakeServer, array, call, chunk, listing, resp, row, run
-from test_net_process import connect, program
+
+from tests.process import test_process as process_module
+from tests.process.test_process import connect, program
+from tests.support.fakes import FakeDiscovery, FakeServer, array, call, chunk, listing, resp, row, run
 
 TROUBLES = ("refused", "turned away", "silent")
 
@@ -71,7 +72,7 @@
 
 @pytest.mark.parametrize("trouble", ["refused", "turned away"])
 def test_one_who_is_turned_away_serves_by_the_known_list_at_once(trouble, tmp_path, monkeypatch):
-    code = ("from brackenloft import __main__ as program\nprogram.FIRST_LIST_S = 3600.0\n"
+    code = ("from quota_gateway import __main__ as program\nprogram.FIRST_LIST_S = 3600.0\n"
             "raise SystemExit(program.main())")
     monkeypatch.setattr(process_module, "command", lambda: f'exec {sys.executable} -c "$CODE"')
     monkeypatch.setenv("CODE", code)
--- a/tests/test_upgrade.py
+++ b/tests/process/test_upgrade.py
@@ -12,14 +12,36 @@
 from pathlib import Path
 
 import pytest
-from conftest import Rig, entry, rig_with
-from fakes import FakeDiscovery, FakeServer, Peer, array, call, chunk, listing, node, resp, row, run, until
-from test_net_process import ROOT, SETTINGS, command, connect, free_port
-from test_operators import http, post
 
-from brackenloft import Alone, Attach, Bequeath, Detach, Elsewhere, Estate, Inherit, TellOther
-from brackenloft.net import handover
-from brackenloft.net.handover import ask, place
+from quota_gateway import (
+    AttachServer,
+    DetachServer,
+    ExportState,
+    NotifyPeerProcess,
+    PeerProcessExited,
+    PeerProcessUsage,
+    RestoreState,
+    StateSnapshot,
+)
+from quota_gateway.net import handover
+from quota_gateway.net.handover import rendezvous_path, request_handover
+from tests.net.test_detachments import http, post
+from tests.process.test_process import ROOT, SETTINGS, command, connect, free_port
+from tests.support.engine_harness import Rig, entry, rig_with
+from tests.support.fakes import (
+    FakeDiscovery,
+    FakeServer,
+    Peer,
+    array,
+    call,
+    chunk,
+    listing,
+    node,
+    resp,
+    row,
+    run,
+    until,
+)
 
 
 class Platform:
@@ -96,8 +118,8 @@
         await asyncio.sleep(0.02)
 
 
-async def say(mgmt: int, place: str, name: str) -> int:
-    return int((await http(mgmt, post(f"/_servers/{place}", name.encode()))).split()[1])
+async def say(mgmt: int, rendezvous_path: str, name: str) -> int:
+    return int((await http(mgmt, post(f"/_servers/{rendezvous_path}", name.encode()))).split()[1])
 
 
 def test_connections_and_requests_go_on_through_two_upgrades(tmp_path):
@@ -141,7 +163,7 @@
             await until(lambda: any(len(client.reader.buffer) > 60_000 for client in old.clients.connections))
             busy.send(call(7), call(8))
             await until(lambda: len(old.driver.calls) == 2 or len(server.commands) == 2)
-            estate = await ask(new.handover.path)
+            estate = await request_handover(new.handover.path)
             new.clients.stop_listening()
             new.clients.leaving = False
             new.clients.adopt(estate.listener)
@@ -154,7 +176,7 @@
             assert [await busy.reply(), await busy.reply()] == [b"late", b"0000000000000008"]
             assert await busy.ask(call(9)) == b"0000000000000009"
             assert not old.clients.connections
-            await until(lambda: not new.clients.elsewhere)
+            await until(lambda: not new.clients.peer_connections)
             assert await (await new.peer()).ask(resp("PING")) == b"PONG"
             old.handover.close()
             await until(lambda: new.handover.before is None)
@@ -275,11 +297,11 @@
 
 def heir(rig: Rig, **changes) -> tuple[Rig, list]:
     """A gateway that takes over from this one, and the estate as it comes through a socket."""
-    (left,) = [action for action in rig.do(Bequeath()) if isinstance(action, Estate)]
+    (left,) = [action for action in rig.do(ExportState()) if isinstance(action, StateSnapshot)]
     made = rig_with(**changes)
     made.now = rig.now
     made.servers(entry(1), entry(2))
-    made.do(Inherit(json.loads(json.dumps(left.state))))
+    made.do(RestoreState(json.loads(json.dumps(left.state))))
     return made, left.state
 
 
@@ -293,8 +315,8 @@
     assert not any(name in successor.sent for name in refused)
     second = successor.ask("only-cap")
     assert second not in successor.sent  # its one place here is taken, in the other process
-    news = [action.news for action in rig.finish(held[0]) if isinstance(action, TellOther)]
-    assert news == [Elsewhere("only-cap", "c", 0)]
+    news = [action.news for action in rig.finish(held[0]) if isinstance(action, NotifyPeerProcess)]
+    assert news == [PeerProcessUsage("only-cap", "c", 0)]
     successor.do(news[0])
     assert second in successor.sent
     assert spent[0] in rig.sent
@@ -305,16 +327,16 @@
     successor, _ = heir(rig)
     name = successor.ask("only-cap")
     assert name not in successor.sent
-    successor.do(Alone())
+    successor.do(PeerProcessExited())
     assert name in successor.sent
-    assert not [a for a in successor.finish(name) if isinstance(a, TellOther)]
+    assert not [a for a in successor.finish(name) if isinstance(a, NotifyPeerProcess)]
 
 
 def test_bans_and_cold_servers_are_inherited(rig):
-    rig.do(Detach(1))
-    rig.do(Detach(2))
+    rig.do(DetachServer(1))
+    rig.do(DetachServer(2))
     rig.run(100.0)
-    rig.do(Attach(2))
+    rig.do(AttachServer(2))
     rig.run(1000.0)
     successor, _ = heir(rig)
     assert not successor.gateway.servers[1].ready
@@ -323,7 +345,7 @@
     successor.servers(entry(1), entry(2))
     assert [server.id for server in successor.gateway.ready] == [2]
     assert successor.gateway._warmth(successor.gateway.servers[2]) == warmth
-    successor.do(Attach(1))
+    successor.do(AttachServer(1))
     assert 1 in [server.id for server in successor.gateway.ready]
 
 
@@ -342,16 +364,16 @@
     state["barred"] = [[1, 1000.0]]
     harm(state)
     with pytest.raises(ValueError):
-        successor.do(Inherit(state))
-    assert not successor.gateway.customers and not successor.gateway.paired
+        successor.do(RestoreState(state))
+    assert not successor.gateway.customers and not successor.gateway.has_peer_process
     assert successor.gateway.servers[1].ready or "barred" not in state
 
 
 def test_place_is_in_tmpdir_and_nowhere_without_it(monkeypatch, tmp_path):
     monkeypatch.setenv("TMPDIR", str(tmp_path))
-    assert place(("127.0.0.1", 7)) == tmp_path / "handover-127.0.0.1-7"
+    assert rendezvous_path(("127.0.0.1", 7)) == tmp_path / "handover-127.0.0.1-7"
     monkeypatch.delenv("TMPDIR")
-    assert place(("127.0.0.1", 7)) is None
+    assert rendezvous_path(("127.0.0.1", 7)) is None
 
 
 def test_path_that_is_too_long_for_a_socket_serves_all_the_same(tmp_path):
@@ -384,7 +406,7 @@
             open_before = len(os.listdir("/proc/self/fd"))
             with monkeypatch.context() as patch:
                 patch.setattr(handover.socket, "socket", refusing)
-                assert await ask(tmp_path / "handover") is None
+                assert await request_handover(tmp_path / "handover") is None
                 gateway.handover.path = tmp_path / "handover"
                 gateway.handover.wait()
             assert gateway.handover.listener is None and not list(tmp_path.iterdir())
--- a/tests/test_capacity.py
+++ b/tests/scale/test_capacity.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from brackenloft.subset import Subset
+from quota_gateway.policy.subset import Subset
 from scale import capacity, config, results
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 
 
 def made(*points: tuple[float, float], name="memory", by="servers", role="gateway", started="1", note=()):
--- a/tests/test_scale.py
+++ b/tests/scale/test_scale_run.py
@@ -13,13 +13,13 @@
 import httptools
 import psutil
 import pytest
-from fakes import run
 
 from scale import config, fleet, load, results
 from scale.discovery import StandIn
 from scale.slopes import in_force
+from tests.support.fakes import run
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 
 
 class Reader:
--- /dev/null
+++ b/tests/support/__init__.py
@@ -0,0 +1,1 @@
+"""What several tests share: harnesses, fakes and fixtures."""
