--- /dev/null
+++ b/tests/support/engine_harness.py
@@ -0,0 +1,111 @@
+"""A gateway with a scripted clock: sends events, keeps the answers, fires due timers by hand."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+from quota_gateway import (
+    AttemptStatus,
+    Endpoint,
+    EndpointUpdate,
+    Fail,
+    GatewayLimits,
+    Idempotency,
+    IdempotencyScope,
+    Outcome,
+    Plan,
+    PolicyEngine,
+    Reject,
+    Request,
+    RequestClass,
+    ServiceRules,
+    SetTimer,
+    Settings,
+    StartAttempt,
+    TimerFired,
+    UpdateKind,
+)
+
+CLASSES = (
+    RequestClass("safe", 2000.0, 4000.0, Idempotency.IDEMPOTENT),
+    RequestClass("keyed", 2000.0, 4000.0, Idempotency.KEYED, idempotency_scope=IdempotencyScope.ZONE, idempotency_window_ms=3000.0),
+    RequestClass("keyed-all", 2000.0, 4000.0, Idempotency.KEYED, idempotency_scope=IdempotencyScope.ALL, idempotency_window_ms=3000.0),
+    RequestClass("keyed-cell", 2000.0, 4000.0, Idempotency.KEYED, idempotency_scope=IdempotencyScope.CELL, idempotency_window_ms=3000.0),
+    RequestClass("unsafe", 2000.0, 4000.0, Idempotency.NON_IDEMPOTENT),
+)
+DEAR = RequestClass("dear", 1000.0, 4000.0, Idempotency.NON_IDEMPOTENT, priority_weight=4.0)  # beside CLASSES where it is needed
+PLANS = (
+    Plan("metered", rate=10.0, burst=8.0),
+    Plan("capped", rate=10.0, burst=100.0, max_in_flight=4),
+    Plan("ceiling", rate=100.0, burst=1000.0, ceiling_rate=10.0, ceiling_burst=20.0, ceiling_slack=2.0),
+    Plan("free"),
+    Plan("only-cap", max_in_flight=2),
+    Plan("capped-wide", max_in_flight=60),
+)
+SETTINGS = Settings(
+    gateways=2, index=0, zone="a", classes=CLASSES, plans=PLANS,
+    limits=GatewayLimits(max_attempts=3, can_cancel=True),
+    contract=ServiceRules(8.0, 500.0, 0.2, 10_000.0, 3.0, 2000.0, 10_000.0),
+    usage_period_ms=1000.0, max_request_units=4, tick_ms=2.0,
+)
+
+
+class Rig:
+    """One gateway, its clock and what it was told to do."""
+
+    def __init__(self, settings: Settings = SETTINGS, seed: int = 1) -> None:
+        self.gateway, self.now = PolicyEngine(settings, seed), 1000.0
+        self.settings = settings
+        self.timers: list[tuple[float, int]] = []
+        self.sent: dict[str, list[int]] = {}
+        self.answers: dict[str, str] = {}
+        self.count = 0
+
+    def do(self, event) -> list:
+        actions = self.gateway.handle(self.now, event)
+        for action in actions:
+            if isinstance(action, SetTimer):
+                self.timers.append((self.now + action.delay_ms, action.token))
+            elif isinstance(action, StartAttempt):
+                assert action.request_id not in self.answers, "sent after the answer"
+                self.sent.setdefault(action.request_id, []).append(action.server)
+            elif isinstance(action, (Reject, Fail)):
+                assert action.request_id not in self.answers, "answered twice"
+                self.answers[action.request_id] = type(action).__name__
+        return actions
+
+    def servers(self, *endpoints: Endpoint, kind: UpdateKind = UpdateKind.SNAPSHOT) -> list:
+        return self.do(EndpointUpdate(kind, endpoints))
+
+    def ask(self, plan="free", class_name="safe", customer="c", patience=4000.0, units=1, gateway_set_size=2) -> str:
+        """A new request; its id."""
+        self.count += 1
+        name = f"r{self.count}"
+        self.do(Request(name, class_name, plan, customer, patience, units, gateway_set_size))
+        return name
+
+    def finish(self, name: str, status=AttemptStatus.OK, attempt=None, used=None, units=None, latency=50.0) -> list:
+        """The outcome of an attempt, the last by default."""
+        attempt = len(self.sent[name]) - 1 if attempt is None else attempt
+        server = self.sent[name][attempt]
+        if status is AttemptStatus.OK:
+            self.answers.setdefault(name, "Ok")
+        return self.do(Outcome(name, attempt, server, status, latency, status is AttemptStatus.OK, used, units))
+
+    def run(self, ms: float) -> None:
+        """Let time pass and fire what falls due."""
+        end = self.now + ms
+        while due := [timer for timer in self.timers if timer[0] <= end]:
+            first = min(due)
+            self.timers.remove(first)
+            self.now = max(self.now, first[0])
+            self.do(TimerFired(first[1]))
+        self.now = end
+
+
+def entry(number: int, zone="a", **more) -> Endpoint:
+    return Endpoint(number, zone, **more)
+
+
+def rig_with(**changes) -> Rig:
+    return Rig(replace(SETTINGS, **changes))
--- a/tests/fakes.py
+++ b/tests/support/fakes.py
@@ -13,37 +13,37 @@
 import hiredis
 import uvloop
 
-from brackenloft import (
-    Contract,
-    Effect,
-    Gateway,
-    KeyScope,
-    Limits,
-    ListKind,
+from quota_gateway import (
+    Endpoint,
+    EndpointUpdate,
+    GatewayLimits,
+    Idempotency,
+    IdempotencyScope,
     Plan,
+    PolicyEngine,
     RequestClass,
-    ServerEntry,
-    ServerList,
+    ServiceRules,
     Settings,
+    UpdateKind,
 )
-from brackenloft.net.clients import Client, Clients
-from brackenloft.net.driver import Clock, Driver
-from brackenloft.net.handover import Handover
-from brackenloft.net.servers import Servers
+from quota_gateway.net.client_listener import ClientConnection, ClientListener
+from quota_gateway.net.driver import Clock, Driver
+from quota_gateway.net.handover import Handover
+from quota_gateway.net.upstream_pool import UpstreamPool
 
 MOST_HELD = 32 * 1024 * 1024
 LIMIT_S = 60.0  # generous: a test that takes so long hangs
 SETTINGS = Settings(
     gateways=2, index=0, zone="a",
     classes=(
-        RequestClass("read", 2000.0, 4000.0, Effect.SAFE),
-        RequestClass("post", 2000.0, 4000.0, Effect.KEYED, key_scope=KeyScope.ZONE, key_memory_ms=6000.0),
-        RequestClass("buy", 2000.0, 8000.0, Effect.UNSAFE),
+        RequestClass("read", 2000.0, 4000.0, Idempotency.IDEMPOTENT),
+        RequestClass("post", 2000.0, 4000.0, Idempotency.KEYED, idempotency_scope=IdempotencyScope.ZONE, idempotency_window_ms=6000.0),
+        RequestClass("buy", 2000.0, 8000.0, Idempotency.NON_IDEMPOTENT),
     ),
     plans=(Plan("free"), Plan("tiny", rate=0.001, burst=2.0)),
-    limits=Limits(max_attempts=3, can_cancel=True, connect_timeout_ms=2000.0),
-    contract=Contract(8.0, 1000.0, 0.2, 10_000.0, 3.0, 2000.0, 10_000.0),
-    load_fields=("utilisation", "queue"), meter_period_ms=1000.0, tick_ms=2.0,
+    limits=GatewayLimits(max_attempts=3, can_cancel=True, connect_timeout_ms=2000.0),
+    contract=ServiceRules(8.0, 1000.0, 0.2, 10_000.0, 3.0, 2000.0, 10_000.0),
+    load_report_fields=("utilisation", "queue"), usage_period_ms=1000.0, tick_ms=2.0,
 )
 
 
@@ -121,8 +121,8 @@
             self.news.clear()
             await self.news.wait()
 
-    def entry(self, number: int, **more: Any) -> tuple[ServerEntry, tuple[str, int]]:
-        return ServerEntry(number, more.pop("zone", "a"), **more), ("127.0.0.1", self.port)
+    def entry(self, number: int, **more: Any) -> tuple[Endpoint, tuple[str, int]]:
+        return Endpoint(number, more.pop("zone", "a"), **more), ("127.0.0.1", self.port)
 
 
 class Peer:
@@ -160,15 +160,15 @@
 class Node:
     """The gateway's parts, wired up as the program does, but without discovery."""
 
-    def __init__(self, settings: Settings, most_connections: int) -> None:
-        self.servers = Servers(settings, most_connections, MOST_HELD)
-        self.driver = Driver(Gateway(settings, 1), self.servers, Clock())
-        self.clients = Clients(self.driver, settings, most_connections, MOST_HELD)
+    def __init__(self, settings: Settings, max_connections: int) -> None:
+        self.servers = UpstreamPool(settings, max_connections, MOST_HELD)
+        self.driver = Driver(PolicyEngine(settings, 1), self.servers, Clock())
+        self.clients = ClientListener(self.driver, settings, max_connections, MOST_HELD)
         self.clients.ready = True
         self.handover = Handover(None, self.driver, self.clients, self.servers)
 
-    def told(self, *rows: tuple[ServerEntry, tuple[str, int]], kind: ListKind = ListKind.FULL) -> None:
-        listing = ServerList(kind, tuple(entry for entry, _ in rows))
+    def told(self, *rows: tuple[Endpoint, tuple[str, int]], kind: UpdateKind = UpdateKind.SNAPSHOT) -> None:
+        listing = EndpointUpdate(kind, tuple(entry for entry, _ in rows))
         self.servers.update(listing, {entry.server: address for entry, address in rows})
         self.driver.post(listing)
 
@@ -177,7 +177,7 @@
         return await Peer().open(self.clients.listener.getsockname()[1])
 
 
-async def slow_reader(gateway: Node) -> tuple[Peer, Client]:
+async def slow_reader(gateway: Node) -> tuple[Peer, ClientConnection]:
     """A client that takes nothing for now, and its connection; next to nothing fits in the kernel between."""
     peer = await gateway.peer()
     peer.reader._limit = 1  # the stream stops reading at once
@@ -190,9 +190,9 @@
 
 
 @asynccontextmanager
-async def node(*fakes: FakeServer, most_connections: int = 100, **changes: Any) -> AsyncIterator[Node]:
+async def node(*fakes: FakeServer, max_connections: int = 100, **changes: Any) -> AsyncIterator[Node]:
     """A gateway before these servers, numbered from 1."""
-    made = Node(replace(SETTINGS, **changes), most_connections)
+    made = Node(replace(SETTINGS, **changes), max_connections)
     for fake in fakes:
         await fake.start()
     made.told(*(fake.entry(number) for number, fake in enumerate(fakes, 1)))
--- /dev/null
+++ b/tests/unit/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the policy: no sockets, a clock that the test sets."""
--- a/tests/test_edges.py
+++ b/tests/unit/test_edge_sizes.py
@@ -3,17 +3,17 @@
 from dataclasses import replace
 
 import pytest
-from conftest import SETTINGS, Rig, entry
 
-from brackenloft import ListKind, Outcome, Request, Status
+from quota_gateway import AttemptStatus, Outcome, Request, UpdateKind
+from tests.support.engine_harness import SETTINGS, Rig, entry
 
 
-def play(rig: Rig, width: int, count: int = 40) -> None:
+def play(rig: Rig, gateway_set_size: int, count: int = 40) -> None:
     """Requests of every plan and class, each answered or ended; all are owed one answer."""
     names = [(p.name, c.name) for p in rig.settings.plans for c in rig.settings.classes]
     for number in range(count):
         plan, kind = names[number % len(names)]
-        name = rig.ask(plan, kind, f"c{number % 7}", width=width)
+        name = rig.ask(plan, kind, f"c{number % 7}", gateway_set_size=gateway_set_size)
         if name in rig.sent and name not in rig.answers:
             rig.finish(name)
         rig.run(10.0)
@@ -21,27 +21,27 @@
     assert len(rig.answers) == count
 
 
-@pytest.mark.parametrize("gateways, width", [(300, 1), (300, 300), (2, 50), (1, 1), (5000, 4000)])
+@pytest.mark.parametrize("gateways, gateway_set_size", [(300, 1), (300, 300), (2, 50), (1, 1), (5000, 4000)])
 @pytest.mark.parametrize("servers", [1, 3, 400])
-def test_any_size_answers_all(gateways, width, servers):
+def test_any_size_answers_all(gateways, gateway_set_size, servers):
     rig = Rig(replace(SETTINGS, gateways=gateways))
-    rig.servers(*(entry(n, "ab"[n % 2]) for n in range(servers)), kind=ListKind.CACHED)
-    play(rig, width)
+    rig.servers(*(entry(n, "ab"[n % 2]) for n in range(servers)), kind=UpdateKind.CACHED)
+    play(rig, gateway_set_size)
 
 
 @pytest.mark.parametrize("load", [None, (), (None, None), (0.5,), (0.5, 3.0, 7.0)])
 def test_reports_may_be_missing_short_or_null(load):
-    rig = Rig(replace(SETTINGS, load_fields=("util", "queue")))
+    rig = Rig(replace(SETTINGS, load_report_fields=("util", "queue")))
     rig.servers(entry(1))
     for _ in range(3):
         name = rig.ask()
-        rig.do(Outcome(name, 0, 1, Status.OK, 50.0, True, load=load))
+        rig.do(Outcome(name, 0, 1, AttemptStatus.OK, 50.0, True, load=load))
     assert rig.ask() in rig.sent
 
 
 def test_an_old_report_fades():
     # server 1 told of 20 waiting; once enough time and attempts have passed it is taken as any other
-    rig = Rig(replace(SETTINGS, load_fields=("queue",)))
+    rig = Rig(replace(SETTINGS, load_report_fields=("queue",)))
     rig.servers(entry(1), entry(2))
     rig.gateway._report(rig.gateway.servers[1], (20.0,))
     assert {rig.sent[rig.ask()][0] for _ in range(5)} == {2}
@@ -51,7 +51,7 @@
 
 def test_without_a_meter_a_customer_alone_at_its_gateway_may_retry():
     # a period of nought means no news ever; the whole burst is here, so the slice is not thin
-    rig = Rig(replace(SETTINGS, meter_period_ms=0.0, gateways=300))
+    rig = Rig(replace(SETTINGS, usage_period_ms=0.0, gateways=300))
     rig.servers(entry(1))
     rig.do(Request("x", "safe", "metered", "c", 4000.0, 1, 1, is_retry=True))
     assert "x" in rig.sent
@@ -59,7 +59,7 @@
 
 def test_a_whole_list_empty_of_servers_holds_then_refuses():
     rig = Rig()
-    rig.servers(kind=ListKind.CACHED)
+    rig.servers(kind=UpdateKind.CACHED)
     name = rig.ask(patience=300.0)
     rig.run(299.0)
-    assert rig.answers[name] == "Refuse"
+    assert rig.answers[name] == "Reject"
--- a/tests/test_meter.py
+++ b/tests/unit/test_leaky_bucket.py
@@ -4,11 +4,11 @@
 from dataclasses import replace
 
 import pytest
-from conftest import CLASSES, DEAR, SETTINGS, Rig, entry, rig_with
 
-from brackenloft import ClientGone, Effect, Plan, Request, RequestClass, Status
+from quota_gateway import AttemptStatus, ClientDisconnected, Idempotency, Plan, Request, RequestClass
+from tests.support.engine_harness import CLASSES, DEAR, SETTINGS, Rig, entry, rig_with
 
-BRIEF = RequestClass("brief", 500.0, 4000.0, Effect.SAFE)
+BRIEF = RequestClass("brief", 500.0, 4000.0, Idempotency.IDEMPOTENT)
 
 
 def done(rig, name) -> bool:
@@ -55,7 +55,7 @@
 def test_hold_past_the_deadline_is_a_refusal_and_costs_no_excess(rig):
     for _ in range(4):
         rig.ask("metered")
-    assert rig.answers.get(rig.ask("metered", patience=200.0)) == "Refuse"
+    assert rig.answers.get(rig.ask("metered", patience=200.0)) == "Reject"
     assert rig.gateway.customers["metered", "c"].excess == 4000.0
 
 
@@ -66,9 +66,9 @@
 def test_uneven_division_and_a_width_of_one():
     rig = rig_with(gateways=3)
     rig.servers(entry(1), entry(2), entry(3))
-    sent = [rig.ask("metered", width=3) in rig.sent for _ in range(4)]
+    sent = [rig.ask("metered", gateway_set_size=3) in rig.sent for _ in range(4)]
     assert sent == [True, True, False, False]  # 8 / 3 = 2.67
-    assert [done(rig, rig.ask("metered", customer="one", width=1)) for _ in range(9)] == [True] * 8 + [False]
+    assert [done(rig, rig.ask("metered", customer="one", gateway_set_size=1)) for _ in range(9)] == [True] * 8 + [False]
 
 
 def test_slice_grows_by_the_room_and_falls_back(rig):
@@ -93,7 +93,7 @@
 
 def test_held_request_whose_client_left_gives_its_units_back(rig):
     names = [rig.ask("metered") for _ in range(6)]
-    rig.do(ClientGone(names[5]))
+    rig.do(ClientDisconnected(names[5]))
     assert rig.gateway.customers["metered", "c"].excess == 5000.0
     rig.run(4000.0)
     assert names[5] not in rig.sent
@@ -109,8 +109,8 @@
 def test_in_flight_slice_is_at_least_one():
     rig = rig_with(gateways=4)
     rig.servers(entry(1))
-    assert rig.ask("only-cap", width=4) in rig.sent
-    assert rig.ask("only-cap", width=4) not in rig.sent
+    assert rig.ask("only-cap", gateway_set_size=4) in rig.sent
+    assert rig.ask("only-cap", gateway_set_size=4) not in rig.sent
 
 
 def test_plan_without_limits_is_not_held(rig):
@@ -119,13 +119,13 @@
 
 def test_unknown_plan_or_class_is_refused_and_logged_once(rig):
     first = [rig.ask("nope"), rig.ask("nope"), rig.ask("free", class_name="nope")]
-    assert [rig.answers[name] for name in first] == ["Refuse"] * 3
+    assert [rig.answers[name] for name in first] == ["Reject"] * 3
 
 
 def test_customers_are_forgotten_once_as_new(rig):
     for number in range(3000):
         name = rig.ask("metered", customer=f"c{number}")
-        rig.finish(name, Status.OK)
+        rig.finish(name, AttemptStatus.OK)
         rig.run(10.0)
     assert len(rig.gateway.customers) < 600
     assert len(rig.gateway.flights) == 0
@@ -135,7 +135,7 @@
     rig.ask("metered", customer="still out")
     for number in range(3000):
         name = rig.ask("metered", customer=f"c{number}")
-        rig.finish(name, Status.OK)
+        rig.finish(name, AttemptStatus.OK)
         rig.run(10.0)
     assert len(rig.gateway.customers) < 600 and ("metered", "still out") in rig.gateway.customers
 
@@ -179,7 +179,7 @@
     rig = dear_rig()
     for _ in range(4):
         rig.ask("metered")
-    assert rig.answers[rig.ask("metered")] == "Refuse"
+    assert rig.answers[rig.ask("metered")] == "Reject"
     rig.run(150.0)
     assert rig.ask("metered") not in rig.answers  # a quarter of a unit is missing
     assert rig.ask("metered", "dear") not in rig.answers
@@ -187,23 +187,23 @@
 
 # Thin slices: rate 10, burst 8 over 60 gateways hold 0.13 of a request of one unit and drain it in 6 s
 
-def thin_rig(width: int = 60) -> Rig:
+def thin_rig(gateway_set_size: int = 60) -> Rig:
     rig = Rig(replace(SETTINGS, gateways=60))
     rig.servers(entry(1), entry(2))
-    rig.width = width
+    rig.gateway_set_size = gateway_set_size
     return rig
 
 
 def ask_thin(rig, **more) -> str:
     rig.count += 1
     name = f"r{rig.count}"
-    rig.do(Request(name, "safe", "metered", "c", 4000.0, 1, rig.width, **more))
+    rig.do(Request(name, "safe", "metered", "c", 4000.0, 1, rig.gateway_set_size, **more))
     return name
 
 
-@pytest.mark.parametrize("width, answer", [(60, "Refuse"), (2, None)])
-def test_a_marked_retry_is_refused_under_a_thin_slice_only(width, answer):
-    rig = thin_rig(width)
+@pytest.mark.parametrize("gateway_set_size, answer", [(60, "Reject"), (2, None)])
+def test_a_marked_retry_is_refused_under_a_thin_slice_only(gateway_set_size, answer):
+    rig = thin_rig(gateway_set_size)
     assert rig.answers.get(ask_thin(rig, is_retry=True)) == answer
 
 
@@ -213,7 +213,7 @@
     rig.run(5000.0)  # older than four meter periods, not than one drained request
     assert ask_thin(rig) in rig.sent
     rig.run(100.0)
-    assert rig.answers[ask_thin(rig)] == "Refuse", "three asked: more than the slice and two requests"
+    assert rig.answers[ask_thin(rig)] == "Reject", "three asked: more than the slice and two requests"
 
 
 def test_a_thin_slice_over_quota_or_without_news_has_the_floor():
@@ -222,7 +222,7 @@
         rig.finish(ask_thin(rig), used=used)
         rig.run(wait)
         second, third = ask_thin(rig), ask_thin(rig)
-        assert rig.answers[third] == "Refuse"
+        assert rig.answers[third] == "Reject"
         assert (second in rig.sent) == (wait > 6000.0)  # the first has drained by then
 
 
@@ -232,7 +232,7 @@
     for index in range(60):
         rig = Rig(replace(SETTINGS, gateways=60, index=index), seed=index)
         rig.servers(entry(1), entry(2))
-        rig.width = 60
+        rig.gateway_set_size = 60
         for step in range(100):
             name = ask_thin(rig, is_retry=step % 2 == 1)
             if name in rig.sent:
@@ -248,7 +248,7 @@
     rigs = [Rig(replace(SETTINGS, gateways=3, index=index, classes=(*CLASSES, BRIEF))) for index in range(3)]
     for rig in rigs:
         rig.servers(entry(1), entry(2))
-        rig.finish(rig.ask("only-cap", width=3), used=used)
+        rig.finish(rig.ask("only-cap", gateway_set_size=3), used=used)
     return rigs
 
 
@@ -256,7 +256,7 @@
     """The gateways that send a request of the customer at once; it is answered."""
     took = []
     for index, rig in enumerate(rigs):
-        name = rig.ask("only-cap", "brief", width=3)
+        name = rig.ask("only-cap", "brief", gateway_set_size=3)
         if name in rig.sent:
             took.append(index)
             rig.finish(name)
@@ -290,10 +290,10 @@
     rig = Rig(replace(SETTINGS, gateways=3, index=2, classes=(*CLASSES, BRIEF)))
     rig.servers(entry(1), entry(2))
     rig.now = 3000.0  # a round of turns begins: the last of the set has the next one
-    rig.finish(rig.ask("only-cap", width=3), used=150.0)
-    assert rig.ask("only-cap", "brief", width=3) in rig.answers  # its turn comes 1000 ms on
+    rig.finish(rig.ask("only-cap", gateway_set_size=3), used=150.0)
+    assert rig.ask("only-cap", "brief", gateway_set_size=3) in rig.answers  # its turn comes 1000 ms on
     rig.run(800.0)
-    late = rig.ask("only-cap", "brief", width=3)
+    late = rig.ask("only-cap", "brief", gateway_set_size=3)
     assert late not in rig.sent and late not in rig.answers
     rig.run(210.0)
     assert late in rig.sent
@@ -301,8 +301,8 @@
 
 def test_a_request_that_finds_the_place_taken_starts_the_turns_before_the_meter_shows_it():
     rigs = set_of_three(used=100.0)
-    held = [rig.ask("only-cap", "brief", width=3) for rig in rigs]
-    second = [rig.ask("only-cap", "brief", width=3) for rig in rigs]
+    held = [rig.ask("only-cap", "brief", gateway_set_size=3) for rig in rigs]
+    second = [rig.ask("only-cap", "brief", gateway_set_size=3) for rig in rigs]
     assert all(name in rig.sent for rig, name in zip(rigs, held, strict=True))
     for rig, name in zip(rigs, held, strict=True):
         rig.finish(name)
@@ -332,7 +332,7 @@
         out = [item for item in out if item[0] > now]
         rig = order.choices(rigs, [1.0 / rank for rank in range(1, 31)])[0]
         rig.run(max(0.0, 1000.0 + now - rig.now))
-        name = rig.ask("wide-cap", width=30)
+        name = rig.ask("wide-cap", gateway_set_size=30)
         if name not in rig.sent:
             refused += 1
             continue
--- a/tests/test_library.py
+++ b/tests/unit/test_library.py
@@ -4,11 +4,11 @@
 from pathlib import Path
 
 import pytest
-from conftest import Rig, entry, rig_with
 
-from brackenloft import DiscoveryMode, ListKind, Plan, Settings, Subscribe
+from quota_gateway import DiscoveryMode, Plan, Settings, Subscribe, UpdateKind
+from tests.support.engine_harness import Rig, entry, rig_with
 
-README = Path(__file__).parent.parent / "README.md"
+README = Path(__file__).parent.parent.parent / "README.md"
 
 
 def test_readme_example_runs(capsys):
@@ -23,16 +23,16 @@
     plain = rig.do
     rig.do = lambda event: (lambda acts: asked.extend(a for a in acts if isinstance(a, Subscribe)) or acts)(
         plain(event))
-    rig.servers(entry(1), kind=ListKind.CACHED)
+    rig.servers(entry(1), kind=UpdateKind.CACHED)
     rig.run(10.0)
     assert len(asked) == 1
-    rig.servers(kind=ListKind.FAILED)
+    rig.servers(kind=UpdateKind.FAILED)
     rig.run(5000.0)  # half of the time in which discovery must be asked
     assert len(asked) == 2 and rig.ask() in rig.sent
 
 
 def test_plan_on_a_site_without_a_meter_keeps_the_floor():
-    rig = Rig(rig_with(meter_period_ms=0.0).settings)
+    rig = Rig(rig_with(usage_period_ms=0.0).settings)
     rig.servers(entry(1), entry(2))
     assert [rig.ask("metered") in rig.sent for _ in range(5)] == [True] * 4 + [False]
 
--- a/tests/test_properties.py
+++ b/tests/unit/test_properties.py
@@ -1,20 +1,27 @@
 """The rules as properties: whatever comes in whatever order, within bounds, they hold."""
 
-from conftest import SETTINGS, Rig, entry
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from brackenloft import ClientGone, Effect, ListKind, Outcome, ServerState, Status
+from quota_gateway import (
+    AttemptStatus,
+    ClientDisconnected,
+    EndpointLifecycle,
+    Idempotency,
+    Outcome,
+    UpdateKind,
+)
+from tests.support.engine_harness import SETTINGS, Rig, entry
 
 NAMES = [item.name for item in SETTINGS.classes]
-MAYBE = {Status.ERROR, Status.TIMEOUT, Status.RESET, Status.CANCELLED}
+MAYBE = {AttemptStatus.ERROR, AttemptStatus.TIMEOUT, AttemptStatus.RESET, AttemptStatus.CANCELLED}
 STEPS = st.one_of(
     st.tuples(st.just("ask"), st.sampled_from([p.name for p in SETTINGS.plans]), st.sampled_from(NAMES),
               st.floats(20.0, 4000.0), st.integers(1, 4)),
-    st.tuples(st.just("end"), st.integers(0, 50), st.sampled_from([s for s in Status if s is not Status.OK])),
-    st.tuples(st.just("end"), st.integers(0, 50), st.just(Status.OK)),
+    st.tuples(st.just("end"), st.integers(0, 50), st.sampled_from([s for s in AttemptStatus if s is not AttemptStatus.OK])),
+    st.tuples(st.just("end"), st.integers(0, 50), st.just(AttemptStatus.OK)),
     st.tuples(st.just("wait"), st.floats(0.0, 900.0)),
-    st.tuples(st.just("list"), st.integers(1, 4), st.sampled_from(list(ServerState))),
+    st.tuples(st.just("list"), st.integers(1, 4), st.sampled_from(list(EndpointLifecycle))),
     st.tuples(st.just("leave"), st.integers(0, 50)),
 )
 
@@ -43,9 +50,9 @@
         assert len(sent) == before + 1 <= 3 and not self.out.get(name) and name not in self.over
         assert sent[-1] in self.ready and self.now < deadline
         if self.maybe.get(name) is not None:
-            assert kind.effect is not Effect.UNSAFE
-            if kind.effect is Effect.KEYED:
-                assert self.now - self.maybe[name] < kind.key_memory_ms
+            assert kind.idempotency is not Idempotency.NON_IDEMPOTENT
+            if kind.idempotency is Idempotency.KEYED:
+                assert self.now - self.maybe[name] < kind.idempotency_window_ms
         self.out[name] = (len(sent) - 1, sent[-1], self.now)
         if before == 0 and plan == "ceiling":
             self.drawn.append((self.now, units))
@@ -58,8 +65,8 @@
         assert self.now <= deadline + 8.0 and name not in self.over
         self.over.add(name)
         doubt = self.maybe.get(name) is not None or self.out.get(name)
-        if self.answers[name] == "Refuse" and doubt:
-            assert kind.effect is Effect.SAFE or kind.name == "keyed-all"
+        if self.answers[name] == "Reject" and doubt:
+            assert kind.idempotency is Idempotency.IDEMPOTENT or kind.name == "keyed-all"
 
     def step(self, step):
         if step[0] == "ask":
@@ -71,12 +78,12 @@
             self.run(step[1])
         elif step[0] == "list":
             state = step[2]
-            (self.ready.add if state is ServerState.READY else self.ready.discard)(step[1])
-            self.servers(entry(step[1], "ab"[step[1] % 2], state=state), kind=ListKind.CHANGES)
+            (self.ready.add if state is EndpointLifecycle.READY else self.ready.discard)(step[1])
+            self.servers(entry(step[1], "ab"[step[1] % 2], state=state), kind=UpdateKind.DELTA)
         elif step[0] == "leave" and (held := [n for n in self.info if n not in self.over]):
             name = held[step[1] % len(held)]
             self.over.add(name)
-            self.do(ClientGone(name))
+            self.do(ClientDisconnected(name))
         elif step[0] == "end" and (out := [n for n, o in self.out.items() if o]):
             self.end(out[step[1] % len(out)], step[2])
 
@@ -85,7 +92,7 @@
         self.out[name] = None
         if status in MAYBE and self.maybe.get(name) is None:
             self.maybe[name] = sent
-        closed = status is Status.OK or name in self.over
+        closed = status is AttemptStatus.OK or name in self.over
         if closed:
             self.over.add(name)
         self.do(Outcome(name, number, server, status, self.now - sent, closed))
@@ -96,7 +103,7 @@
 def test_rules_hold_and_every_request_is_answered(steps):
     checker = Checker()
     for number in (1, 2):
-        checker.step(("list", number, ServerState.READY))
+        checker.step(("list", number, EndpointLifecycle.READY))
     for step in steps:
         checker.step(step)
     checker.run(5000.0)
--- a/tests/test_rules.py
+++ b/tests/unit/test_protocol_rules.py
@@ -4,18 +4,26 @@
 from dataclasses import replace
 
 import pytest
-from conftest import CLASSES, DEAR, PLANS, SETTINGS, Rig, entry, rig_with
 
-from brackenloft import Contract, Limits, ListKind, Log, Request, ServerState, Status
-from brackenloft.logic import Customer, Flight
+from quota_gateway import (
+    AttemptStatus,
+    EndpointLifecycle,
+    GatewayLimits,
+    LogMessage,
+    Request,
+    ServiceRules,
+    UpdateKind,
+)
+from quota_gateway.model.state import CustomerState, PendingRequest
+from tests.support.engine_harness import CLASSES, DEAR, PLANS, SETTINGS, Rig, entry, rig_with
 
-RAN_NOT = [Status.FULL, Status.CONNECT_FAILED]
-MAY_HAVE_RUN = [Status.ERROR, Status.TIMEOUT, Status.RESET]
+RAN_NOT = [AttemptStatus.OVERLOADED, AttemptStatus.CONNECT_FAILED]
+MAY_HAVE_RUN = [AttemptStatus.ERROR, AttemptStatus.TIMEOUT, AttemptStatus.RESET]
 
 
 # 1. One final answer
 
-@pytest.mark.parametrize("class_name, answer", [("safe", "Refuse"), ("keyed", "Fail"), ("unsafe", "Fail")])
+@pytest.mark.parametrize("class_name, answer", [("safe", "Reject"), ("keyed", "Fail"), ("unsafe", "Fail")])
 def test_silent_attempt_is_answered_before_the_client_leaves(rig, class_name, answer):
     name = rig.ask(class_name=class_name, patience=300.0)
     rig.run(299.0)
@@ -28,7 +36,7 @@
     rig.run(290.0)
     assert name not in rig.answers
     rig.run(9.0)
-    assert rig.answers[name] == "Refuse" and name not in rig.sent
+    assert rig.answers[name] == "Reject" and name not in rig.sent
 
 
 def test_held_request_goes_when_a_server_comes():
@@ -42,7 +50,7 @@
 def test_nothing_is_sent_after_the_answer(rig):
     name = rig.ask(patience=300.0)
     rig.run(299.0)
-    rig.finish(name, Status.ERROR)
+    rig.finish(name, AttemptStatus.ERROR)
     assert len(rig.sent[name]) == 1
 
 
@@ -67,15 +75,15 @@
     rig = Rig()
     rig.servers(entry(1))
     name = rig.ask(class_name="unsafe")
-    rig.finish(name, Status.FULL)
+    rig.finish(name, AttemptStatus.OVERLOADED)
     rig.run(4000.0)
-    assert rig.answers[name] == "Refuse"
+    assert rig.answers[name] == "Reject"
 
 
 def test_unsafe_after_a_proof_then_a_doubt_is_failed(rig):
     name = rig.ask(class_name="unsafe")
-    rig.finish(name, Status.FULL)
-    rig.finish(name, Status.RESET)
+    rig.finish(name, AttemptStatus.OVERLOADED)
+    rig.finish(name, AttemptStatus.RESET)
     assert rig.answers[name] == "Fail"
 
 
@@ -86,8 +94,8 @@
         rig = Rig(seed=seed)
         rig.servers(entry(1, cell=1), entry(2, cell=1))
         name = rig.ask(class_name=class_name)
-        rig.servers(entry(3, "b", cell=2), entry(4, "b", cell=2), kind=ListKind.CHANGES)
-        rig.finish(name, Status.ERROR)
+        rig.servers(entry(3, "b", cell=2), entry(4, "b", cell=2), kind=UpdateKind.DELTA)
+        rig.finish(name, AttemptStatus.ERROR)
         assert set(rig.sent[name]) <= group and len(rig.sent[name]) == 2
 
 
@@ -95,7 +103,7 @@
     name = rig.ask(class_name="keyed", patience=3900.0)
     rig.gateway.flights[name].tried.clear()  # the window alone decides
     rig.now += 3000.0
-    rig.finish(name, Status.ERROR)
+    rig.finish(name, AttemptStatus.ERROR)
     assert len(rig.sent[name]) == 1 and rig.answers[name] == "Fail"
 
 
@@ -106,7 +114,7 @@
 
 
 def test_silent_server_gets_a_second_copy_where_allowed():
-    rig = Rig(rig_with(limits=Limits(max_attempts=3, may_duplicate=True, can_cancel=True)).settings)
+    rig = Rig(rig_with(limits=GatewayLimits(max_attempts=3, may_duplicate=True, can_cancel=True)).settings)
     rig.servers(entry(1), entry(2))
     name = rig.ask()
     rig.run(3500.0)
@@ -115,9 +123,9 @@
 
 # 3. Drains
 
-@pytest.mark.parametrize("state", [ServerState.DRAINING, ServerState.GONE])
+@pytest.mark.parametrize("state", [EndpointLifecycle.DRAINING, EndpointLifecycle.GONE])
 def test_nothing_goes_to_a_draining_server(rig, state):
-    rig.servers(entry(1, state=state), kind=ListKind.CHANGES)
+    rig.servers(entry(1, state=state), kind=UpdateKind.DELTA)
     assert {rig.sent[rig.ask()][0] for _ in range(3)} == {2}
 
 
@@ -130,7 +138,7 @@
     names = [rig.ask("metered") for _ in range(6)]
     for name in names[:4]:
         rig.finish(name)
-    rig.servers(entry(1, state=ServerState.DRAINING), kind=ListKind.CHANGES)
+    rig.servers(entry(1, state=EndpointLifecycle.DRAINING), kind=UpdateKind.DELTA)
     rig.run(1000.0)
     assert rig.sent[names[5]] == [2]
 
@@ -170,7 +178,7 @@
     names = [rig.ask() for _ in range(40)]
     before = len(rig.sent)
     for _ in range(50):  # every change of the list tries all parked requests again
-        rig.servers(entry(1, started_ms=rig.now), kind=ListKind.CHANGES)
+        rig.servers(entry(1, started_ms=rig.now), kind=UpdateKind.DELTA)
     assert len(rig.sent) == before < len(names) / 2
 
 
@@ -197,8 +205,8 @@
 @pytest.mark.parametrize("gateways", [2, 10, 200])
 def test_ceiling_holds_over_all_gateways_though_one_restarts_empty(gateways):
     # depth 20, 10 a second, slack 2, over two to ten of the gateways; asked for at all of them all the time
-    width, sends = min(gateways, 10), []
-    for index in range(width):
+    gateway_set_size, sends = min(gateways, 10), []
+    for index in range(gateway_set_size):
         lives = [(0.0, 6000.0)] if index else [(0.0, 3000.0), (3000.0, 6000.0)]
         for start, end in lives:
             rig = Rig(replace(SETTINGS, gateways=gateways, index=index), seed=index)
@@ -207,7 +215,7 @@
             seen = set()
             while rig.now < end:
                 for _ in range(1 + index % 3):
-                    rig.ask("ceiling", width=width)
+                    rig.ask("ceiling", gateway_set_size=gateway_set_size)
                 rig.run(100.0)
                 sends += [rig.now] * len(rig.sent.keys() - seen)
                 seen |= rig.sent.keys()
@@ -251,7 +259,7 @@
     for _ in range(4):
         name = rig.ask(patience=100.0)
         rig.run(100.0)
-        rig.finish(name, Status.CANCELLED, latency=98.0)
+        rig.finish(name, AttemptStatus.CANCELLED, latency=98.0)
     assert not any(server.marks for server in rig.gateway.servers.values())
 
 
@@ -263,10 +271,10 @@
 
 
 def test_all_draining_holds_then_refuses(rig):
-    rig.servers(entry(1, state=ServerState.DRAINING), entry(2, state=ServerState.DRAINING))
+    rig.servers(entry(1, state=EndpointLifecycle.DRAINING), entry(2, state=EndpointLifecycle.DRAINING))
     name = rig.ask(patience=300.0)
     rig.run(299.0)
-    assert rig.answers[name] == "Refuse" and name not in rig.sent
+    assert rig.answers[name] == "Reject" and name not in rig.sent
 
 
 # Beyond the rules: pressure over all servers, at any number of gateways
@@ -275,7 +283,7 @@
     out = 0
     for index in range(100):  # six a server over all gateways: 0.6 each with ten servers
         rig = Rig(replace(SETTINGS, gateways=100, index=index), seed=index)
-        rig.servers(*(entry(n) for n in range(10)), kind=ListKind.CACHED)
+        rig.servers(*(entry(n) for n in range(10)), kind=UpdateKind.CACHED)
         for _ in range(5):
             out += rig.ask() in rig.sent
     # each of five asks goes with chance 0.6 while none is out: 1 - 0.4 ** 5 = 99 of 100, none twice
@@ -285,7 +293,7 @@
 def pool_rig() -> Rig:
     """Ten servers, six attempts each over ten gateways: six out at once from here."""
     rig = Rig(replace(SETTINGS, gateways=10))
-    rig.servers(*(entry(n) for n in range(10)), kind=ListKind.CACHED)
+    rig.servers(*(entry(n) for n in range(10)), kind=UpdateKind.CACHED)
     return rig
 
 
@@ -344,18 +352,18 @@
 # Beyond the rules: servers that fail a part of what they get
 
 def test_an_attempt_after_one_that_found_no_server_is_free_and_one_that_was_turned_away_is_not():
-    rig = rig_with(limits=Limits(max_attempts=5, can_cancel=True))
+    rig = rig_with(limits=GatewayLimits(max_attempts=5, can_cancel=True))
     rig.servers(*(entry(n) for n in range(60)))
     for _ in range(40):  # as after a start with an old list on which most servers are gone
         name = rig.ask()
         for _ in range(4):
-            rig.finish(name, Status.CONNECT_FAILED)
+            rig.finish(name, AttemptStatus.CONNECT_FAILED)
         assert name not in rig.answers and len(rig.sent[name]) == 5
         rig.finish(name)
     names = [rig.ask(class_name="unsafe") for _ in range(3)]
     rig.gateway.retries = 1.0
     for name in names:
-        rig.finish(name, Status.FULL)
+        rig.finish(name, AttemptStatus.OVERLOADED)
     assert sum(len(rig.sent[name]) for name in names) == 4
 
 def fleet(size: int = 4) -> Rig:
@@ -370,7 +378,7 @@
     for _ in range(3):
         bad(rig, rig.ask(**ask))
     for only in (1, 2, 3):
-        rig.servers(entry(0, state=ServerState.DRAINING), entry(only))
+        rig.servers(entry(0, state=EndpointLifecycle.DRAINING), entry(only))
         for _ in range(3):
             rig.finish(rig.ask(**ask))
     rig.servers(*(entry(n) for n in range(4)))
@@ -385,12 +393,12 @@
 
 def silent(rig: Rig, name: str) -> None:
     rig.run(1000.0)  # half of the aim
-    rig.finish(name, Status.RESET, latency=1000.0)
+    rig.finish(name, AttemptStatus.RESET, latency=1000.0)
     rig.gateway.servers[0].marks.pop("", None)  # what a reset says of the whole server is not meant here
 
 
 def full(rig: Rig, name: str) -> None:
-    rig.finish(name, Status.FULL)
+    rig.finish(name, AttemptStatus.OVERLOADED)
 
 
 def test_a_server_silent_for_one_class_keeps_the_others():
@@ -405,7 +413,7 @@
 
 def test_a_server_that_drops_connections_is_left_by_all():
     def dropped(rig: Rig, name: str) -> None:
-        rig.finish(name, Status.CONNECT_FAILED)
+        rig.finish(name, AttemptStatus.CONNECT_FAILED)
 
     assert at_server_0(doubted(dropped, class_name="unsafe"), class_name="safe") <= 2
 
@@ -414,7 +422,7 @@
     rig = fleet()
     name = rig.ask()
     assert rig.run(1000.0) is None and len(rig.sent[name]) == 1  # half of the aim: cancelled
-    rig.finish(name, Status.CANCELLED, latency=1000.0)
+    rig.finish(name, AttemptStatus.CANCELLED, latency=1000.0)
     assert len(set(rig.sent[name])) == 2
 
 
@@ -424,7 +432,7 @@
     lines = []
     for _ in range(5):
         name = rig.ask()
-        lines += [a.text for a in rig.finish(name, Status.CONNECT_FAILED) if isinstance(a, Log)]
+        lines += [a.text for a in rig.finish(name, AttemptStatus.CONNECT_FAILED) if isinstance(a, LogMessage)]
     assert lines == ["server 7 doubted: connect_failed"]
 
 
@@ -450,7 +458,7 @@
 def test_attempt_that_is_lost_is_taken_elsewhere_while_there_is_time(class_name):
     rig, name = hung(class_name, 20.0)
     rig.run(1000.0)  # half of the aim
-    rig.finish(name, Status.CANCELLED)
+    rig.finish(name, AttemptStatus.CANCELLED)
     assert len(set(rig.sent[name])) == 2
 
 
@@ -481,29 +489,29 @@
 def test_a_request_turned_away_after_an_error_is_over_and_no_mark_against_the_server():
     rig = fleet(4)
     name = rig.ask()
-    rig.finish(name, Status.ERROR)
+    rig.finish(name, AttemptStatus.ERROR)
     second = rig.gateway.servers[rig.sent[name][1]]
-    rig.finish(name, Status.FULL)
-    assert rig.answers[name] == "Refuse" and len(rig.sent[name]) == 2 and not second.marks
+    rig.finish(name, AttemptStatus.OVERLOADED)
+    assert rig.answers[name] == "Reject" and len(rig.sent[name]) == 2 and not second.marks
     name = rig.ask()
-    rig.finish(name, Status.FULL)  # without an error before it, others may have room
+    rig.finish(name, AttemptStatus.OVERLOADED)  # without an error before it, others may have room
     assert name not in rig.answers and len(rig.sent[name]) == 2
 
 
-RAMP = Contract(8.0, 500.0, 0.19, 18_000.0, 2.5, 3000.0, 10_000.0)
-HALF_COLD = Contract(8.0, 500.0, 0.5, 1e9, 3.0, 2000.0, 10_000.0)  # warm in eleven days
+RAMP = ServiceRules(8.0, 500.0, 0.19, 18_000.0, 2.5, 3000.0, 10_000.0)
+HALF_COLD = ServiceRules(8.0, 500.0, 0.5, 1e9, 3.0, 2000.0, 10_000.0)  # warm in eleven days
 
 
 def few_warm() -> Rig:
     """One warm server and four at a fifth of their capacity for long."""
-    rig = rig_with(contract=Contract(8.0, 500.0, 0.2, 1e9, 3.0, 2000.0, 10_000.0))  # warm in eleven days
+    rig = rig_with(contract=ServiceRules(8.0, 500.0, 0.2, 1e9, 3.0, 2000.0, 10_000.0))  # warm in eleven days
     rig.servers(entry(1), *(entry(number, started_ms=rig.now) for number in (2, 3, 4, 5)))
     return rig
 
 
-def in_turn(rig: Rig, turn: float) -> Flight:
+def in_turn(rig: Rig, turn: float) -> PendingRequest:
     request = Request("r", "safe", "free", "c", 1000.0)
-    return Flight(request, CLASSES[0], PLANS[3], Customer(rig.now, 0.0), rig.now, turn)
+    return PendingRequest(request, CLASSES[0], PLANS[3], CustomerState(rig.now, 0.0), rig.now, turn)
 
 
 def test_cold_servers_have_their_part_within_the_tipping_budget_however_they_answer():
@@ -518,7 +526,7 @@
 
 def test_cold_server_that_fails_or_has_much_out_is_passed_over_in_its_turn():
     rig = few_warm()
-    rig.servers(*(entry(number) for number in range(6, 10)), kind=ListKind.CHANGES)
+    rig.servers(*(entry(number) for number in range(6, 10)), kind=UpdateKind.DELTA)
     servers = rig.gateway.servers
     servers[3].marks[""] = 5.0, 5.0, (rig.now, 0)
     servers[4].out = {(str(number), 0) for number in range(9)}
@@ -557,5 +565,5 @@
             rig.finish(name, latency=40.0 if number in cold else 50.0)
     part = sum(got[number] for number in range(25, 61)) / got.total()
     assert 0.36 <= part <= 0.50  # 18 of 42 by capacity, or 0.43; a little more as they answer faster
-    tipping = HALF_COLD.tip_multiple * 0.5 / 42  # of all requests, where these are what the fleet can do
+    tipping = HALF_COLD.overload_factor * 0.5 / 42  # of all requests, where these are what the fleet can do
     assert max(got[number] / got.total() for number in range(25, 61)) < tipping
--- a/tests/test_fleet.py
+++ b/tests/unit/test_quota_over_fleet.py
@@ -6,14 +6,14 @@
 from dataclasses import replace
 
 import pytest
-from conftest import SETTINGS, Rig, entry
 
-from brackenloft import Bequeath, Estate, Inherit, Plan
+from quota_gateway import ExportState, Plan, RestoreState, StateSnapshot
+from tests.support.engine_harness import SETTINGS, Rig, entry
 
 GATEWAYS, SECONDS, TRIES, LATENCY_MS = 80, 30, 4, 300.0
 PLANS = (
-    Plan("rate", rate=1.4, burst=8.0, over_cost=1.2),
-    Plan("cap", max_in_flight=2, over_cost=1.2),
+    Plan("rate", rate=1.4, burst=8.0, excess_cost=1.2),
+    Plan("cap", max_in_flight=2, excess_cost=1.2),
 )
 
 
@@ -49,7 +49,7 @@
             rig = self.random.choice(self.rigs)
             rig.run(now - rig.now)
             self.asked[name] += left == TRIES
-            made = rig.ask(self.plan.name, customer=name, units=2, width=GATEWAYS)
+            made = rig.ask(self.plan.name, customer=name, units=2, gateway_set_size=GATEWAYS)
             if made in rig.sent:
                 self.count(name, now)
                 heapq.heappush(events, (now + LATENCY_MS, 0, name, rig, made))
@@ -105,10 +105,10 @@
 def test_part_that_passes_is_left_to_a_new_version():
     rig, heir = Rig(replace(SETTINGS, plans=PLANS)), Rig(replace(SETTINGS, plans=PLANS))
     rig.gateway.open["cap"] = 0.5
-    (estate,) = (action.state for action in rig.do(Bequeath()) if isinstance(action, Estate))
-    heir.do(Inherit(estate))
+    (estate,) = (action.state for action in rig.do(ExportState()) if isinstance(action, StateSnapshot))
+    heir.do(RestoreState(estate))
     assert heir.gateway.open["cap"] == 0.5
     older = {name: value for name, value in estate.items() if name != "open"}
     other = Rig(replace(SETTINGS, plans=PLANS))
-    other.do(Inherit(older))  # a version before this one leaves none
-    assert other.gateway.paired and other.gateway.open["cap"] < 0.5
+    other.do(RestoreState(older))  # a version before this one leaves none
+    assert other.gateway.has_peer_process and other.gateway.open["cap"] < 0.5
--- a/tests/test_stopping.py
+++ b/tests/unit/test_shutdown.py
@@ -1,33 +1,33 @@
 """Before a planned end, and when to come back after a refusal over quota."""
 
 import pytest
-from conftest import Rig, entry, rig_with
 
-from brackenloft import Effect, Limits, Plan, Refuse, RequestClass, Stopping
+from quota_gateway import GatewayLimits, Idempotency, Plan, Reject, RequestClass, ShutdownStarted
+from tests.support.engine_harness import Rig, entry, rig_with
 
 
 def test_all_in_hand_and_all_that_comes_is_answered_before_the_end(rig):
     out = [rig.ask(class_name=name) for name in ("safe", "unsafe")]
     rig.run(100.0)
-    rig.do(Stopping(1000.0))
+    rig.do(ShutdownStarted(1000.0))
     late = rig.ask(class_name="safe")
     rig.run(990.0)
     assert not rig.answers
     rig.run(10.0)
-    assert rig.answers == {out[0]: "Refuse", out[1]: "Fail", late: "Refuse"}
+    assert rig.answers == {out[0]: "Reject", out[1]: "Fail", late: "Reject"}
 
 
 def test_stopping_does_not_prolong_a_shorter_wait(rig):
-    rig.do(Stopping(1000.0))
+    rig.do(ShutdownStarted(1000.0))
     name = rig.ask(patience=100.0)
     rig.run(100.0)
-    assert rig.answers == {name: "Refuse"}
+    assert rig.answers == {name: "Reject"}
 
 
-def advising(aim_ms: float, **more) -> Rig:
+def advising(latency_objective_ms: float, **more) -> Rig:
     """Two gateways of a customer with a quota of two units a second and four at once."""
-    kinds = (RequestClass("safe", aim_ms, 4000.0, Effect.SAFE),)
-    limits = Limits(can_advise_retry=True, **more)
+    kinds = (RequestClass("safe", latency_objective_ms, 4000.0, Idempotency.IDEMPOTENT),)
+    limits = GatewayLimits(can_send_retry_after=True, **more)
     rig = rig_with(classes=kinds, limits=limits, plans=(Plan("metered", rate=2.0, burst=4.0),))
     rig.servers(entry(1), entry(2))
     return rig
@@ -50,19 +50,19 @@
 
 def test_advice_is_bounded_and_given_only_where_the_settings_allow_it():
     assert first_refusal(advising(1800.0, max_retry_after_ms=7.0)).retry_after_ms == 7.0
-    rig = rig_with(limits=Limits(), plans=(Plan("metered", rate=2.0, burst=4.0),))
+    rig = rig_with(limits=GatewayLimits(), plans=(Plan("metered", rate=2.0, burst=4.0),))
     rig.servers(entry(1), entry(2))
     assert first_refusal(rig).retry_after_ms == 0.0
 
 
-def first_refusal(rig: Rig) -> Refuse:
+def first_refusal(rig: Rig) -> Reject:
     """Ask for one customer, at one moment, until it is refused."""
-    found: list[Refuse] = []
+    found: list[Reject] = []
     plain = rig.do
 
     def do(event):
         actions = plain(event)
-        found.extend(action for action in actions if isinstance(action, Refuse))
+        found.extend(action for action in actions if isinstance(action, Reject))
         return actions
 
     rig.do = do
--- a/tests/test_adapter.py
+++ b/tests/unit/test_simulator.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 SIM = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["sim"]
 
 ENV = {
@@ -51,7 +51,7 @@
     return [{"Batch": {"t_ms": t, "turn": turn}}, *events, {"Commit": {}}]
 
 
-def roster(ref, *servers):
+def registry(ref, *servers):
     rows = [{"server": s, "locality": "a", "generation_hw": "std", "cluster": 0, "phase": "U", "size": 1,
              "since_ms": None, "new_field": 3} for s in servers]
     return {"Roster": {"ref": ref, "members_list": rows}}
@@ -78,7 +78,7 @@
     outcome = {"Outcome": {"i": "gateway-1", "op_id": "aa", "seq_no": 0, "server": 7, "code": 200,
                            "delay_seen_ms": 20.0, "final": True, "metered": 31, "final_units": None,
                            "gauge": [0.5, 1]}}
-    done = talk(*batch(1, 0.0), *batch(2, 1.0, opening(), roster(0, 7), listing("gateway-1", 0)),
+    done = talk(*batch(1, 0.0), *batch(2, 1.0, opening(), registry(0, 7), listing("gateway-1", 0)),
                 *batch(3, 2.0, {"Knock": {**KNOCK, "extra": 1}}), *batch(4, 22.0, outcome),
                 *batch(5, 30.0, {"Vanished": {"i": "gateway-1", "op_id": "aa"}}))
     rows = replies(done)
@@ -88,21 +88,21 @@
 
 
 def test_a_list_number_recycled_in_one_batch_is_resolved_in_order():
-    rows = replies(talk(*batch(1, 0.0, opening("gateway-1"), roster(3, 7), listing("gateway-1", 3),
-                               opening("gateway-2"), roster(3, 8), listing("gateway-2", 3)),
+    rows = replies(talk(*batch(1, 0.0, opening("gateway-1"), registry(3, 7), listing("gateway-1", 3),
+                               opening("gateway-2"), registry(3, 8), listing("gateway-2", 3)),
                         *batch(2, 1.0, {"Knock": KNOCK}, {"Knock": {**KNOCK, "i": "gateway-2"}})))
     assert [(row["i"], row["server"]) for row in only(rows, "Try")] == [("gateway-1", 7), ("gateway-2", 8)]
 
 
 def test_destroy_then_open_in_one_batch_starts_anew():
-    rows = replies(talk(*batch(1, 0.0, opening(), roster(0, 7), listing("gateway-1", 0)),
-                        *batch(2, 1.0, {"Destroy": {"i": "gateway-1"}}, opening(), roster(0, 9),
+    rows = replies(talk(*batch(1, 0.0, opening(), registry(0, 7), listing("gateway-1", 0)),
+                        *batch(2, 1.0, {"Destroy": {"i": "gateway-1"}}, opening(), registry(0, 9),
                                listing("gateway-1", 0), {"Knock": KNOCK})))
     assert [row["server"] for row in only(rows, "Try")] == [9]
 
 
 def test_same_actions_with_another_hash_seed_and_beside_another_instance():
-    script = [*batch(1, 0.0, opening(), roster(0, 7, 8, 9), listing("gateway-1", 0))]
+    script = [*batch(1, 0.0, opening(), registry(0, 7, 8, 9), listing("gateway-1", 0))]
     for n in range(20):
         script += batch(n + 2, 5.0 * n, {"Knock": {**KNOCK, "op_id": f"{n:x}"}})
     alone = only(replies(talk(*script)), "Try")
@@ -119,7 +119,7 @@
     ({"OpenInstance": {"i": "x", "rng_seed": 1, "env": {**ENV, "balancers": 0}}}, "gateways"),
 ])
 def test_bad_input_gets_a_plain_message_and_a_failing_exit(bad, word):
-    done = talk(*batch(1, 0.0, opening(), roster(0, 7), listing("gateway-1", 0)), bad)
+    done = talk(*batch(1, 0.0, opening(), registry(0, 7), listing("gateway-1", 0)), bad)
     assert done.returncode == 1 and word in done.stderr
     assert len(done.stderr.splitlines()) == 1
 
--- a/tests/test_cold_ramp.py
+++ b/tests/unit/test_slow_start.py
@@ -14,25 +14,25 @@
 from dataclasses import dataclass, replace
 
 import pytest
-from conftest import SETTINGS, entry
-
-from brackenloft import (
-    Cancel,
-    Contract,
-    Gateway,
-    Limits,
-    ListKind,
+
+from quota_gateway import (
+    AttemptStatus,
+    CancelAttempt,
+    EndpointLifecycle,
+    EndpointUpdate,
+    GatewayLimits,
     Outcome,
+    PolicyEngine,
     Request,
-    Send,
-    ServerList,
-    ServerState,
+    ServiceRules,
     SetTimer,
-    Status,
+    StartAttempt,
     TimerFired,
+    UpdateKind,
 )
+from tests.support.engine_harness import SETTINGS, entry
 
-RULES = Contract(8.0, 500.0, 0.19, 18_000.0, 2.5, 3000.0, 10_000.0)
+RULES = ServiceRules(8.0, 500.0, 0.19, 18_000.0, 2.5, 3000.0, 10_000.0)
 START = 2500.0  # of the servers that start anew
 WORK_MS, CORES, FULL_MS = 50.0, 2, 500.0  # a request's work, and the wait at which servers turn away
 
@@ -61,7 +61,7 @@
 
 
 def warmth(age):
-    return min(1.0, RULES.cold_share + (1.0 - RULES.cold_share) * max(0.0, age) / RULES.warm_up_ms)
+    return min(1.0, RULES.initial_capacity_share + (1.0 - RULES.initial_capacity_share) * max(0.0, age) / RULES.warm_up_ms)
 
 
 class Fleet:
@@ -72,9 +72,9 @@
         self.now, self.order, self.events = 0.0, 0, []
         settings = replace(
             SETTINGS, gateways=gateways, contract=RULES,
-            limits=Limits(max_attempts=4, can_cancel=True, may_duplicate=True),
-            classes=tuple(replace(kind, aim_ms=500.0, deadline_ms=1500.0) for kind in SETTINGS.classes))
-        self.gateways = [Gateway(replace(settings, index=index), self.random.randrange(1 << 30))
+            limits=GatewayLimits(max_attempts=4, can_cancel=True, may_duplicate=True),
+            classes=tuple(replace(kind, latency_objective_ms=500.0, deadline_ms=1500.0) for kind in SETTINGS.classes))
+        self.gateways = [PolicyEngine(replace(settings, index=index), self.random.randrange(1 << 30))
                          for index in range(gateways)]
         self.told = [{} for _ in self.gateways]  # by server: since when a gateway has known of its start
         cold = max(1, round(case.cold * servers))
@@ -92,14 +92,14 @@
         before = [self.row(number) for number, server in self.servers.items()
                   if case.known or server.started < 0.0]
         for index in range(gateways):
-            self.push(0.0, self.tell, index, tuple(before), ListKind.FULL)
+            self.push(0.0, self.tell, index, tuple(before), UpdateKind.SNAPSHOT)
             for server in self.cold:
                 told = server.started + case.late * self.random.random()
                 row = self.row(server.number, started_ms=server.started)
-                self.push(told, self.tell, index, (row,), ListKind.CHANGES)
+                self.push(told, self.tell, index, (row,), UpdateKind.DELTA)
                 if not case.known:
-                    gone = self.row(-server.number, state=ServerState.GONE)
-                    self.push(told - 1000.0, self.tell, index, (gone,), ListKind.CHANGES)
+                    gone = self.row(-server.number, state=EndpointLifecycle.GONE)
+                    self.push(told - 1000.0, self.tell, index, (gone,), UpdateKind.DELTA)
 
     def row(self, number, **more):
         return entry(number, cell=number if self.case.kinds == ("keyed-cell",) else 0, **more)
@@ -112,7 +112,7 @@
         for row in rows:
             if row.started_ms:
                 self.told[index][row.server] = self.now
-        self.do(index, ServerList(kind, rows))
+        self.do(index, EndpointUpdate(kind, rows))
 
     def rate_now(self):
         return self.rate * (self.case.burst if START + 2000.0 <= self.now < START + 6000.0 else 1.0)
@@ -131,10 +131,10 @@
         for action in self.gateways[index].handle(self.now, event):
             if isinstance(action, SetTimer):
                 self.push(self.now + action.delay_ms, self.fire, index, action.token)
-            elif isinstance(action, Send):
+            elif isinstance(action, StartAttempt):
                 self.send(index, action)
-            elif isinstance(action, Cancel):
-                self.push(self.now, self.finish, index, (action.request_id, action.attempt), Status.CANCELLED)
+            elif isinstance(action, CancelAttempt):
+                self.push(self.now, self.finish, index, (action.request_id, action.attempt), AttemptStatus.CANCELLED)
 
     def fire(self, index, token):
         if token in self.gateways[index].timers:
@@ -147,12 +147,12 @@
         self.attempts[name] += 1
         self.out[name, number] = server, self.now
         if self.now < server.started:
-            self.push(self.now + 1.0, self.finish, index, (name, number), Status.CONNECT_FAILED)
+            self.push(self.now + 1.0, self.finish, index, (name, number), AttemptStatus.CONNECT_FAILED)
             return
         server.sent.append((self.now, server.number in self.told[index]))
         full = server.free[0] - self.now > FULL_MS
         if full or self.random.random() < server.bad:
-            status = Status.FULL if full else self.random.choice((Status.FULL, Status.RESET, Status.ERROR))
+            status = AttemptStatus.OVERLOADED if full else self.random.choice((AttemptStatus.OVERLOADED, AttemptStatus.RESET, AttemptStatus.ERROR))
             self.push(self.now + 5.0, self.finish, index, (name, number), status)
             return
         free = heapq.heappop(server.free)
@@ -161,12 +161,12 @@
         service = WORK_MS * work
         heapq.heappush(server.free, begins + service / share)
         answered = begins + service / (share if self.case.slow else 1.0)
-        self.push(answered + 1.0, self.finish, index, (name, number), Status.OK)
+        self.push(answered + 1.0, self.finish, index, (name, number), AttemptStatus.OK)
 
     def finish(self, index, which, status):
         if which in self.out:
             server, sent = self.out.pop(which)
-            self.do(index, Outcome(*which, server.number, status, self.now - sent, status is Status.OK))
+            self.do(index, Outcome(*which, server.number, status, self.now - sent, status is AttemptStatus.OK))
 
     def play(self, end):
         self.push(0.0, self.arrive)
@@ -177,8 +177,8 @@
 
     def budget(self, age):
         """Requests that a server may be sent in a window that ends at this age."""
-        mean = (warmth(age - RULES.tip_window_ms) + warmth(age)) / 2.0
-        return RULES.tip_multiple * mean * RULES.tip_window_ms * self.rate / self.size
+        mean = (warmth(age - RULES.overload_window_ms) + warmth(age)) / 2.0
+        return RULES.overload_factor * mean * RULES.overload_window_ms * self.rate / self.size
 
     def worst(self):
         """The largest part of a window's budget and chance that gateways told of the start sent."""
@@ -187,16 +187,16 @@
             sent = [when for when, told in server.sent if told]
             for last, when in enumerate(sent):
                 budget = self.budget(when - server.started)
-                many = last + 1 - bisect_right(sent, when - RULES.tip_window_ms)
+                many = last + 1 - bisect_right(sent, when - RULES.overload_window_ms)
                 worst = max(worst, many / (budget + 2.0 * budget ** 0.5 + 2.0))
         return worst
 
-    def part(self, age, width=4000.0):
+    def part(self, age, gateway_set_size=4000.0):
         """What cold servers are sent at this age, as a share of their part by warmth of all that is sent."""
         got = due = 0.0
         fleet = [server for number, server in self.servers.items() if number > 0]
         for server in self.cold:
-            low, high = server.started + age - width / 2.0, server.started + age + width / 2.0
+            low, high = server.started + age - gateway_set_size / 2.0, server.started + age + gateway_set_size / 2.0
             many = [bisect_left(other.sent, (high,)) - bisect_left(other.sent, (low,)) for other in fleet]
             warm = sum(warmth(server.started + age - other.started) for other in fleet)
             got += many[fleet.index(server)]
--- a/tests/test_subset.py
+++ b/tests/unit/test_subset.py
@@ -6,8 +6,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from brackenloft import logic, subset
-from brackenloft.subset import Nearest, Subset
+from quota_gateway.policy import engine as logic
+from quota_gateway.policy import subset
+from quota_gateway.policy.subset import NearestEndpoints, Subset
 
 FLEETS = st.tuples(st.integers(1, 400), st.integers(1, 400), st.integers(1, 40))  # gateways, servers, least
 SEEDS = st.integers(0, 1 << 30)
@@ -118,7 +119,7 @@
     """Whatever is added and dropped in whatever order; as far as it says that it is sure."""
     gateways, servers, least = fleet
     view, drawn = Subset(gateways, seed % gateways, least), random.Random(seed)
-    nearest, unused, listed = Nearest(view), names_of(servers + 400, seed), []
+    nearest, unused, listed = NearestEndpoints(view), names_of(servers + 400, seed), []
     kept = set()
     for step in range(servers + steps):
         if step < servers or not listed or drawn.random() < 0.4:
@@ -151,7 +152,7 @@
     for index in (0, gateways // 2):
         view = Subset(gateways, index)
         for order in (names, sorted(names), sorted(names)[::-1]):
-            nearest = Nearest(view)
+            nearest = NearestEndpoints(view)
             for name in order:
                 nearest.offer(name)
             assert nearest.sure() >= view.size(servers)
@@ -162,7 +163,7 @@
     """By names alone no list comes in this order: the nearest first, while the size still grows."""
     view = Subset(100, 0)
     ranked = sorted(names_of(3000, 100), key=view.distance)
-    nearest = Nearest(view)
+    nearest = NearestEndpoints(view)
     for name in ranked:
         nearest.offer(name)
     assert 0 < nearest.sure() < view.size(3000)
@@ -170,7 +171,7 @@
 
 
 def test_a_name_that_is_offered_twice_is_kept_once():
-    nearest = Nearest(Subset(3800, 0, 1))
+    nearest = NearestEndpoints(Subset(3800, 0, 1))
     assert nearest.offer("one") == (True, None) and nearest.offer("one") == (True, None)
     assert list(nearest) == ["one"] and nearest.listed == 1
     assert nearest.drop("one") and not nearest.drop("one") and nearest.listed == 0
@@ -213,7 +214,7 @@
     most = {}
     for servers in (600, 38000):
         view = Distances(3800, 5)
-        nearest, names = Nearest(view), names_of(servers, 7)
+        nearest, names = NearestEndpoints(view), names_of(servers, 7)
         for name in names:
             nearest.offer(name)
         costs = []
