--- a/quota_gateway/__main__.py
+++ b/quota_gateway/__main__.py
@@ -127,13 +127,16 @@
         document = json.loads(path.read_text())
         mgmt = environment.get("EDGE_MGMT") or document.get("mgmt")
         return Config(
-            path=path, listen=_address("listen", environment.get("EDGE_LISTEN") or document["listen"]),
+            path=path,
+            listen=_address("listen", environment.get("EDGE_LISTEN") or document["listen"]),
             discovery=_address("discovery", environment.get("EDGE_DISCOVERY") or document["discovery"]),
             mgmt=_address("mgmt", mgmt) if mgmt else None,
-            seed=int(document["seed"], 16), descriptors=int(document["limits"]["sockets"]),
+            seed=int(document["seed"], 16),
+            descriptors=int(document["limits"]["sockets"]),
             inherited=max(STANDARD, _open_descriptors()),
             memory=int(document["limits"]["memory_mb"]) * MEGABYTE,
-            known=document["known"], settings=settings_from_document(document["settings"]),
+            known=document["known"],
+            settings=settings_from_document(document["settings"]),
         )
 
 
@@ -174,7 +177,9 @@
 
     discovery = DiscoveryClient(news, config.seed, gateway.subset)
     # with a list that is known, one who is turned away serves by it at once
-    discovery.on_unavailable = lambda: setattr(clients, "ready", clients.ready or bool(discovery.registry.rows))
+    discovery.on_unavailable = lambda: setattr(
+        clients, "ready", clients.ready or bool(discovery.registry.rows)
+    )
     handover = Handover(rendezvous_path(config.listen), driver, clients, servers)
     bans = Detachments(discovery.registry, driver, handover)
     handover.leave_roster, handover.on_ban = discovery.registry.leave, bans.carry_out
@@ -189,7 +194,8 @@
             _reload(config.path, discovery)
 
     management = AdminServer(
-        lambda: clients.ready and not clients.suspended and not stop.is_set(), bans.moved)
+        lambda: clients.ready and not clients.suspended and not stop.is_set(), bans.moved
+    )
     if config.mgmt:
         await management.listen(config.mgmt)
     reloading = loop.create_task(reload())
@@ -268,7 +274,8 @@
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
     logging.basicConfig(
-        stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(name)s %(message)s")
+        stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(name)s %(message)s"
+    )
     for handler in logging.getLogger().handlers:
         handler.addFilter(LogRateLimiter())
     config = Config.load(dict(os.environ))
--- a/quota_gateway/model/actions.py
+++ b/quota_gateway/model/actions.py
@@ -125,6 +125,19 @@
 
 
 Action = (
-    StartAttempt | Reject | Fail | CancelAttempt | SetTimer | LogMessage | Subscribe | PollEndpoints | HealthCheck | CloseIdle | SetServerDetached
-    | StateSnapshot | NotifyPeerProcess | SendPeerMessage | IncrementCounter
+    StartAttempt
+    | Reject
+    | Fail
+    | CancelAttempt
+    | SetTimer
+    | LogMessage
+    | Subscribe
+    | PollEndpoints
+    | HealthCheck
+    | CloseIdle
+    | SetServerDetached
+    | StateSnapshot
+    | NotifyPeerProcess
+    | SendPeerMessage
+    | IncrementCounter
 )
--- a/quota_gateway/model/events.py
+++ b/quota_gateway/model/events.py
@@ -212,7 +212,20 @@
 
 
 Event = (
-    EndpointUpdate | Request | Outcome | StreamStarted | ClientDisconnected | TimerFired
-    | HealthCheckResult | PeerMessage | CounterReply | ShutdownStarted | DetachServer | AttachServer
-    | ExportState | RestoreState | PeerProcessUsage | PeerProcessExited
+    EndpointUpdate
+    | Request
+    | Outcome
+    | StreamStarted
+    | ClientDisconnected
+    | TimerFired
+    | HealthCheckResult
+    | PeerMessage
+    | CounterReply
+    | ShutdownStarted
+    | DetachServer
+    | AttachServer
+    | ExportState
+    | RestoreState
+    | PeerProcessUsage
+    | PeerProcessExited
 )
--- a/quota_gateway/model/settings.py
+++ b/quota_gateway/model/settings.py
@@ -50,7 +50,16 @@
 
     def __post_init__(self) -> None:
         require_not(not self.name, self, "name", "is empty")
-        require_numbers(self, 0.0, "latency_objective_ms", "deadline_ms", "priority_weight", "value_after_objective", "idempotency_window_ms", "objective_stretch")
+        require_numbers(
+            self,
+            0.0,
+            "latency_objective_ms",
+            "deadline_ms",
+            "priority_weight",
+            "value_after_objective",
+            "idempotency_window_ms",
+            "objective_stretch",
+        )
         require_not(self.deadline_ms <= 0, self, "deadline_ms", "leaves no time")
         require_not(self.latency_objective_ms <= 0, self, "latency_objective_ms", "leaves no time")
 
@@ -115,7 +124,9 @@
     poll_deadline_ms: float = 0.0
 
     def __post_init__(self) -> None:
-        require_numbers(self, 0.0, "answer_slack_ms", "drain_grace_ms", "initial_capacity_share", "warm_up_ms")
+        require_numbers(
+            self, 0.0, "answer_slack_ms", "drain_grace_ms", "initial_capacity_share", "warm_up_ms"
+        )
         require_numbers(self, 0.0, "overload_factor", "overload_window_ms", "poll_deadline_ms")
         require_not(self.initial_capacity_share > 1, self, "initial_capacity_share", "is more than the whole")
 
@@ -143,7 +154,9 @@
 
     def __post_init__(self) -> None:
         require_numbers(self, 1, "gateways")
-        require_numbers(self, 0.0, "index", "usage_period_ms", "counter_timeout_ms", "tick_ms", "cross_zone_cost")
+        require_numbers(
+            self, 0.0, "index", "usage_period_ms", "counter_timeout_ms", "tick_ms", "cross_zone_cost"
+        )
         require_not(self.index >= self.gateways, self, "index", "is not below the number of gateways")
         require_numbers(self, 0.0, "max_request_units")
         require_not(self.max_request_units <= 0, self, "max_request_units", "is nothing")
--- a/quota_gateway/model/snapshot.py
+++ b/quota_gateway/model/snapshot.py
@@ -7,8 +7,19 @@
 from quota_gateway.model.state import Mark, Moment
 
 # What a process that takes over is left of a customer, beside what is out
-INHERITED = ("excess", "touched", "largest", "gateway_set_size", "used", "used_at", "scarce_until", "asked", "asked_at",
-             "ceiling", "ceiling_at")
+INHERITED = (
+    "excess",
+    "touched",
+    "largest",
+    "gateway_set_size",
+    "used",
+    "used_at",
+    "scarce_until",
+    "asked",
+    "asked_at",
+    "ceiling",
+    "ceiling_at",
+)
 
 
 def number_in(value: Any) -> float:
@@ -23,5 +34,7 @@
 
 
 def marks_in(value: Any) -> dict[str, Mark]:
-    return {str(name): (number_in(bad), number_in(seen), moment_in(then))
-            for name, (bad, seen, then) in value.items()}
+    return {
+        str(name): (number_in(bad), number_in(seen), moment_in(then))
+        for name, (bad, seen, then) in value.items()
+    }
--- a/quota_gateway/model/state.py
+++ b/quota_gateway/model/state.py
@@ -15,8 +15,21 @@
 class CustomerState:
     """What this gateway knows of one customer: its excess, its late metered use, what it has out."""
 
-    __slots__ = ("excess", "touched", "largest", "gateway_set_size", "used", "used_at", "out", "ceiling", "ceiling_at",
-                 "asked", "asked_at", "scarce_until", "elsewhere")
+    __slots__ = (
+        "excess",
+        "touched",
+        "largest",
+        "gateway_set_size",
+        "used",
+        "used_at",
+        "out",
+        "ceiling",
+        "ceiling_at",
+        "asked",
+        "asked_at",
+        "scarce_until",
+        "elsewhere",
+    )
 
     def __init__(self, now: float, ceiling: float) -> None:
         self.excess, self.touched, self.largest, self.gateway_set_size = 0.0, now, 0.0, 1
@@ -34,8 +47,21 @@
 class EndpointState:
     """What this gateway knows of one server."""
 
-    __slots__ = ("id", "distance", "zone", "cell", "ready", "listed", "started", "out", "ratio", "ratio_at",
-                 "queue", "queue_at", "marks")
+    __slots__ = (
+        "id",
+        "distance",
+        "zone",
+        "cell",
+        "ready",
+        "listed",
+        "started",
+        "out",
+        "ratio",
+        "ratio_at",
+        "queue",
+        "queue_at",
+        "marks",
+    )
 
     def __init__(self, entry: Endpoint, distance: float) -> None:
         self.id, self.distance = entry.server, distance
@@ -57,12 +83,36 @@
 class PendingRequest:
     """A request in hand: held, parked or out, or answered with attempts still out."""
 
-    __slots__ = ("request", "kind", "plan", "customer", "arrived", "deadline", "sends", "out", "tried",
-                 "crowd", "closed", "reached", "maybe_ran", "streaming", "waiting", "turn", "keys", "timers",
-                 "size", "erred")
+    __slots__ = (
+        "request",
+        "kind",
+        "plan",
+        "customer",
+        "arrived",
+        "deadline",
+        "sends",
+        "out",
+        "tried",
+        "crowd",
+        "closed",
+        "reached",
+        "maybe_ran",
+        "streaming",
+        "waiting",
+        "turn",
+        "keys",
+        "timers",
+        "size",
+        "erred",
+    )
 
     def __init__(
-        self, request: Request, kind: RequestClass, plan: Plan, customer: CustomerState, now: float,
+        self,
+        request: Request,
+        kind: RequestClass,
+        plan: Plan,
+        customer: CustomerState,
+        now: float,
         turn: float,
     ) -> None:
         self.request, self.kind, self.plan, self.customer = request, kind, plan, customer
--- a/quota_gateway/model/validation.py
+++ b/quota_gateway/model/validation.py
@@ -1,5 +1,6 @@
 """Checks of field values, shared by the dataclasses of the model."""
 
+
 def require_numbers(owner: object, low: float, *names: str) -> None:
     """Raise ValueError for the first named field that is not a number of at least ``low``."""
     for name in names:
--- a/quota_gateway/net/admin.py
+++ b/quota_gateway/net/admin.py
@@ -20,8 +20,13 @@
 LONGEST_ID = 256
 BACKLOG = 64
 REASONS = {
-    200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 413: "Content Too Large",
-    500: "Internal Server Error", 503: "Service Unavailable",
+    200: "OK",
+    400: "Bad Request",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    413: "Content Too Large",
+    500: "Internal Server Error",
+    503: "Service Unavailable",
 }
 Answer = tuple[int, str]
 Moved = Callable[[str, bool], Awaitable[bool]]  # a server's id and whether it is to be out: if it is known
@@ -84,7 +89,8 @@
         body = f"{text}\n".encode()
         self.transport.write(
             b"HTTP/1.1 %d %b\r\nContent-Type: text/plain; charset=utf-8\r\nContent-Length: %d\r\n"
-            b"Connection: close\r\n\r\n%b" % (status, REASONS[status].encode(), len(body), body))
+            b"Connection: close\r\n\r\n%b" % (status, REASONS[status].encode(), len(body), body)
+        )
         self.transport.close()
 
     def abort(self) -> None:
@@ -106,7 +112,8 @@
         try:
             loop = asyncio.get_running_loop()
             self.server = await loop.create_server(
-                lambda: AdminConnection(self), *address, reuse_address=True, backlog=BACKLOG)
+                lambda: AdminConnection(self), *address, reuse_address=True, backlog=BACKLOG
+            )
         except OSError as error:
             log.error("no calls of operators can be taken at %s:%d: %r", *address, error)
 
--- a/quota_gateway/net/client_listener.py
+++ b/quota_gateway/net/client_listener.py
@@ -89,11 +89,16 @@
         if not ID.fullmatch(request_id):
             raise CommandError("bad request id")
         request = api.Request(
-            request_id=request_id.decode("ascii"), class_name=kind.name, plan=plan,
-            customer=self._customer(customer), timeout_ms=self._patience(fields, kind),
-            units=self._units(fields), gateway_set_size=self._place(fields, b"spread", 1),
+            request_id=request_id.decode("ascii"),
+            class_name=kind.name,
+            plan=plan,
+            customer=self._customer(customer),
+            timeout_ms=self._patience(fields, kind),
+            units=self._units(fields),
+            gateway_set_size=self._place(fields, b"spread", 1),
             first_gateway=self._place(fields, b"first", 0),
-            is_retry=fields.get(b"r") == b"1", is_write=posts,
+            is_retry=fields.get(b"r") == b"1",
+            is_write=posts,
         )
         return request, _encoder(name, command, listed)
 
@@ -151,7 +156,11 @@
     __slots__ = ("connection", "answer", "request_id", "size", "source", "pieces", "begun")
 
     def __init__(
-        self, connection: ClientConnection, answer: bytes | None = None, request_id: str = "", size: int = 0,
+        self,
+        connection: ClientConnection,
+        answer: bytes | None = None,
+        request_id: str = "",
+        size: int = 0,
     ) -> None:
         self.connection, self.answer, self.request_id = connection, answer, request_id
         self.size = size  # bytes that it holds: the command, later the answer
@@ -311,8 +320,12 @@
 
     def _full(self) -> bool:
         """Whether no more commands may be in hand now."""
-        return (self.stuck or self.clients.suspended or len(self.slots) >= MOST_PIPELINED
-                or self.in_hand > MOST_IN_HAND)
+        return (
+            self.stuck
+            or self.clients.suspended
+            or len(self.slots) >= MOST_PIPELINED
+            or self.in_hand > MOST_IN_HAND
+        )
 
     def _read(self) -> None:
         """Read commands, but no more than may be in hand at once, and not so many that others wait.
@@ -398,7 +411,10 @@
         slot = PendingReply(self, None, request.request_id, size)
         self.slots.append(slot)
         driver.request(
-            ActiveRequest(request.request_id, encode, slot.fill, slot.begin, self.waits), request, request.timeout_ms)
+            ActiveRequest(request.request_id, encode, slot.fill, slot.begin, self.waits),
+            request,
+            request.timeout_ms,
+        )
 
     def _refuse(self, why: str) -> None:
         """A bad command: an error, and after many in a row the end."""
@@ -409,8 +425,12 @@
 
     def within_body(self) -> bool:
         """Whether all of a command has come but a body, and that is still coming."""
-        return (not self.ending and len(self.reader.words) == HEAD_WORDS and self.reader.length is not None
-                and self.clients.loop.time() - self.heard < BODY_S)
+        return (
+            not self.ending
+            and len(self.reader.words) == HEAD_WORDS
+            and self.reader.length is not None
+            and self.clients.loop.time() - self.heard < BODY_S
+        )
 
     def overdue(self) -> None:
         """A command that was owed has not come, or an end has taken too long.
@@ -515,13 +535,21 @@
         kernel goes with the connection, and what was read of a command with the rest.
         """
         transport = self.transport
-        if (transport is None or transport.is_closing() or self.ending or self.slots or self.stuck
-                or self.tired or transport.get_write_buffer_size()):
+        if (
+            transport is None
+            or transport.is_closing()
+            or self.ending
+            or self.slots
+            or self.stuck
+            or self.tired
+            or transport.get_write_buffer_size()
+        ):
             return None
         transport.pause_reading()
         descriptor, now = os.dup(self.socket.fileno()), self.clients.loop.time()
         before = ResumedConnection(
-            self.spoke, self.asked, now - self.clients.owing.get(self, now), bytes(self.reader.buffer))
+            self.spoke, self.asked, now - self.clients.owing.get(self, now), bytes(self.reader.buffer)
+        )
         self.ending = True
         transport.abort()
         return descriptor, before
@@ -566,17 +594,27 @@
 class ClientListener:
     """The listener and the connections it accepted, bounded in number and in what they hold."""
 
-    def __init__(self, driver: Driver, settings: api.Settings, max_connections: int, max_buffered_bytes: int) -> None:
+    def __init__(
+        self, driver: Driver, settings: api.Settings, max_connections: int, max_buffered_bytes: int
+    ) -> None:
         self.driver, self.requests = driver, RequestParser(settings)
         self.max_connections, self.max_buffered_bytes = max_connections, max_buffered_bytes
         self.held = 0  # bytes of commands and replies
         self.connections: OrderedDict[ClientConnection, None] = OrderedDict()
         self.owing: OrderedDict[ClientConnection, float] = OrderedDict()  # a command or an end, since when
         self.bodies: dict[ClientConnection, None] = {}  # overdue but for a body that is still coming
-        self.idle: OrderedDict[ClientConnection, float] = OrderedDict()  # with nothing in hand, and since when
-        self.once: OrderedDict[ClientConnection, float] = OrderedDict()  # the same, of those who have asked once
-        self.never: OrderedDict[ClientConnection, float] = OrderedDict()  # the same, of those who said something else
-        self.descriptors_in_use = 0  # descriptors taken: counted from accepting until the loop has closed them
+        self.idle: OrderedDict[ClientConnection, float] = (
+            OrderedDict()
+        )  # with nothing in hand, and since when
+        self.once: OrderedDict[ClientConnection, float] = (
+            OrderedDict()
+        )  # the same, of those who have asked once
+        self.never: OrderedDict[ClientConnection, float] = (
+            OrderedDict()
+        )  # the same, of those who said something else
+        self.descriptors_in_use = (
+            0  # descriptors taken: counted from accepting until the loop has closed them
+        )
         self.loop = asyncio.get_running_loop()
         self.ready = self.leaving = self.accepting = False
         self.suspended = False  # as another process serves: nothing is accepted or read here
@@ -669,10 +707,16 @@
         """
         now, room = self.loop.time(), ROOM
         useless = sorted(
-            (client for client in (*self.owing, *self.never) if client.ending or not client.slots and (
-                client.heard < now - (STOPPED_S if client.reader.buffer else FRESH_S))),
-            key=lambda client: client.heard)
-        for client in useless[:2 * ROOM]:
+            (
+                client
+                for client in (*self.owing, *self.never)
+                if client.ending
+                or not client.slots
+                and (client.heard < now - (STOPPED_S if client.reader.buffer else FRESH_S))
+            ),
+            key=lambda client: client.heard,
+        )
+        for client in useless[: 2 * ROOM]:
             if room > 0:
                 room -= client.drop()
         for idle in (self.once, self.idle):
--- a/quota_gateway/net/discovery_client.py
+++ b/quota_gateway/net/discovery_client.py
@@ -78,7 +78,9 @@
         self.feed, self.target = feed, target
         self.parser = httptools.HttpResponseParser(self)
         self.line, self.documents = bytearray(), JsonLineReader()
-        self.long: StreamingSnapshotReader | None = None  # while a document too long to be read at once is read
+        self.long: StreamingSnapshotReader | None = (
+            None  # while a document too long to be read at once is read
+        )
         self.backlog = bytearray()  # what has come meanwhile
         self.complete = self.lost = False  # nothing comes behind that, and the connection is gone
         self.digesting: asyncio.Task[None] | None = None
@@ -95,7 +97,8 @@
             return
         host, port = self.feed.address
         self.transport.write(
-            f"GET {self.target} HTTP/1.1\r\nHost: {host}:{port}\r\nAccept: application/json\r\n\r\n".encode())
+            f"GET {self.target} HTTP/1.1\r\nHost: {host}:{port}\r\nAccept: application/json\r\n\r\n".encode()
+        )
         self._heard(FIRST_S)
 
     def _heard(self, for_s: float) -> None:
@@ -157,7 +160,7 @@
             if document is not None and document is not BEAT and not self.feed.take(document, self):
                 return
             if self.documents.size > LONG:
-                self._read_in_pieces(b"\n".join([self.documents.give_up(), *lines[number + 1:], rest]))
+                self._read_in_pieces(b"\n".join([self.documents.give_up(), *lines[number + 1 :], rest]))
                 return
         if len(self.line) + self.documents.size > LONG:
             whole = self.documents.give_up()
@@ -340,7 +343,9 @@
             self.next.end()
         self.next = DiscoveryWatcher(self, address)
 
-    def spoke(self, feed: DiscoveryWatcher, listing: api.EndpointUpdate, addresses: dict[int, Address]) -> None:
+    def spoke(
+        self, feed: DiscoveryWatcher, listing: api.EndpointUpdate, addresses: dict[int, Address]
+    ) -> None:
         """News from a feed; the first of a new one ends the one before."""
         if feed is self.next:
             if self.feed:
--- a/quota_gateway/net/driver.py
+++ b/quota_gateway/net/driver.py
@@ -47,12 +47,27 @@
 class ActiveRequest:
     """A client's request in hand, until it has been answered and no attempt is out."""
 
-    __slots__ = ("request_id", "encode", "on_answer", "on_value", "waits", "value", "deadline", "sends",
-                 "out", "answered", "gone")
+    __slots__ = (
+        "request_id",
+        "encode",
+        "on_answer",
+        "on_value",
+        "waits",
+        "value",
+        "deadline",
+        "sends",
+        "out",
+        "answered",
+        "gone",
+    )
 
     def __init__(
-        self, request_id: str, encode: Callable[[float], bytes], on_answer: Callable[[bytes], None],
-        on_value: Callable[[int, Attempt], BodyWriter] | None = None, waits: Callable[[], bool] = lambda: True,
+        self,
+        request_id: str,
+        encode: Callable[[float], bytes],
+        on_answer: Callable[[bytes], None],
+        on_value: Callable[[int, Attempt], BodyWriter] | None = None,
+        waits: Callable[[], bool] = lambda: True,
     ) -> None:
         self.request_id, self.encode, self.on_answer, self.on_value = request_id, encode, on_answer, on_value
         self.waits = waits  # whether the client is still there
@@ -78,8 +93,12 @@
         self.tell_other: Callable[[api.PeerProcessUsage], None] = lambda news: None
         self.loop = asyncio.get_running_loop()
         self.actions: dict[type, Callable[[Any], None]] = {
-            api.StartAttempt: self._send, api.Reject: self._refuse, api.Fail: self._fail, api.CancelAttempt: self._cancel,
-            api.SetTimer: self._set_timer, api.LogMessage: lambda action: log.info("%s", action.text),
+            api.StartAttempt: self._send,
+            api.Reject: self._refuse,
+            api.Fail: self._fail,
+            api.CancelAttempt: self._cancel,
+            api.SetTimer: self._set_timer,
+            api.LogMessage: lambda action: log.info("%s", action.text),
             api.CloseIdle: lambda action: servers.close_idle(action.server),
             api.SetServerDetached: lambda action: servers.set_detached(action.server, action.detached),
             api.Subscribe: lambda action: None,  # the watch, always open, asks
@@ -185,7 +204,8 @@
 
         # Guards against a server that works for longer than anybody waits, where connecting took a while.
         attempt = Attempt(
-            call.encode(wait), done, begun, lambda: call.encode(now + wait - self.clock()), call.waits)
+            call.encode(wait), done, begun, lambda: call.encode(now + wait - self.clock()), call.waits
+        )
         call.out[number] = attempt
         self.servers.start(action.server, attempt)
         if number in call.out:
@@ -196,15 +216,31 @@
             self.servers.stop(attempt, api.AttemptStatus.TIMEOUT)
 
     def _outcome(
-        self, call: ActiveRequest, number: int, server: int, sent: float, reply: UpstreamReply, first_ms: float = inf,
+        self,
+        call: ActiveRequest,
+        number: int,
+        server: int,
+        sent: float,
+        reply: UpstreamReply,
+        first_ms: float = inf,
     ) -> None:
         """The outcome of an attempt; a good answer goes to the client first, if it still waits."""
         if reply.value is not None and not call.answered:
             self._answer(call, b"$%d\r\n%b\r\n" % (len(reply.value), reply.value))
         self.over.append(call)
-        self.post(api.Outcome(
-            call.request_id, number, server, reply.status, min(first_ms, self.clock() - sent), call.answered,
-            reply.used, reply.cost, reply.load))
+        self.post(
+            api.Outcome(
+                call.request_id,
+                number,
+                server,
+                reply.status,
+                min(first_ms, self.clock() - sent),
+                call.answered,
+                reply.used,
+                reply.cost,
+                reply.load,
+            )
+        )
 
     def _refuse(self, action: api.Reject) -> None:
         advice = round(action.retry_after_ms)
--- a/quota_gateway/net/endpoint_registry.py
+++ b/quota_gateway/net/endpoint_registry.py
@@ -28,11 +28,15 @@
 SLICE = 32  # rows of a long list that are told at a time, or more where a gateway works with most servers,
 MOST_SLICES = 64  # as all that are known are sorted anew after each
 STATES = {
-    "Ready": api.EndpointLifecycle.READY, "Terminating": api.EndpointLifecycle.DRAINING, "Gone": api.EndpointLifecycle.GONE,
+    "Ready": api.EndpointLifecycle.READY,
+    "Terminating": api.EndpointLifecycle.DRAINING,
+    "Gone": api.EndpointLifecycle.GONE,
 }
 Row = dict[str, Any]
 Told = tuple[api.Endpoint, Address]
-RegistryChange = tuple[api.EndpointUpdate, dict[int, Address]]  # what has changed, and the addresses of those in it
+RegistryChange = tuple[
+    api.EndpointUpdate, dict[int, Address]
+]  # what has changed, and the addresses of those in it
 
 
 class EndpointRegistry:
@@ -65,14 +69,21 @@
 
     def leave(self) -> dict[str, Any]:
         """What a process that takes over has to know: the list, and which number stands for whom."""
-        return {"rows": list(self.rows.values()), "numbers": self.numbers, "absent": self.absent,
-                "barred": sorted(self.detached)}
+        return {
+            "rows": list(self.rows.values()),
+            "numbers": self.numbers,
+            "absent": self.absent,
+            "barred": sorted(self.detached),
+        }
 
     def restore_state(self, left: Any) -> dict[str, Any]:
         """Take over what the process before has left; the list as a document. ValueError if malformed."""
         try:
-            named = {str(name): int(number) for part in (left["numbers"], left["absent"])
-                     for name, number in part.items()}
+            named = {
+                str(name): int(number)
+                for part in (left["numbers"], left["absent"])
+                for name, number in part.items()
+            }
             rows, detached = list(left["rows"]), {str(name) for name in left["barred"]}
         except (KeyError, TypeError, AttributeError) as error:
             raise ValueError(f"the roster that was left is malformed: {error!r}") from error
@@ -126,16 +137,29 @@
         name, zone, kind = row["instanceId"], row["zone"], row.get("machineType") or ""
         size, started = float(row.get("weight") or 1.0), float(row.get("startedAtMs") or 0.0)
         state, cell = STATES[row["lifecycle"]], row.get("cell") or 0
-        if not (_is_name(name) and isinstance(zone, str) and isinstance(kind, str)
-                and isinstance(cell, int) and isfinite(size) and isfinite(started)
-                and 0 < address[1] < 1 << 16):
+        if not (
+            _is_name(name)
+            and isinstance(zone, str)
+            and isinstance(kind, str)
+            and isinstance(cell, int)
+            and isfinite(size)
+            and isfinite(started)
+            and 0 < address[1] < 1 << 16
+        ):
             raise ValueError("a field is out of range")
         number = self.numbers.get(name)
         if number is None:
             number = self.numbers[name] = self.absent.pop(name, 0) or next(self.unused)
         entry = api.Endpoint(
-            server=number, zone=zone, kind=kind, cell=cell, state=state, size=size, started_ms=started,
-            name=name)
+            server=number,
+            zone=zone,
+            kind=kind,
+            cell=cell,
+            state=state,
+            size=size,
+            started_ms=started,
+            name=name,
+        )
         return entry, address
 
 
@@ -238,7 +262,9 @@
         if self.taken and not self.rows:
             raise ValueError("no row can be read")
         registry.nearest, registry.others = self.nearest, self.others
-        return [told for name in list(registry.rows) if name not in self.rows and (told := registry.forget(name))]
+        return [
+            told for name in list(registry.rows) if name not in self.rows and (told := registry.forget(name))
+        ]
 
 
 class StreamingSnapshotReader:
--- a/quota_gateway/net/handover.py
+++ b/quota_gateway/net/handover.py
@@ -73,7 +73,7 @@
                 os.close(descriptor)
             return
         data = json.dumps(head).encode() + b"\n" + raw
-        pieces = [data[at:at + PIECE] for at in range(0, len(data), PIECE)]
+        pieces = [data[at : at + PIECE] for at in range(0, len(data), PIECE)]
         for number, piece in enumerate(pieces, 1):
             self.out.append(((LAST if number == len(pieces) else MORE) + piece, descriptor))
             descriptor = None
@@ -230,12 +230,16 @@
     return _estate(channel, *message) if message else None
 
 
-def _estate(channel: ProcessChannel, head: dict[str, Any], raw: bytes, descriptor: int | None) -> HandoverState | None:
+def _estate(
+    channel: ProcessChannel, head: dict[str, Any], raw: bytes, descriptor: int | None
+) -> HandoverState | None:
     try:
         if head.get("kind") != "estate" or head.get("version") != VERSION or descriptor is None:
             raise ValueError("no estate of this version")
         left = json.loads(raw)
-        estate = HandoverState(channel, socket.socket(fileno=descriptor), dict(left["state"]), dict(left["roster"]))
+        estate = HandoverState(
+            channel, socket.socket(fileno=descriptor), dict(left["state"]), dict(left["roster"])
+        )
         if not estate.listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
             raise ValueError("that is no listener")
     except (ValueError, KeyError, TypeError, OSError) as error:
@@ -250,7 +254,9 @@
 class Handover:
     """What this process does with the one before it and the one after it."""
 
-    def __init__(self, path: Path | None, driver: Driver, clients: ClientListener, servers: UpstreamPool) -> None:
+    def __init__(
+        self, path: Path | None, driver: Driver, clients: ClientListener, servers: UpstreamPool
+    ) -> None:
         self.path, self.driver, self.clients, self.servers = path, driver, clients, servers
         self.loop = asyncio.get_running_loop()
         self.leave_roster: Callable[[], dict[str, Any]] = dict
@@ -292,7 +298,9 @@
 
     # ---- Messages of either side
 
-    def _hear(self, channel: ProcessChannel, head: dict[str, Any], raw: bytes, descriptor: int | None) -> None:
+    def _hear(
+        self, channel: ProcessChannel, head: dict[str, Any], raw: bytes, descriptor: int | None
+    ) -> None:
         kind = head["kind"]
         if kind == "connection" and channel is self.before and descriptor is not None:
             sock, owing_s = socket.socket(fileno=descriptor), float(head["owing_s"])
@@ -307,8 +315,11 @@
             self.clients.peer_connections = max(0, int(head["clients"]))
             self.servers.peer_connections = max(0, int(head["servers"]))
         elif kind == "out":
-            self.driver.post(api.PeerProcessUsage(
-                str(head["plan"]), str(head["customer"]), int(head["out"]), float(head["change"])))
+            self.driver.post(
+                api.PeerProcessUsage(
+                    str(head["plan"]), str(head["customer"]), int(head["out"]), float(head["change"])
+                )
+            )
         elif kind == "ban":
             known = self.on_ban(str(head["id"]), bool(head["out"]), bool(head["known"]))
             channel.send({"kind": "banned", "number": head["number"], "known": known})
@@ -322,8 +333,15 @@
 
     def _tell_other(self, news: api.PeerProcessUsage) -> None:
         for channel in self._channels():
-            channel.send({"kind": "out", "plan": news.plan, "customer": news.customer, "out": news.out,
-                          "change": news.change})
+            channel.send(
+                {
+                    "kind": "out",
+                    "plan": news.plan,
+                    "customer": news.customer,
+                    "out": news.out,
+                    "change": news.change,
+                }
+            )
 
     async def ban(self, name: str, out: bool, known: bool) -> bool:
         """Have the other process, if there is one, carry out a ban; whether it knows the server."""
@@ -332,8 +350,7 @@
             self.questions += 1
             answer = self.asked[self.questions] = self.loop.create_future()
             answers.append(answer)
-            channel.send(
-                {"kind": "ban", "id": name, "out": out, "known": known, "number": self.questions})
+            channel.send({"kind": "ban", "id": name, "out": out, "known": known, "number": self.questions})
         if answers:
             done, _ = await asyncio.wait(answers, timeout=BAN_S)
             return any(answer.result() for answer in done)
@@ -411,8 +428,11 @@
         self.clients.suspend()
         left = {"state": self.driver.export_state(), "roster": self.leave_roster()}
         self.told = {}
-        channel.send({"kind": "estate", "version": VERSION}, json.dumps(left).encode(),
-                     os.dup(self.clients.listener.fileno()))
+        channel.send(
+            {"kind": "estate", "version": VERSION},
+            json.dumps(left).encode(),
+            os.dup(self.clients.listener.fileno()),
+        )
         self._tell_holds()
         self.patience = self.loop.call_later(ANSWER_S, channel.close, "the new version is silent")
 
@@ -451,8 +471,16 @@
             released = client.release()
             if released:
                 descriptor, before = released
-                self.after.send({"kind": "connection", "spoke": before.spoke, "asked": before.asked,
-                                 "owing_s": before.owing_s}, before.read, descriptor)
+                self.after.send(
+                    {
+                        "kind": "connection",
+                        "spoke": before.spoke,
+                        "asked": before.asked,
+                        "owing_s": before.owing_s,
+                    },
+                    before.read,
+                    descriptor,
+                )
         self._tell_holds()
         if self.after:
             self.passing = self.loop.call_later(TICK_S, self._pass_on)
--- a/quota_gateway/net/resp.py
+++ b/quota_gateway/net/resp.py
@@ -30,7 +30,11 @@
     """Reads arrays of bulk strings, each at most as long as ``longest`` says for its place."""
 
     def __init__(
-        self, longest: Sequence[int], least: int, nullable_from: int, passed_from: float = inf,
+        self,
+        longest: Sequence[int],
+        least: int,
+        nullable_from: int,
+        passed_from: float = inf,
     ) -> None:
         self.longest, self.least, self.nullable_from = longest, least, nullable_from
         self.passed_from = passed_from  # bytes from which the first element is not gathered, see ``piece``
@@ -48,8 +52,8 @@
     def piece(self) -> bytes:
         """Take what has come of an element that is not gathered."""
         assert self.left is not None
-        taken = bytes(memoryview(self.buffer)[:self.left])
-        del self.buffer[:len(taken)]
+        taken = bytes(memoryview(self.buffer)[: self.left])
+        del self.buffer[: len(taken)]
         self.left -= len(taken)
         if taken and not self.left:
             self.length = 0  # what is still to be read of it
@@ -67,7 +71,7 @@
                 raise ProtocolError("bad number of elements")
         if not self._elements():
             return None
-        del self.buffer[:self.place]
+        del self.buffer[: self.place]
         self.place, self.count, self.left = 0, 0, None
         return self.words
 
@@ -104,13 +108,13 @@
         if length > self.longest[place] or (length < 0 and place < self.nullable_from):
             raise ProtocolError("too long, or null")
         if length > self.passed_from and not place:
-            del self.buffer[:self.place]
+            del self.buffer[: self.place]
             self.place, self.left = 0, length
         return True
 
     def _refuse_if_wrong(self, kind: bytes) -> None:
         """No header stands here: whether one may still come of it."""
-        rest = self.buffer[self.place:self.place + LONGEST_HEADER]
+        rest = self.buffer[self.place : self.place + LONGEST_HEADER]
         if rest and (rest[:1] != kind or len(rest) == LONGEST_HEADER or b"\n" in rest):
             raise ProtocolError("bad header")
 
@@ -134,8 +138,11 @@
 
     def __init__(self) -> None:
         super().__init__(
-            (LONGEST_VALUE, LONGEST_FIGURES, LONGEST_FIGURES), least=3, nullable_from=1,
-            passed_from=PASSED_FROM)
+            (LONGEST_VALUE, LONGEST_FIGURES, LONGEST_FIGURES),
+            least=3,
+            nullable_from=1,
+            passed_from=PASSED_FROM,
+        )
 
     def answer(self) -> Answer | None:
         """The next answer, or None until it is whole."""
@@ -147,7 +154,7 @@
                 raise ProtocolError("a line without end")
             return None
         line = bytes(memoryview(self.buffer)[1:end])
-        del self.buffer[:end + 2]
+        del self.buffer[: end + 2]
         if not line.isascii():
             raise ProtocolError("a line that is no text")
         return line.decode("ascii")
--- a/quota_gateway/net/upstream_pool.py
+++ b/quota_gateway/net/upstream_pool.py
@@ -69,8 +69,12 @@
     __slots__ = ("payload", "done", "connection", "begun", "sink", "renew", "wanted")
 
     def __init__(
-        self, payload: bytes, done: Callable[[UpstreamReply], None], begun: Callable[[int], BodyConsumer] = _no_sink,
-        renew: Callable[[], bytes] | None = None, wanted: Callable[[], bool] = _wanted,
+        self,
+        payload: bytes,
+        done: Callable[[UpstreamReply], None],
+        begun: Callable[[int], BodyConsumer] = _no_sink,
+        renew: Callable[[], bytes] | None = None,
+        wanted: Callable[[], bool] = _wanted,
     ) -> None:
         self.renew = renew  # the command as it reads once a connection is up, which may take a while
         self.wanted = wanted  # whether its client is still there
@@ -390,7 +394,9 @@
         self.hosts: dict[int, UpstreamHost] = {}
         self.detached: set[int] = set()  # also those that no list names now
         self.connections: set[UpstreamConnection] = set()
-        self.descriptors_in_use = 0  # descriptors taken: counted from before they are opened until they are closed
+        self.descriptors_in_use = (
+            0  # descriptors taken: counted from before they are opened until they are closed
+        )
         self.waiting: deque[UpstreamConnection] = deque()  # for those that are closing to be closed
         self.sweeper = self.loop.call_later(SWEEP_S, self._sweep)
 
--- a/quota_gateway/policy/engine.py
+++ b/quota_gateway/policy/engine.py
@@ -150,11 +150,20 @@
         self.logged: set[str] = set()
         self.actions: list[Action] = []
         self.handlers: dict[type, Callable[[Any], None]] = {
-            Request: self._on_request, Outcome: self._on_outcome, TimerFired: self._on_timer,
-            EndpointUpdate: self._on_list, ClientDisconnected: self._on_gone, StreamStarted: self._on_stream,
-            HealthCheckResult: self._on_probe, ShutdownStarted: self._on_stopping,
-            DetachServer: self._on_detach, AttachServer: self._on_attach, ExportState: self._on_bequeath,
-            RestoreState: self._on_inherit, PeerProcessUsage: self._on_elsewhere, PeerProcessExited: self._on_alone,
+            Request: self._on_request,
+            Outcome: self._on_outcome,
+            TimerFired: self._on_timer,
+            EndpointUpdate: self._on_list,
+            ClientDisconnected: self._on_gone,
+            StreamStarted: self._on_stream,
+            HealthCheckResult: self._on_probe,
+            ShutdownStarted: self._on_stopping,
+            DetachServer: self._on_detach,
+            AttachServer: self._on_attach,
+            ExportState: self._on_bequeath,
+            RestoreState: self._on_inherit,
+            PeerProcessUsage: self._on_elsewhere,
+            PeerProcessExited: self._on_alone,
         }
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
@@ -311,7 +320,11 @@
         if not limits.can_send_retry_after:
             return 0.0
         rate = plan.rate * self._share(customer)
-        burst = max(plan.burst / customer.gateway_set_size, customer.largest) * THOUSANDTHS * self._worthier(flight.kind)
+        burst = (
+            max(plan.burst / customer.gateway_set_size, customer.largest)
+            * THOUSANDTHS
+            * self._worthier(flight.kind)
+        )
         excess = customer.excess - rate * (self.now - customer.touched) + THOUSANDTHS * flight.request.units
         hold = min(burst / rate, flight.request.timeout_ms, max(0.0, self._useful(flight)))
         wait = max(0.0, (excess - burst) / rate - hold)
@@ -374,7 +387,10 @@
 
     def _fresh_ceiling(self, plan: Plan, gateway_set_size: int) -> float:
         """The ceiling's share of a customer not seen since the start: unknown history starts at nought."""
-        return min(plan.ceiling_burst, plan.ceiling_rate * (self.now - self.started_at) / 1000.0) / gateway_set_size
+        return (
+            min(plan.ceiling_burst, plan.ceiling_rate * (self.now - self.started_at) / 1000.0)
+            / gateway_set_size
+        )
 
     def _ceiling_level(self, customer: CustomerState, plan: Plan) -> float:
         refill = plan.ceiling_rate / customer.gateway_set_size * (self.now - customer.ceiling_at) / 1000.0
@@ -458,13 +474,16 @@
                 few = [s for s in self.ready if self._in_group(flight, s)]
         if len(few) > 2 * SAMPLE:
             reach = self.ready[-1].distance if self.reserve else inf  # no others, however quick they were
-            quick = [s for s in self.quick[flight.kind.name].values()
-                     if s.distance <= reach and (not flight.sends or s in few)]
+            quick = [
+                s
+                for s in self.quick[flight.kind.name].values()
+                if s.distance <= reach and (not flight.sends or s in few)
+            ]
             few = self.random.sample(few, SAMPLE) + quick + (self.cold if not flight.sends else [])
         turn = self._in_turn(flight) if self.cold else None
         few = [s for s in few if s.ready and (s is turn or self._warmth(s) >= 1.0)]
         ranked = sorted(few, key=lambda server: self._cost(flight, server))
-        if turn in ranked[:ceil(COLD_RANK * len(ranked))]:
+        if turn in ranked[: ceil(COLD_RANK * len(ranked))]:
             return turn
         return ranked[0] if ranked else None
 
@@ -479,7 +498,8 @@
             return False
         scope = flight.kind.idempotency_scope
         return scope is IdempotencyScope.ALL or (
-            server.zone == first.zone and (scope is IdempotencyScope.ZONE or server.cell == first.cell))
+            server.zone == first.zone and (scope is IdempotencyScope.ZONE or server.cell == first.cell)
+        )
 
     def _judge(self, flight: PendingRequest, server: EndpointState, status: AttemptStatus) -> None:
         """Note an outcome; attempts that wait in vain are noted as they become slow.
@@ -533,7 +553,12 @@
         self._mark(server, flight.keys[1], failed=True, why="silent")
         self._arm((1.0 - SLOW) * flight.kind.latency_objective_ms, self._on_late, which, flight)
         doubted = self._lost(flight, sent) or self._share_failed(server, flight.keys[1]) >= DOUBTED
-        if flight.kind.idempotency is Idempotency.NON_IDEMPOTENT or flight.closed or len(flight.out) > 1 or not doubted:
+        if (
+            flight.kind.idempotency is Idempotency.NON_IDEMPOTENT
+            or flight.closed
+            or len(flight.out) > 1
+            or not doubted
+        ):
             return
         if flight.maybe_ran is None:
             flight.maybe_ran = (server, sent)
@@ -561,7 +586,9 @@
 
     def _mean(self, flight: PendingRequest) -> float:
         """The mean latency of requests of this class and size, or what is taken for it at first."""
-        return self.latency[flight.kind.name].get(flight.size, (FIRST_LATENCY * flight.kind.latency_objective_ms, 0))[0]
+        return self.latency[flight.kind.name].get(
+            flight.size, (FIRST_LATENCY * flight.kind.latency_objective_ms, 0)
+        )[0]
 
     def _extra(self, flight: PendingRequest) -> float:
         """How much longer a request of this size takes than the smallest of its class, by its work.
@@ -595,7 +622,10 @@
         age = self.now - server.started
         if server.started <= 0 or age >= rules.warm_up_ms:
             return 1.0
-        return rules.initial_capacity_share + (1.0 - rules.initial_capacity_share) * max(0.0, age) / rules.warm_up_ms
+        return (
+            rules.initial_capacity_share
+            + (1.0 - rules.initial_capacity_share) * max(0.0, age) / rules.warm_up_ms
+        )
 
     def _in_turn(self, flight: PendingRequest) -> EndpointState | None:
         """The cold server that this request may go to, if any: its turn is drawn once for each request.
@@ -636,7 +666,12 @@
         self.sends += 1
         self.young.add((request.request_id, number))
         self.actions.append(StartAttempt(request.request_id, server.id))
-        self._arm(SLOW * flight.kind.latency_objective_ms + self._extra(flight), self._on_slow, (flight, number), flight)
+        self._arm(
+            SLOW * flight.kind.latency_objective_ms + self._extra(flight),
+            self._on_slow,
+            (flight, number),
+            flight,
+        )
 
     def _may_resend(self, flight: PendingRequest, unmet: bool = False) -> bool:
         """Whether another attempt is left, and the budget holds it.
@@ -677,7 +712,9 @@
         self._drop_if_done(flight)
         self._retry_parked()
 
-    def _again(self, flight: PendingRequest, status: AttemptStatus, attempt: tuple[EndpointState, float]) -> None:
+    def _again(
+        self, flight: PendingRequest, status: AttemptStatus, attempt: tuple[EndpointState, float]
+    ) -> None:
         """After a failed attempt: another one where class, budget and time allow it, else the answer.
 
         Servers turn away a request that is over, and one whose first answer came but could not be read may
@@ -686,7 +723,10 @@
         """
         over = status is AttemptStatus.OVERLOADED and flight.erred
         flight.erred = flight.erred or status is AttemptStatus.ERROR
-        if status not in (AttemptStatus.OVERLOADED, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT) and flight.maybe_ran is None:
+        if (
+            status not in (AttemptStatus.OVERLOADED, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT)
+            and flight.maybe_ran is None
+        ):
             flight.maybe_ran = attempt
         if flight.out or flight.streaming:
             return
@@ -694,7 +734,11 @@
             self._answer(flight)
             return
         unmet = status is AttemptStatus.CONNECT_FAILED
-        if status is not AttemptStatus.NOT_SENT and self.now < flight.deadline and self._may_resend(flight, unmet):
+        if (
+            status is not AttemptStatus.NOT_SENT
+            and self.now < flight.deadline
+            and self._may_resend(flight, unmet)
+        ):
             server = self._choose(flight)
             if server:
                 self._send(flight, server, unmet)
@@ -708,7 +752,10 @@
         flight.closed = True
         request_id = flight.request.request_id
         unproven = flight.maybe_ran is not None or bool(flight.out)
-        keyed_all = flight.kind.idempotency is Idempotency.KEYED and flight.kind.idempotency_scope is IdempotencyScope.ALL
+        keyed_all = (
+            flight.kind.idempotency is Idempotency.KEYED
+            and flight.kind.idempotency_scope is IdempotencyScope.ALL
+        )
         if flight.kind.idempotency is Idempotency.IDEMPOTENT or keyed_all or not unproven:
             self.actions.append(Reject(request_id))
         else:
@@ -752,8 +799,11 @@
         if flight:
             flight.streaming = True
             if self.settings.limits.can_cancel:
-                self.actions.extend(CancelAttempt(flight.request.request_id, number)
-                                    for number in flight.out if number != event.attempt)
+                self.actions.extend(
+                    CancelAttempt(flight.request.request_id, number)
+                    for number in flight.out
+                    if number != event.attempt
+                )
 
     def _on_probe(self, event: HealthCheckResult) -> None:
         server = self.servers.get(event.server)
@@ -790,9 +840,13 @@
             if not self.nearest:
                 self.nearest = sorted(self.servers.values(), key=lambda server: server.distance)
             ready = [server for server in self.nearest if server.ready]
-            self.ready, self.reserve = ready[:size], ready[:size - 1:-1]
-            self.stood_in = {server.id for server in self.ready if server.id in self.stood_in and any(
-                self._share_failed(server, key) >= DOUBTED for key in server.marks)}
+            self.ready, self.reserve = ready[:size], ready[: size - 1 : -1]
+            self.stood_in = {
+                server.id
+                for server in self.ready
+                if server.id in self.stood_in
+                and any(self._share_failed(server, key) >= DOUBTED for key in server.marks)
+            }
             for _ in range(min(len(self.stood_in), len(self.reserve))):
                 self.ready.append(self.reserve.pop())
         self.cold = [server for server in self.ready if server.started > 0 and self._warmth(server) < 1.0]
@@ -896,35 +950,56 @@
         self.has_peer_process = True
         customers = [
             [*key, customer.any_out(), *(getattr(customer, name) for name in INHERITED)]
-            for key, customer in self.customers.items()]
+            for key, customer in self.customers.items()
+        ]
         servers = [[s.id, s.started, s.ratio, list(s.ratio_at), s.marks] for s in self.servers.values()]
-        self.actions.append(StateSnapshot({
-            "customers": customers, "servers": servers, "marks": self.marks, "sends": self.sends,
-            "open": self.open, "pool": self.pool, "retries": self.retries, "started_at": self.started_at,
-            "barred": list(self.detached.items()),
-            "attached": [[number, *times] for number, times in self.attached.items()],
-            "latency": {name: [[size, *seen] for size, seen in means.items()]
-                        for name, means in self.latency.items()},
-        }))
+        self.actions.append(
+            StateSnapshot(
+                {
+                    "customers": customers,
+                    "servers": servers,
+                    "marks": self.marks,
+                    "sends": self.sends,
+                    "open": self.open,
+                    "pool": self.pool,
+                    "retries": self.retries,
+                    "started_at": self.started_at,
+                    "barred": list(self.detached.items()),
+                    "attached": [[number, *times] for number, times in self.attached.items()],
+                    "latency": {
+                        name: [[size, *seen] for size, seen in means.items()]
+                        for name, means in self.latency.items()
+                    },
+                }
+            )
+        )
 
     def _on_inherit(self, event: RestoreState) -> None:
         """Take over what the process before has left; all of it, or nothing if any of it is malformed."""
         state = event.state
         try:
-            customers = {(row[0], row[1]): self._heir(row)
-                         for row in state["customers"] if row[0] in self.plans}
-            servers = {row[0]: (number_in(row[1]), number_in(row[2]), moment_in(row[3]), marks_in(row[4]))
-                       for row in state["servers"]}
+            customers = {
+                (row[0], row[1]): self._heir(row) for row in state["customers"] if row[0] in self.plans
+            }
+            servers = {
+                row[0]: (number_in(row[1]), number_in(row[2]), moment_in(row[3]), marks_in(row[4]))
+                for row in state["servers"]
+            }
             marks, sends = marks_in(state["marks"]), int(state["sends"])
             pool, retries = max(LEAST_POOL, number_in(state["pool"])), number_in(state["retries"])
             started_at = number_in(state["started_at"])
-            parts = {name: min(1.0, max(LEAST_OPEN, number_in(part)))  # a version before this leaves none
-                     for name, part in state.get("open", {}).items() if name in self.plans}
+            parts = {
+                name: min(1.0, max(LEAST_OPEN, number_in(part)))  # a version before this leaves none
+                for name, part in state.get("open", {}).items()
+                if name in self.plans
+            }
             detached = {int(number): number_in(since) for number, since in state["barred"]}
             attached = {int(row[0]): (number_in(row[1]), number_in(row[2])) for row in state["attached"]}
             latency = {
                 name: {int(size): (number_in(mean), int(seen)) for size, mean, seen in state["latency"][name]}
-                for name in self.latency if name in state["latency"]}
+                for name in self.latency
+                if name in state["latency"]
+            }
         except (KeyError, IndexError, TypeError, AttributeError, OverflowError) as error:
             raise ValueError(f"what was left is malformed: {error!r}") from error
         self.has_peer_process = True
@@ -942,7 +1017,9 @@
             self._on_detach(DetachServer(number))
             self.detached[number] = since
         self._sort_servers()
-        self._log(f"took over from the process before: {len(customers)} customers, {len(detached)} servers out")
+        self._log(
+            f"took over from the process before: {len(customers)} customers, {len(detached)} servers out"
+        )
 
     def _heir(self, row: list[Any]) -> CustomerState:
         customer = CustomerState(self.now, 0.0)
@@ -1078,7 +1155,11 @@
             call[0](call[1])
 
     def _arm(
-        self, delay: float, call: Callable[[Any], None], argument: Any, flight: PendingRequest | None = None,
+        self,
+        delay: float,
+        call: Callable[[Any], None],
+        argument: Any,
+        flight: PendingRequest | None = None,
     ) -> None:
         self.tokens += 1
         self.timers[self.tokens] = (call, argument)
--- a/quota_gateway/simulator.py
+++ b/quota_gateway/simulator.py
@@ -16,14 +16,25 @@
 from quota_gateway.settings_format import Fields, settings_from_document
 
 STATUS = {
-    200: api.AttemptStatus.OK, 500: api.AttemptStatus.ERROR, 503: api.AttemptStatus.OVERLOADED, 504: api.AttemptStatus.TIMEOUT,
-    502: api.AttemptStatus.CONNECT_FAILED, 598: api.AttemptStatus.RESET, 499: api.AttemptStatus.CANCELLED,
+    200: api.AttemptStatus.OK,
+    500: api.AttemptStatus.ERROR,
+    503: api.AttemptStatus.OVERLOADED,
+    504: api.AttemptStatus.TIMEOUT,
+    502: api.AttemptStatus.CONNECT_FAILED,
+    598: api.AttemptStatus.RESET,
+    499: api.AttemptStatus.CANCELLED,
     410: api.AttemptStatus.NOT_SENT,
 }
-STATE = {"U": api.EndpointLifecycle.READY, "L": api.EndpointLifecycle.DRAINING, "D": api.EndpointLifecycle.GONE}
+STATE = {
+    "U": api.EndpointLifecycle.READY,
+    "L": api.EndpointLifecycle.DRAINING,
+    "D": api.EndpointLifecycle.GONE,
+}
 LIST_KIND = {
-    "Partial": api.UpdateKind.DELTA, "Complete": api.UpdateKind.SNAPSHOT,
-    "Persisted": api.UpdateKind.CACHED, "Error": api.UpdateKind.FAILED,
+    "Partial": api.UpdateKind.DELTA,
+    "Complete": api.UpdateKind.SNAPSHOT,
+    "Persisted": api.UpdateKind.CACHED,
+    "Error": api.UpdateKind.FAILED,
 }
 
 
@@ -33,8 +44,13 @@
 
 def _entry(row: Fields) -> api.Endpoint:
     return api.Endpoint(
-        server=row["server"], zone=row["locality"], kind=row["generation_hw"], cell=row["cluster"],
-        state=STATE[row["phase"]], size=row["size"], started_ms=row["since_ms"] or 0.0,
+        server=row["server"],
+        zone=row["locality"],
+        kind=row["generation_hw"],
+        cell=row["cluster"],
+        state=STATE[row["phase"]],
+        size=row["size"],
+        started_ms=row["since_ms"] or 0.0,
     )
 
 
@@ -44,15 +60,30 @@
 
 def _request(f: Fields) -> api.Request:
     return api.Request(
-        f["op_id"], f["priority"], f["plan"], f["member"], f["patience_left_ms"], f["units"],
-        f["width"], f["base"], bool(f["retry"]), bool(f["update"]),
+        f["op_id"],
+        f["priority"],
+        f["plan"],
+        f["member"],
+        f["patience_left_ms"],
+        f["units"],
+        f["width"],
+        f["base"],
+        bool(f["retry"]),
+        bool(f["update"]),
     )
 
 
 def _outcome(f: Fields) -> api.Outcome:
     return api.Outcome(
-        f["op_id"], f["seq_no"], f["server"], STATUS[f["code"]], f["delay_seen_ms"], bool(f["final"]),
-        f["metered"] - 1 if f["metered"] else None, f["final_units"] or None, _load(f["gauge"]),
+        f["op_id"],
+        f["seq_no"],
+        f["server"],
+        STATUS[f["code"]],
+        f["delay_seen_ms"],
+        bool(f["final"]),
+        f["metered"] - 1 if f["metered"] else None,
+        f["final_units"] or None,
+        _load(f["gauge"]),
     )
 
 
@@ -63,14 +94,19 @@
     "Vanished": lambda f: api.ClientDisconnected(f["op_id"]),
     "Flowing": lambda f: api.StreamStarted(f["op_id"], f["seq_no"], f["server"], f["delay_seen_ms"]),
     "Sampled": lambda f: api.HealthCheckResult(
-        f["server"], STATUS[f["code"]], f["delay_seen_ms"], _load(f["gauge"])),
+        f["server"], STATUS[f["code"]], f["delay_seen_ms"], _load(f["gauge"])
+    ),
     "Memo": lambda f: api.PeerMessage(f["origin_peer"], bytes.fromhex(f["body"])),
     "Reckoned": lambda f: api.CounterReply(
-        f["counter_key"], STATUS[f["code"]], f["reading"] or 0.0, f["delay_seen_ms"]),
+        f["counter_key"], STATUS[f["code"]], f["reading"] or 0.0, f["delay_seen_ms"]
+    ),
 }
 
 ACTIONS: dict[type, Callable[[Any], tuple[str, Fields]]] = {
-    api.StartAttempt: lambda a: ("Try", {"op_id": a.request_id, "server": a.server, "within_ms": a.timeout_ms}),
+    api.StartAttempt: lambda a: (
+        "Try",
+        {"op_id": a.request_id, "server": a.server, "within_ms": a.timeout_ms},
+    ),
     api.Reject: lambda a: ("OverloadReply", {"op_id": a.request_id, "stay_away_ms": a.retry_after_ms}),
     api.Fail: lambda a: ("RespondError", {"op_id": a.request_id}),
     api.CancelAttempt: lambda a: ("AbortAttempt", {"op_id": a.request_id, "seq_no": a.attempt}),
@@ -82,7 +118,9 @@
     api.CloseIdle: lambda a: ("DropConns", {"server": a.server}),
     api.SendPeerMessage: lambda a: ("Share", {"dst": a.peer, "body": a.data.hex()}),
     api.IncrementCounter: lambda a: (
-        "Add", {"counter_key": a.name, "add": a.amount, "expire_in_ms": a.lifetime_ms}),
+        "Add",
+        {"counter_key": a.name, "add": a.amount, "expire_in_ms": a.lifetime_ms},
+    ),
 }
 
 
--- a/scale/__main__.py
+++ b/scale/__main__.py
@@ -28,15 +28,23 @@
 def _log(stream: TextIO) -> structlog.typing.FilteringBoundLogger:
     """A log of one JSON object a line."""
     structlog.configure(
-        processors=[structlog.processors.add_log_level, structlog.processors.TimeStamper(fmt="iso"),
-                    structlog.processors.JSONRenderer()],
-        logger_factory=structlog.WriteLoggerFactory(stream))
+        processors=[
+            structlog.processors.add_log_level,
+            structlog.processors.TimeStamper(fmt="iso"),
+            structlog.processors.JSONRenderer(),
+        ],
+        logger_factory=structlog.WriteLoggerFactory(stream),
+    )
     log: structlog.typing.FilteringBoundLogger = structlog.get_logger()
     return log
 
 
 async def _measure(
-    config: Config, children: Children, book: results.Book, measures: Sequence[Measure], step: slopes.Step,
+    config: Config,
+    children: Children,
+    book: results.Book,
+    measures: Sequence[Measure],
+    step: slopes.Step,
 ) -> str:
     """Carry the measures out, within the deadline; why they were cut short, if they were."""
     try:
@@ -60,9 +68,16 @@
     start, book, console = time.time(), results.Book(), Console(stderr=True)
     logs = out / f"{time.strftime('%Y%m%dT%H%M%S', time.gmtime(start))}-{command}-logs"
     logs.mkdir(parents=True, exist_ok=True)
-    with (logs / "run.log").open("a") as stream, Progress(
-            TextColumn("{task.description}"), BarColumn(), MofNCompleteColumn(), TimeElapsedColumn(),
-            console=console) as progress:
+    with (
+        (logs / "run.log").open("a") as stream,
+        Progress(
+            TextColumn("{task.description}"),
+            BarColumn(),
+            MofNCompleteColumn(),
+            TimeElapsedColumn(),
+            console=console,
+        ) as progress,
+    ):
         log = _log(stream)
         task = progress.add_task("start", total=total)
 
@@ -82,7 +97,11 @@
 
 
 def _config(
-    file: Path | None, seed: int | None, servers: int | None, hollow: int | None, deadline: float | None,
+    file: Path | None,
+    seed: int | None,
+    servers: int | None,
+    hollow: int | None,
+    deadline: float | None,
     flags: tuple[str, ...],
 ) -> Config:
     named = (("seed", seed), ("fleet.servers", servers), ("fleet.hollow", hollow), ("deadline_s", deadline))
@@ -101,10 +120,19 @@
         click.option("--hollow", type=int, help="hollow gateways (fleet.hollow)"),
         click.option("--servers", type=int, help="servers that discovery lists (fleet.servers)"),
         click.option("--seed", type=int, help="the same seed gives the same events"),
-        click.option("--out", type=click.Path(file_okay=False, path_type=Path), default=ROOT / "found",
-                     help="folder for the result", show_default="found"),
-        click.option("--config", "file", type=click.Path(dir_okay=False, path_type=Path),
-                     help="a TOML file; without it the small defaults"),
+        click.option(
+            "--out",
+            type=click.Path(file_okay=False, path_type=Path),
+            default=ROOT / "found",
+            help="folder for the result",
+            show_default="found",
+        ),
+        click.option(
+            "--config",
+            "file",
+            type=click.Path(dir_okay=False, path_type=Path),
+            help="a TOML file; without it the small defaults",
+        ),
     ):
         command = option(command)
     return command
@@ -118,8 +146,13 @@
 @main.command()
 @_options
 def run(
-    file: Path | None, out: Path, seed: int | None, servers: int | None, hollow: int | None,
-    deadline: float | None, flags: tuple[str, ...],
+    file: Path | None,
+    out: Path,
+    seed: int | None,
+    servers: int | None,
+    hollow: int | None,
+    deadline: float | None,
+    flags: tuple[str, ...],
 ) -> None:
     """One play: a fleet under churn, faults and load."""
     config = _config(file, seed, servers, hollow, deadline, flags)
@@ -128,11 +161,18 @@
 
 @main.command(name="slopes")
 @click.option(
-    "--only", multiple=True, type=click.Choice(list(slopes.MEASURES)), help="these measures; else all")
+    "--only", multiple=True, type=click.Choice(list(slopes.MEASURES)), help="these measures; else all"
+)
 @_options
 def slopes_command(
-    only: tuple[str, ...], file: Path | None, out: Path, seed: int | None, servers: int | None,
-    hollow: int | None, deadline: float | None, flags: tuple[str, ...],
+    only: tuple[str, ...],
+    file: Path | None,
+    out: Path,
+    seed: int | None,
+    servers: int | None,
+    hollow: int | None,
+    deadline: float | None,
+    flags: tuple[str, ...],
 ) -> None:
     """What each role's cost grows by, size by size."""
     config, names = _config(file, seed, servers, hollow, deadline, flags), only or tuple(slopes.MEASURES)
@@ -142,7 +182,8 @@
 
 @main.command()
 @click.argument(
-    "files", nargs=-1, required=True, type=click.Path(exists=True, dir_okay=False, path_type=Path))
+    "files", nargs=-1, required=True, type=click.Path(exists=True, dir_okay=False, path_type=Path)
+)
 def table(files: tuple[Path, ...]) -> None:
     """The tables of results."""
     for path in files:
@@ -150,10 +191,14 @@
 
 
 @main.command(name="capacity")
-@click.option("--page", type=click.Path(exists=True, dir_okay=False, path_type=Path),
-              help="put the table between the marks of this page")
+@click.option(
+    "--page",
+    type=click.Path(exists=True, dir_okay=False, path_type=Path),
+    help="put the table between the marks of this page",
+)
 @click.argument(
-    "files", nargs=-1, required=True, type=click.Path(exists=True, dir_okay=False, path_type=Path))
+    "files", nargs=-1, required=True, type=click.Path(exists=True, dir_okay=False, path_type=Path)
+)
 def capacity_command(page: Path | None, files: tuple[Path, ...]) -> None:
     """What the fleet to come would take, worked out from results."""
     made = capacity.table([_read(path) for path in files])
--- a/scale/capacity.py
+++ b/scale/capacity.py
@@ -8,8 +8,18 @@
 from scale.results import Fit, Result, Series
 
 BEGIN, END = "<!-- table: begin -->", "<!-- table: end -->"
-HEAD = ("role", "quantity", "slope (for one more)", "measured at", "residual", "at", "figure", "budget",
-        "verdict", "extrapolated")
+HEAD = (
+    "role",
+    "quantity",
+    "slope (for one more)",
+    "measured at",
+    "residual",
+    "at",
+    "figure",
+    "budget",
+    "verdict",
+    "extrapolated",
+)
 LEAST_SIZES, MOST_RESIDUAL = 4, 0.25  # a line through fewer sizes, or farther off, tells nothing of others
 
 DELTA, RESTARTS, VERSIONS = 2_100, 11_061, 3  # a day; a restart is told as draining, gone, and ready again
@@ -20,7 +30,10 @@
 BEAT_BYTES = 3.0  # a second: an empty line every 2 s
 MEGABYTE = 1 << 20
 AT = {  # the size of the fleet to come, by what a series goes by
-    "servers": 38_000.0, "gateways": 3_800.0, "requests/s": 218.0, "routes": 27_000.0,
+    "servers": 38_000.0,
+    "gateways": 3_800.0,
+    "requests/s": 218.0,
+    "routes": 27_000.0,
     "tenants held": 218.0 * NEWS_S,  # at once, if no two requests are of one; a gateway forgets the others
     "real gateways": 20.0,  # before 200 servers: one to ten, as 3,800 before 38,000
 }
@@ -41,23 +54,44 @@
 
 QUANTITIES = (
     Quantity("gateway", "whole list", "discovery.list by servers", "bytes"),
-    Quantity("gateway", "refused list asked for again, bytes", "gateway.refused_sent by servers", "bytes/s",
-             CONTROL_BYTES, only_if_seen=True),
-    Quantity("gateway", "refused list asked for again, cpu", "gateway.refused_cpu by servers", "ms/s",
-             CONTROL_MS, only_if_seen=True),
+    Quantity(
+        "gateway",
+        "refused list asked for again, bytes",
+        "gateway.refused_sent by servers",
+        "bytes/s",
+        CONTROL_BYTES,
+        only_if_seen=True,
+    ),
+    Quantity(
+        "gateway",
+        "refused list asked for again, cpu",
+        "gateway.refused_cpu by servers",
+        "ms/s",
+        CONTROL_MS,
+        only_if_seen=True,
+    ),
     Quantity("gateway", "loop's stall, whole list", "gateway.list_stall by servers", "ms", STALL_MS),
     Quantity("gateway", "loop's stall, one change", "gateway.change_stall by servers", "ms", ADDED_MS),
     Quantity("gateway", "processor time, whole list", "gateway.list_cpu by servers", "ms"),
-    Quantity("gateway", "processor time, changes", "gateway.change_cpu by servers",
-             "ms/s", CONTROL_MS, VERSIONS_S),
-    Quantity("gateway", "bytes, changes and empty lines", "gateway.change by servers",
-             "bytes/s", CONTROL_BYTES, VERSIONS_S, BEAT_BYTES),
+    Quantity(
+        "gateway", "processor time, changes", "gateway.change_cpu by servers", "ms/s", CONTROL_MS, VERSIONS_S
+    ),
+    Quantity(
+        "gateway",
+        "bytes, changes and empty lines",
+        "gateway.change by servers",
+        "bytes/s",
+        CONTROL_BYTES,
+        VERSIONS_S,
+        BEAT_BYTES,
+    ),
     Quantity("gateway", "whole list at 5 KB/s", "discovery.list by servers", "s", None, 1.0 / CONTROL_BYTES),
     Quantity("gateway", "memory, all", "gateway.memory by servers", "MB", MEMORY_MB),
     Quantity("gateway", "memory at most, all", "gateway.memory_peak by servers", "MB", MEMORY_MB),
     Quantity("gateway", "memory, customers", "gateway.memory by tenants held", "MB", MEMORY_MB, 1 / MEGABYTE),
-    Quantity("gateway", "memory, routes as classes", "gateway.memory by routes",
-             "MB", MEMORY_MB, 1 / MEGABYTE),
+    Quantity(
+        "gateway", "memory, routes as classes", "gateway.memory by routes", "MB", MEMORY_MB, 1 / MEGABYTE
+    ),
     Quantity("gateway", "added at p50, by load", "gateway.added_p50 by requests/s", "ms"),
     Quantity("gateway", "added at p99, by load", "gateway.added_p99 by requests/s", "ms", ADDED_MS),
     Quantity("gateway", "added at p99.9, by load", "gateway.added_p99.9 by requests/s", "ms"),
@@ -68,12 +102,14 @@
     Quantity("fleet", "a change in force at 99 in 100", "fleet.in_force_99 by gateways", "ms", IN_FORCE_MS),
     Quantity("fleet", "a zone lost, and back", "fleet.zone_99_worst by gateways", "ms", IN_FORCE_MS),
     Quantity("fleet", "all return, whole list of 400", "fleet.return_99 by gateways", "ms", IN_FORCE_MS),
-    Quantity("discovery", "processor time, changes", "discovery.change_cpu by gateways",
-             "ms/s", None, VERSIONS_S),
+    Quantity(
+        "discovery", "processor time, changes", "discovery.change_cpu by gateways", "ms/s", None, VERSIONS_S
+    ),
     Quantity("discovery", "bytes, changes", "discovery.change_sent by gateways", "bytes/s", None, VERSIONS_S),
     Quantity("discovery", "memory", "discovery.memory by gateways", "MB"),
-    Quantity("discovery", "bytes, all 3,800 return", "discovery.list by servers",
-             "MB", None, 3_800 / MEGABYTE),
+    Quantity(
+        "discovery", "bytes, all 3,800 return", "discovery.list by servers", "MB", None, 3_800 / MEGABYTE
+    ),
     Quantity("server", "connections to one", "server.connections by real gateways", "connections"),
 )
 
@@ -108,10 +144,16 @@
     sizes = ", ".join(f"{size:g}" for size in fit.sizes)
     notes = "".join(f"; {point.size:g}: {point.note}" for point in series.points if point.note)
     return (
-        *name, f"{fit.slope:.3g} {series.unit}" if series.fit else "none", sizes + notes,
-        f"{fit.residual:.0%}", at, f"{_number(figure)} {quantity.unit}", budget,
+        *name,
+        f"{fit.slope:.3g} {series.unit}" if series.fit else "none",
+        sizes + notes,
+        f"{fit.residual:.0%}",
+        at,
+        f"{_number(figure)} {quantity.unit}",
+        budget,
         _verdict(fit, measured, figure, quantity),
-        f"{AT[by] / largest:.1f} times" if AT[by] > largest else "no")
+        f"{AT[by] / largest:.1f} times" if AT[by] > largest else "no",
+    )
 
 
 def table(results: Sequence[Result]) -> str:
@@ -123,8 +165,11 @@
             if series.fit or key not in found or not found[key].fit:
                 found[key] = series
     rows = [HEAD, ("---",) * len(HEAD)]
-    rows += [_row(quantity, found.get(quantity.series)) for quantity in QUANTITIES
-             if quantity.series in found or not quantity.only_if_seen]
+    rows += [
+        _row(quantity, found.get(quantity.series))
+        for quantity in QUANTITIES
+        if quantity.series in found or not quantity.only_if_seen
+    ]
     return "\n".join(f"| {' | '.join(row)} |" for row in rows)
 
 
@@ -141,4 +186,3 @@
     between(page)
     before, _, rest = page.partition(BEGIN)
     return f"{before}{BEGIN}\n{made}\n{END}{rest.partition(END)[2]}"
-
--- a/scale/child.py
+++ b/scale/child.py
@@ -22,7 +22,12 @@
 from scale.servers import Servers
 
 ROLES: dict[str, Callable[..., Any]] = {
-    "discovery": StandIn, "servers": Servers, "load": Load, "hollow": Hollows, "module": Module}
+    "discovery": StandIn,
+    "servers": Servers,
+    "load": Load,
+    "hollow": Hollows,
+    "module": Module,
+}
 LONGEST_LINE = 1 << 28
 
 
--- a/scale/discovery.py
+++ b/scale/discovery.py
@@ -204,9 +204,13 @@
 
     async def stats(self) -> dict[str, Any]:
         """Bytes and lines by kind, calls, watches open, and when each version was published (seconds)."""
-        return {"counts": dict(self.counts), "published": list(self.published.items()),
-                "version": self.catalogue.version, "servers": len(self.catalogue.rows),
-                "watching": sum(exchange.watching for exchange in self.exchanges)}
+        return {
+            "counts": dict(self.counts),
+            "published": list(self.published.items()),
+            "version": self.catalogue.version,
+            "servers": len(self.catalogue.rows),
+            "watching": sum(exchange.watching for exchange in self.exchanges),
+        }
 
     # ---- churn and faults
 
--- a/scale/fleet.py
+++ b/scale/fleet.py
@@ -41,8 +41,10 @@
     """What happens in so many seconds of the run, in order; the same seed gives the same."""
     source, events = random.Random(f"churn {seed}"), []
     kinds: tuple[tuple[EventKind, float], ...] = (
-        ("change", churn.changes_per_day), ("restart", churn.restarts_per_day),
-        ("failure", churn.failures_per_day))
+        ("change", churn.changes_per_day),
+        ("restart", churn.restarts_per_day),
+        ("failure", churn.failures_per_day),
+    )
     for kind, per_day in kinds:
         rate, at_s = per_day * churn.speedup / DAY_S, 0.0
         while rate and (at_s := at_s + source.expovariate(rate)) < seconds:
@@ -54,9 +56,18 @@
     """So many servers, spread over the zones, that share these ports; the same seed gives the same."""
     source, names, listened = random.Random(f"rows {seed}"), zones(zone_count), list(ports)
     return [
-        Row(f"s-{index:04x}{source.getrandbits(16):04x}", f"127.0.0.1:{listened[index % len(listened)]}",
-            names[index % len(names)], f"m{source.randint(1, 3)}", index // 40, "Ready", 1.0, 0)
-        for index in range(number)]
+        Row(
+            f"s-{index:04x}{source.getrandbits(16):04x}",
+            f"127.0.0.1:{listened[index % len(listened)]}",
+            names[index % len(names)],
+            f"m{source.randint(1, 3)}",
+            index // 40,
+            "Ready",
+            1.0,
+            0,
+        )
+        for index in range(number)
+    ]
 
 
 class Catalogue:
@@ -119,4 +130,7 @@
 
     def _line(self, reset: bool, lines: Iterable[bytes]) -> bytes:
         return b'{"generation":%d,"reset":%s,"instances":[%b]}\n' % (
-            self.version, b"true" if reset else b"false", b",".join(lines))
+            self.version,
+            b"true" if reset else b"false",
+            b",".join(lines),
+        )
--- a/scale/gateways.py
+++ b/scale/gateways.py
@@ -21,23 +21,67 @@
 def document(gateways: int, index: int, zone: str, classes: int = 1, quota: float = 0.0) -> dict[str, Any]:
     """The settings object (DEPLOY): so many safe classes, a plan of so many units a second, or a free one."""
     return {
-        "balancers": gateways, "slot_no": index, "locality": zone, "discovery": "automatic", "tick_ms": 2.0,
+        "balancers": gateways,
+        "slot_no": index,
+        "locality": zone,
+        "discovery": "automatic",
+        "tick_ms": 2.0,
         "services": [
-            {"name": f"class-{number}", "slo_ms": 500.0, "hard_limit_ms": 2000.0, "effect": "safe",
-             "value": 1.0, "late_share": 0.0, "key_scope": "all", "memory_span_ms": 5000.0, "stream": False}
-            for number in range(classes)],
+            {
+                "name": f"class-{number}",
+                "slo_ms": 500.0,
+                "hard_limit_ms": 2000.0,
+                "effect": "safe",
+                "value": 1.0,
+                "late_share": 0.0,
+                "key_scope": "all",
+                "memory_span_ms": 5000.0,
+                "stream": False,
+            }
+            for number in range(classes)
+        ],
         "tariffs": [
-            {"name": "plan", "refill": quota, "most_at_once": quota, "parallel": 0, "value_factor": 1.0,
-             "excess_worth": 0.0, "overrun_cost": 1.0, "cap_rate": 0.0, "cap_depth": 0.0, "hard_slack": 0.0}],
-        "limits": {"attempts_cap": 3, "may_duplicate": False, "cancelling": True, "probes": False,
-                   "peers": False, "retry_after": True, "open_cap": 1000, "connect_timeout_ms": 250.0,
-                   "max_retry_after_ms": 1000.0},
-        "contract": {"answer_slack_ms": 8.0, "drain_grace_ms": 1000.0, "start_capacity": 0.2,
-                     "warm_up_ms": 10000.0, "tip_multiple": 3.0, "fall_ms": 2000.0,
-                     "must_ask_in_ms": 10000.0},
+            {
+                "name": "plan",
+                "refill": quota,
+                "most_at_once": quota,
+                "parallel": 0,
+                "value_factor": 1.0,
+                "excess_worth": 0.0,
+                "overrun_cost": 1.0,
+                "cap_rate": 0.0,
+                "cap_depth": 0.0,
+                "hard_slack": 0.0,
+            }
+        ],
+        "limits": {
+            "attempts_cap": 3,
+            "may_duplicate": False,
+            "cancelling": True,
+            "probes": False,
+            "peers": False,
+            "retry_after": True,
+            "open_cap": 1000,
+            "connect_timeout_ms": 250.0,
+            "max_retry_after_ms": 1000.0,
+        },
+        "contract": {
+            "answer_slack_ms": 8.0,
+            "drain_grace_ms": 1000.0,
+            "start_capacity": 0.2,
+            "warm_up_ms": 10000.0,
+            "tip_multiple": 3.0,
+            "fall_ms": 2000.0,
+            "must_ask_in_ms": 10000.0,
+        },
         "load_info": {"how": "answers", "names": ["busy", "q"]},
-        "family_info": {"meter_ms": 1000.0, "largest": 1, "settles": False, "has_counter": False,
-                        "count_limit_ms": 0.0},
+        "family_info": {
+            "meter_ms": 1000.0,
+            "largest": 1,
+            "settles": False,
+            "has_counter": False,
+            "count_limit_ms": 0.0,
+        },
         "deductions": {"cross_zone": 0.0},
     }
 
@@ -100,16 +144,27 @@
     folder = Path(children.scratch.name) / name
     folder.mkdir()
     path = folder / "config.json"
-    path.write_text(json.dumps({
-        "name": name, "listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{discovery}",
-        "seed": f"{seed + number:016x}",
-        "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": DESCRIPTORS},
-        "known": {"generation": 0, "reset": True, "instances": []},
-        "settings": document(gateways, number % gateways, "a"),
-    }))
+    path.write_text(
+        json.dumps(
+            {
+                "name": name,
+                "listen": f"127.0.0.1:{port}",
+                "discovery": f"127.0.0.1:{discovery}",
+                "seed": f"{seed + number:016x}",
+                "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": DESCRIPTORS},
+                "known": {"generation": 0, "reset": True, "instances": []},
+                "settings": document(gateways, number % gateways, "a"),
+            }
+        )
+    )
     temporary = folder / "tmp"
     temporary.mkdir()
-    environment = {"EDGE_CONFIG": str(path), "EDGE_NAME": name, "EDGE_LISTEN": f"127.0.0.1:{port}",
-                   "EDGE_DISCOVERY": f"127.0.0.1:{discovery}", "TMPDIR": str(temporary)}
+    environment = {
+        "EDGE_CONFIG": str(path),
+        "EDGE_NAME": name,
+        "EDGE_LISTEN": f"127.0.0.1:{port}",
+        "EDGE_DISCOVERY": f"127.0.0.1:{discovery}",
+        "TMPDIR": str(temporary),
+    }
     process = await children.program(name, command(), environment)
     return Real(process, port, children.folder / f"{name}.log")
--- a/scale/hollow.py
+++ b/scale/hollow.py
@@ -140,8 +140,11 @@
         for number, arrival in enumerate(arrivals(seed, rate * len(drivers), seconds, tenants, skew)):
             await asyncio.sleep(max(0.0, start + arrival.due_s - time.monotonic()))
             command, name = encode(CLASS, PLAN, DEADLINE_MS, arrival.tenant, number, 1), f"{seed}-{number}"
-            call = ActiveRequest(name, lambda left_ms, command=command: command,  # type: ignore[misc]
-                        lambda answer: results.update([answer[:5].decode("latin-1").strip()]))
+            call = ActiveRequest(
+                name,
+                lambda left_ms, command=command: command,  # type: ignore[misc]
+                lambda answer: results.update([answer[:5].decode("latin-1").strip()]),
+            )
             request = api.Request(name, CLASS, PLAN, f"{arrival.tenant:016x}", DEADLINE_MS)
             source.choice(drivers).request(call, request, DEADLINE_MS)
         await asyncio.sleep(DEADLINE_MS / 1000.0)
@@ -170,8 +173,13 @@
         self.now, self.order = 0.0, count()
         self.due: list[tuple[float, int, api.Event]] = []
         self.results: Counter[str] = Counter()
-        self._handle(api.EndpointUpdate(api.UpdateKind.SNAPSHOT, tuple(
-            api.Endpoint(number, self.settings.zone) for number in range(1, servers + 1)), 1))
+        self._handle(
+            api.EndpointUpdate(
+                api.UpdateKind.SNAPSHOT,
+                tuple(api.Endpoint(number, self.settings.zone) for number in range(1, servers + 1)),
+                1,
+            )
+        )
 
     async def start(self) -> None:
         """Nothing to listen on."""
@@ -192,8 +200,12 @@
         self._until(self.now + 10 * LATENCY_MS)
         spent = time.thread_time() - spent
         gc.collect()
-        return {"cpu_us": 1e6 * spent / requests, "memory": self.process.memory_info().rss - self.at_first,
-                "held": len(self.gateway.customers), "results": dict(self.results)}
+        return {
+            "cpu_us": 1e6 * spent / requests,
+            "memory": self.process.memory_info().rss - self.at_first,
+            "held": len(self.gateway.customers),
+            "results": dict(self.results),
+        }
 
     def _until(self, end: float) -> None:
         while self.due and self.due[0][0] <= end:
@@ -208,8 +220,10 @@
             if isinstance(action, api.SetTimer):
                 self._at(action.delay_ms, api.TimerFired(action.token))
             elif isinstance(action, api.StartAttempt):
-                self._at(LATENCY_MS, api.Outcome(
-                    action.request_id, 0, action.server, api.AttemptStatus.OK, LATENCY_MS, True))
+                self._at(
+                    LATENCY_MS,
+                    api.Outcome(action.request_id, 0, action.server, api.AttemptStatus.OK, LATENCY_MS, True),
+                )
 
     def _at(self, delay_ms: float, event: api.Event) -> None:
         heapq.heappush(self.due, (self.now + delay_ms, next(self.order), event))
--- a/scale/load.py
+++ b/scale/load.py
@@ -194,7 +194,14 @@
         """Nothing to listen on."""
 
     async def run(
-        self, label: str, ports: list[int], seed: int, rate: float, seconds: float, tenants: int, skew: float,
+        self,
+        label: str,
+        ports: list[int],
+        seed: int,
+        rate: float,
+        seconds: float,
+        tenants: int,
+        skew: float,
     ) -> dict[str, Any]:
         """Send for so many seconds to one of these ports each, then wait for what is out.
 
--- a/scale/play.py
+++ b/scale/play.py
@@ -46,20 +46,29 @@
     stats, servers = await discovery.call("stats"), await bench.servers.call("stats")
     book.figures |= {
         **{f"events: {kind}": number for kind, number in sorted(begun.items())},
-        "versions published": len(stats["published"]), "servers listed at the end": stats["servers"],
-        "watches open at the end": stats["watching"], "watches ended": stats["counts"].get("ended", 0),
-        "discovery: cpu ms/s": spent[0], "discovery: memory MB": after[0].rss / MEGABYTE,
+        "versions published": len(stats["published"]),
+        "servers listed at the end": stats["servers"],
+        "watches open at the end": stats["watching"],
+        "watches ended": stats["counts"].get("ended", 0),
+        "discovery: cpu ms/s": spent[0],
+        "discovery: memory MB": after[0].rss / MEGABYTE,
         "discovery: MB sent": sum(
-            number for name, number in stats["counts"].items() if name.endswith("_bytes")) / MEGABYTE,
+            number for name, number in stats["counts"].items() if name.endswith("_bytes")
+        )
+        / MEGABYTE,
         "servers: most connections to one": servers["most_per_server"],
-        "servers: connections opened": servers["opened"], "servers: requests turned away": servers["refused"],
-        "servers: used": servers["used"]}
+        "servers: connections opened": servers["opened"],
+        "servers: requests turned away": servers["refused"],
+        "servers: used": servers["used"],
+    }
     for number, real in enumerate(reals):
         use = after[len(after) - len(reals) + number]
         book.figures |= {
             f"gateway {number}: cpu ms/s": spent[len(after) - len(reals) + number],
-            f"gateway {number}: memory MB": use.rss / MEGABYTE, f"gateway {number}: sockets": use.sockets,
-            f"gateway {number}: lines of errors": real.says(" ERROR ")}
+            f"gateway {number}: memory MB": use.rss / MEGABYTE,
+            f"gateway {number}: sockets": use.sockets,
+            f"gateway {number}: lines of errors": real.says(" ERROR "),
+        }
     await _news(bench, stats, hollows)
 
 
@@ -70,8 +79,14 @@
         await asyncio.sleep(seconds)
         return {}
     answers: dict[str, int] = await hollow.call(
-        "ask", patience_s=seconds + 60.0, rate=load.hollow_rate, seconds=seconds,
-        seed=config.seed * 1_000 + number, tenants=load.tenants, skew=load.skew)
+        "ask",
+        patience_s=seconds + 60.0,
+        rate=load.hollow_rate,
+        seconds=seconds,
+        seed=config.seed * 1_000 + number,
+        tenants=load.tenants,
+        skew=load.skew,
+    )
     return answers
 
 
@@ -82,7 +97,8 @@
         figures[f"{name}: added {part.replace('_', ' ')}, median of phases"] = median(found["added"][part])
     for way in ("straight", "through"):
         figures[f"{name}: {way} requests"] = ", ".join(
-            f"{what} {number}" for what, number in sorted(found[way]["counts"].items()))
+            f"{what} {number}" for what, number in sorted(found[way]["counts"].items())
+        )
 
 
 async def _news(bench: slopes.Bench, stats: dict[str, Any], hollows: list[Child]) -> None:
@@ -94,5 +110,6 @@
     if known:
         bench.book.figures |= {
             "in force at 99 in 100: median ms": 1000.0 * known[len(known) // 2],
-            "in force at 99 in 100: worst ms": 1000.0 * known[-1]}
+            "in force at 99 in 100: worst ms": 1000.0 * known[-1],
+        }
     bench.book.figures["versions never in force at 99 in 100"] = len(waits) - len(known)
--- a/scale/processes.py
+++ b/scale/processes.py
@@ -131,7 +131,10 @@
         return self
 
     async def __aexit__(
-        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None,
+        self,
+        kind: type[BaseException] | None,
+        error: BaseException | None,
+        trace: TracebackType | None,
     ) -> None:
         self.guard.cancel()
         ending = asyncio.ensure_future(asyncio.gather(*(process.end() for process in self.all)))
@@ -156,7 +159,11 @@
             await asyncio.sleep(LOOK_S)
 
     async def _start(
-        self, name: str, command: list[str], log: str, **more: Any,
+        self,
+        name: str,
+        command: list[str],
+        log: str,
+        **more: Any,
     ) -> asyncio.subprocess.Process:
         running = sum(process.process.returncode is None for process in self.all)
         if running >= self.config.processes:
@@ -164,16 +171,26 @@
         self.most_processes = max(self.most_processes, running + 1)
         with (self.folder / log).open("ab") as output:
             process = await asyncio.create_subprocess_exec(
-                *(WITH_PARENT if shutil.which(WITH_PARENT[0]) else []), *command, cwd=ROOT, stderr=output,
-                start_new_session=True, limit=LONGEST_LINE, **more)
+                *(WITH_PARENT if shutil.which(WITH_PARENT[0]) else []),
+                *command,
+                cwd=ROOT,
+                stderr=output,
+                start_new_session=True,
+                limit=LONGEST_LINE,
+                **more,
+            )
         self.log.info("started", child=name, pid=process.pid)
         return process
 
     async def child(self, role: str, **arguments: Any) -> tuple[Child, Any]:
         """A child with this role, made with these arguments, and what its start returns."""
         process = await self._start(
-            role, [sys.executable, "-m", "scale.child", role], "children.log", stdin=subprocess.PIPE,
-            stdout=subprocess.PIPE)
+            role,
+            [sys.executable, "-m", "scale.child", role],
+            "children.log",
+            stdin=subprocess.PIPE,
+            stdout=subprocess.PIPE,
+        )
         made = Child(role, process)
         self.all.append(made)
         return made, await made.call("__init__", **arguments)
@@ -182,8 +199,12 @@
         """Another program, by a line of the shell; its output goes to a log named after it."""
         self.programs += 1
         process = await self._start(
-            name, ["/bin/sh", "-c", command], f"{name}.log", env={**os.environ, **environment},
-            stdin=subprocess.DEVNULL)
+            name,
+            ["/bin/sh", "-c", command],
+            f"{name}.log",
+            env={**os.environ, **environment},
+            stdin=subprocess.DEVNULL,
+        )
         made = Process(name, process)
         self.all.append(made)
         return made
--- a/scale/results.py
+++ b/scale/results.py
@@ -92,7 +92,13 @@
         self.figures: dict[str, Any] = {}
 
     def add(
-        self, name: str, by: str, unit: str, size: float, values: Sequence[float], note: str = "",
+        self,
+        name: str,
+        by: str,
+        unit: str,
+        size: float,
+        values: Sequence[float],
+        note: str = "",
     ) -> None:
         """A point of a series, named ``role.quantity``; the series begins with its first point."""
         key = f"{name} by {by}"
@@ -109,12 +115,22 @@
 def result(command: str, config: Config, book: Book, children: Children, start: float) -> Result:
     """All of a run; ``start`` in Unix time."""
     return Result(
-        command, config.seed, _commit(), time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(start)),
-        round(time.time() - start, 1), children.stopped,
-        {"cores": os.cpu_count(), "load": [round(part, 2) for part in os.getloadavg()],
-         "python": platform.python_version()},
+        command,
+        config.seed,
+        _commit(),
+        time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(start)),
+        round(time.time() - start, 1),
+        children.stopped,
+        {
+            "cores": os.cpu_count(),
+            "load": [round(part, 2) for part in os.getloadavg()],
+            "python": platform.python_version(),
+        },
         {"most_processes": children.most_processes, "most_rss_mb": children.most_rss >> 20},
-        config, list(book.series.values()), book.figures)
+        config,
+        list(book.series.values()),
+        book.figures,
+    )
 
 
 def write(result: Result, folder: Path) -> Path:
@@ -135,7 +151,8 @@
     for series in result.series:
         points = "  ".join(
             f"{point.size:g}: {point.note if point.value is None else format(point.value, '.3g')}"
-            for point in series.points)
+            for point in series.points
+        )
         line = (f"{series.fit.slope:.3g}", f"{series.fit.residual:.0%}") if series.fit else ("", "")
         table.add_row(series.role, f"{series.name} ({series.unit})", series.by, points, *line)
     if result.series:
--- a/scale/servers.py
+++ b/scale/servers.py
@@ -15,8 +15,9 @@
 
 def array(value: bytes, used: bytes | None, report: bytes | None) -> bytes:
     """A good answer: the value, figures on use or null, a load report or null."""
-    parts = (b"$-1\r\n" if part is None else b"$%d\r\n%b\r\n" % (len(part), part)
-             for part in (value, used, report))
+    parts = (
+        b"$-1\r\n" if part is None else b"$%d\r\n%b\r\n" % (len(part), part) for part in (value, used, report)
+    )
     return b"*3\r\n" + b"".join(parts)
 
 
@@ -115,12 +116,14 @@
     async def stats(self) -> dict[str, Any]:
         """Connections now, the most, and ever; requests served and turned away; the most that one has."""
         return {
-            "connections": sum(server.connections for server in self.all), "opened": self.opened,
+            "connections": sum(server.connections for server in self.all),
+            "opened": self.opened,
             "most_per_server": max(server.most_connections for server in self.all),
             "used": sum(server.most_connections > 0 for server in self.all),
             "served": sum(server.served for server in self.all),
             "refused": sum(server.refused for server in self.all),
-            "busiest": max(server.served for server in self.all)}
+            "busiest": max(server.served for server in self.all),
+        }
 
     async def forget(self) -> None:
         """Count anew from here."""
--- a/scale/slopes.py
+++ b/scale/slopes.py
@@ -36,20 +36,26 @@
         """Start the servers and the load."""
         seed, fleet, load = self.config.seed, self.config.fleet, self.config.load
         self.servers, self.ports = await self.children.child(
-            "servers", seed=seed, number=fleet.ports, service_ms=load.service_ms)
+            "servers", seed=seed, number=fleet.ports, service_ms=load.service_ms
+        )
         self.load = await self.new_load()
 
     async def new_load(self) -> Child:
         """A process that sends load."""
         load, _ = await self.children.child(
-            "load", plan="plan", class_name="class-0", deadline_ms=self.config.load.deadline_ms, spread=1)
+            "load", plan="plan", class_name="class-0", deadline_ms=self.config.load.deadline_ms, spread=1
+        )
         return load
 
     async def discovery(self, servers: int) -> tuple[Child, int]:
         """A discovery of so many servers, and its port."""
         child, port = await self.children.child(
-            "discovery", seed=self.config.seed, servers=servers, ports=self.ports,
-            zone_count=self.config.fleet.zones)
+            "discovery",
+            seed=self.config.seed,
+            servers=servers,
+            ports=self.ports,
+            zone_count=self.config.fleet.zones,
+        )
         return child, int(port)
 
     async def real(self, discovery: int, servers: int, number: int = 0) -> gateways.Real:
@@ -63,18 +69,36 @@
     async def hollow(self, servers: int, first: int, number: int, kind: str) -> Child:
         """A process of hollow gateways before so many servers, whose watches are to be begun."""
         child, _ = await self.children.child(
-            "hollow", document=gateways.document(self.config.fleet.told(servers), 0, "a"),
-            kind=kind, first=first, number=number, zone_count=self.config.fleet.zones)
+            "hollow",
+            document=gateways.document(self.config.fleet.told(servers), 0, "a"),
+            kind=kind,
+            first=first,
+            number=number,
+            zone_count=self.config.fleet.zones,
+        )
         return child
 
     async def run_load(
-        self, label: str, ports: Sequence[int], seed: int, rate: float, by: Child | None = None,
+        self,
+        label: str,
+        ports: Sequence[int],
+        seed: int,
+        rate: float,
+        by: Child | None = None,
     ) -> dict[str, Any]:
         """One phase of the load, to these ports; its report and the label's so far."""
         load = self.config.load
         report: dict[str, Any] = await (by or self.load).call(
-            "run", patience_s=load.seconds + load.deadline_ms / 1000.0 + 30.0, label=label, ports=list(ports),
-            seed=seed, rate=rate, seconds=load.seconds, tenants=load.tenants, skew=load.skew)
+            "run",
+            patience_s=load.seconds + load.deadline_ms / 1000.0 + 30.0,
+            label=label,
+            ports=list(ports),
+            seed=seed,
+            rate=rate,
+            seconds=load.seconds,
+            tenants=load.tenants,
+            skew=load.skew,
+        )
         return report
 
 
@@ -86,7 +110,7 @@
     straight: dict[str, Any] = {}
     through: dict[str, Any] = {}
     added: dict[str, list[float]] = {part: [] for part in PARTS}
-    listed, opened = bench.ports[:bench.config.fleet.servers], 0
+    listed, opened = bench.ports[: bench.config.fleet.servers], 0
     for phase in range(bench.config.load.phases):
         seed = bench.config.seed * 1000 + phase
         straight = await bench.run_load(f"{label} straight", listed, seed, rate)
@@ -161,8 +185,9 @@
     after, stats = real.process.usage(), await bench.servers.call("stats")
     _latency(bench, found, "servers", size)
     served = found["through"]["counts"].get("served", 0)
-    bench.book.add("gateway.request_cpu", "servers", "us", size,
-                   [1e6 * (after.cpu_s - before.cpu_s) / max(1, served)])
+    bench.book.add(
+        "gateway.request_cpu", "servers", "us", size, [1e6 * (after.cpu_s - before.cpu_s) / max(1, served)]
+    )
     bench.book.add("gateway.sockets", "servers", "sockets", size, [after.sockets])
     bench.book.add("server.most_connections", "servers", "connections", size, [stats["most_per_server"]])
 
@@ -179,7 +204,8 @@
         others = {what: number for what, number in counts.items() if what != "served"}
         if others:
             bench.book.figures[f"{way} at {size:g} {by}: unserved"] = ", ".join(
-                f"{what} {number}" for what, number in sorted(others.items()))
+                f"{what} {number}" for what, number in sorted(others.items())
+            )
     note = f"{worst:.0%} unserved" if worst > MOST_UNSERVED else ""
     for part, values in found["added"].items():
         name = f"gateway.added_{part.removesuffix('_ms')}"
@@ -201,7 +227,8 @@
         _latency(bench, found, "requests/s", rate)
         seconds = bench.config.load.seconds * bench.config.load.phases
         bench.book.add(
-            "gateway.cpu", "requests/s", "ms/s", rate, [1000.0 * (after.cpu_s - before.cpu_s) / seconds])
+            "gateway.cpu", "requests/s", "ms/s", rate, [1000.0 * (after.cpu_s - before.cpu_s) / seconds]
+        )
         bench.book.add("gateway.sockets", "requests/s", "sockets", rate, [after.sockets])
     await bench.children.end(discovery, real.process)
 
@@ -267,12 +294,17 @@
 
 
 async def _decide(
-    bench: Bench, document: dict[str, Any], tenants: int, requests: int, gap_ms: float,
+    bench: Bench,
+    document: dict[str, Any],
+    tenants: int,
+    requests: int,
+    gap_ms: float,
 ) -> dict[str, Any]:
     """What so many requests cost the decisions, in a process of its own."""
     module, _ = await bench.children.child("module", document=document, servers=20)
     found: dict[str, Any] = await module.call(
-        "ask", patience_s=600.0, tenants=tenants, requests=requests, gap_ms=gap_ms)
+        "ask", patience_s=600.0, tenants=tenants, requests=requests, gap_ms=gap_ms
+    )
     await bench.children.end(module)
     return found
 
@@ -286,7 +318,8 @@
     waits = []
     for version, since in published:
         times = sorted(
-            next((at - since for had, at in gateway if had >= version), float("inf")) for gateway in heard)
+            next((at - since for had, at in gateway if had >= version), float("inf")) for gateway in heard
+        )
         waits.append(times[ceil(AT_99 * len(times)) - 1])
     return waits
 
@@ -295,8 +328,11 @@
     """So many hollow gateways, begun and with a list."""
     config, hollows = bench.config.fleet, []
     for first in range(0, number, config.hollow_per_process):
-        hollows.append(await bench.hollow(
-            config.servers, first, min(config.hollow_per_process, number - first), config.hollow_kind))
+        hollows.append(
+            await bench.hollow(
+                config.servers, first, min(config.hollow_per_process, number - first), config.hollow_kind
+            )
+        )
     await asyncio.gather(*(hollow.call("watch", port=discovery) for hollow in hollows))
     await asyncio.gather(*(hollow.call("heard", within_s=HEARD_S, version=1) for hollow in hollows))
     return hollows
@@ -326,14 +362,22 @@
 
 
 async def _news(
-    bench: Bench, discovery: Child, hollows: list[Child], name: str, first: int, last: int,
+    bench: Bench,
+    discovery: Child,
+    hollows: list[Child],
+    name: str,
+    first: int,
+    last: int,
 ) -> None:
     """How soon these versions were in force at 99 in 100 gateways: the median over them, and the worst."""
     await asyncio.gather(*(hollow.call("heard", version=last, within_s=HEARD_S) for hollow in hollows))
     told = [await hollow.call("told") for hollow in hollows]
     heard = [versions for part in told for versions in part["heard"]]
-    published = [(version, at) for version, at in (await discovery.call("stats"))["published"]
-                 if first <= version <= last]
+    published = [
+        (version, at)
+        for version, at in (await discovery.call("stats"))["published"]
+        if first <= version <= last
+    ]
     waits = in_force(published, heard)
     known = [1000.0 * wait for wait in waits if isfinite(wait)]
     note = "" if len(known) == len(waits) else f"{len(waits) - len(known)} versions never in force"
@@ -353,26 +397,41 @@
         while len(loads) < number:
             loads.append(await bench.new_load())
         await bench.servers.call("forget")
-        await asyncio.gather(*(
-            bench.run_load("reals", [real.port], 1000 * index, config.load.rate, load)
-            for index, (real, load) in enumerate(zip(reals, loads, strict=False))))
+        await asyncio.gather(
+            *(
+                bench.run_load("reals", [real.port], 1000 * index, config.load.rate, load)
+                for index, (real, load) in enumerate(zip(reals, loads, strict=False))
+            )
+        )
         stats = await bench.servers.call("stats")
-        bench.book.add("server.connections", "real gateways", "connections", number,
-                       [stats["connections"] / servers])
-        bench.book.add("server.connections_worst", "real gateways", "connections", number,
-                       [stats["most_per_server"]])
+        bench.book.add(
+            "server.connections", "real gateways", "connections", number, [stats["connections"] / servers]
+        )
+        bench.book.add(
+            "server.connections_worst", "real gateways", "connections", number, [stats["most_per_server"]]
+        )
         await bench.children.end(discovery, *(real.process for real in reals))
 
 
 MEASURES = {
-    "list": by_list, "stall": stalls, "module": by_tenants_and_routes, "fleet": by_fleet, "rate": by_rate,
-    "reals": by_reals}
+    "list": by_list,
+    "stall": stalls,
+    "module": by_tenants_and_routes,
+    "fleet": by_fleet,
+    "rate": by_rate,
+    "reals": by_reals,
+}
 
 
 def steps(config: Config, names: Sequence[str]) -> int:
     """How many steps these measures take."""
     slopes = config.slopes
-    sizes = {"list": len(slopes.lists), "stall": len(slopes.lists) + len(slopes.changes),
-             "module": len(slopes.tenants) + len(slopes.routes), "fleet": len(slopes.fleets),
-             "rate": len(slopes.rates), "reals": len(slopes.reals)}
+    sizes = {
+        "list": len(slopes.lists),
+        "stall": len(slopes.lists) + len(slopes.changes),
+        "module": len(slopes.tenants) + len(slopes.routes),
+        "fleet": len(slopes.fleets),
+        "rate": len(slopes.rates),
+        "reals": len(slopes.reals),
+    }
     return sum(sizes[name] for name in names)
--- a/scale/subsets.py
+++ b/scale/subsets.py
@@ -70,8 +70,10 @@
 
 def hashes(names: list[str]) -> NDArray[np.uint64]:
     """A number of 64 bits for each name."""
-    return np.array([int.from_bytes(blake2b(n.encode(), digest_size=8).digest(), "little") for n in names],
-                    dtype=np.uint64)
+    return np.array(
+        [int.from_bytes(blake2b(n.encode(), digest_size=8).digest(), "little") for n in names],
+        dtype=np.uint64,
+    )
 
 
 class Ring:
@@ -95,10 +97,17 @@
         for gateway in range(world.gateways):
             starts = np.array([gateway * int(step * subset.TURN) % subset.TURN for step in self.steps])
             starts = starts / subset.TURN
-            near = np.unique(np.concatenate([
-                order.take(np.arange(first, first + size), mode="wrap") for order, first in
-                ((orders[ring], int(np.searchsorted(sorted_places[ring], starts[ring])))
-                 for ring in range(rings))]))
+            near = np.unique(
+                np.concatenate(
+                    [
+                        order.take(np.arange(first, first + size), mode="wrap")
+                        for order, first in (
+                            (orders[ring], int(np.searchsorted(sorted_places[ring], starts[ring])))
+                            for ring in range(rings)
+                        )
+                    ]
+                )
+            )
             distance = ((places[near] - starts) % 1.0).min(axis=1)
             fleet.append(np.sort(ids[near[np.argpartition(distance, size - 1)[:size]]]))
         return fleet
@@ -110,8 +119,10 @@
     servers = hashes(world.names)[ids]
     if size == len(ids):
         return [ids] * world.gateways
-    return [np.sort(ids[np.argpartition(mix(servers ^ gateway), size - 1)[:size]])
-            for gateway in mix(np.arange(1, world.gateways + 1, dtype=np.uint64))]
+    return [
+        np.sort(ids[np.argpartition(mix(servers ^ gateway), size - 1)[:size]])
+        for gateway in mix(np.arange(1, world.gateways + 1, dtype=np.uint64))
+    ]
 
 
 def rendezvous_of_servers(world: World) -> Fleet:
@@ -121,8 +132,12 @@
         return [ids] * world.gateways
     sharers = ceil(world.gateways * size / len(ids))
     gateways = mix(np.arange(1, world.gateways + 1, dtype=np.uint64))
-    takers = np.array([np.argpartition(mix(server ^ gateways), sharers - 1)[:sharers]
-                       for server in hashes(world.names)[ids]])
+    takers = np.array(
+        [
+            np.argpartition(mix(server ^ gateways), sharers - 1)[:sharers]
+            for server in hashes(world.names)[ids]
+        ]
+    )
     order = np.argsort(takers.ravel(), kind="stable")
     bounds = np.searchsorted(takers.ravel()[order], np.arange(1, world.gateways))
     return [np.sort(part) for part in np.split(np.repeat(ids, sharers)[order], bounds)]
@@ -136,8 +151,12 @@
 def hashed_rounds(world: World) -> Fleet:
     """The same, but each round's shuffle is an order by hash, so that one server moves the others by one."""
     servers = hashes(world.names)
-    return _rounds(world, lambda number, ids: ids[np.argsort(
-        mix(servers[ids] ^ mix(np.array([number + 1], dtype=np.uint64))[0]))])
+    return _rounds(
+        world,
+        lambda number, ids: ids[
+            np.argsort(mix(servers[ids] ^ mix(np.array([number + 1], dtype=np.uint64))[0]))
+        ],
+    )
 
 
 def _rounds(world: World, shuffle: Callable[[int, Ids], Ids]) -> Fleet:
@@ -145,15 +164,17 @@
     slices, fleet = max(1, len(ids) // size), []
     for number in range(ceil(world.gateways / slices)):
         dealt = shuffle(number, ids)
-        fleet += [np.sort(dealt[place * size:(place + 1) * size]) for place in range(slices)]
-    return fleet[:world.gateways]
+        fleet += [np.sort(dealt[place * size : (place + 1) * size]) for place in range(slices)]
+    return fleet[: world.gateways]
 
 
 def random_draw(world: World) -> Fleet:
     """Each gateway draws from the list, with its index as seed."""
     ids, size = np.flatnonzero(world.listed), world.size()
-    return [np.sort(np.random.default_rng(gateway).choice(ids, size, replace=False, shuffle=False))
-            for gateway in range(world.gateways)]
+    return [
+        np.sort(np.random.default_rng(gateway).choice(ids, size, replace=False, shuffle=False))
+        for gateway in range(world.gateways)
+    ]
 
 
 WAYS: dict[str, Way] = {
@@ -185,13 +206,16 @@
     settled = [settle(fleet, world, rng.gamma(1.0, size=len(fleet))) for _ in range(SETTLED)]
     sharers = np.bincount(flat, minlength=len(world.names))[world.listed]
     return {
-        "max": float(even.max()), "p99.9": float(np.quantile(even, 0.999)),
+        "max": float(even.max()),
+        "p99.9": float(np.quantile(even, 0.999)),
         "uneven max": float(np.mean([load.max() for load in uneven])),
         "uneven p99.9": float(np.mean([np.quantile(load, 0.999) for load in uneven])),
         "settled max": float(np.mean([load.max() for load in settled])),
         "settled p99.9": float(np.mean([np.quantile(load, 0.999) for load in settled])),
-        "least sharers": float(sharers.min()), "mean sharers": float(sharers.mean()),
-        "least size": float(sizes.min()), "most size": float(sizes.max()),
+        "least sharers": float(sharers.min()),
+        "mean sharers": float(sharers.mean()),
+        "least size": float(sizes.min()),
+        "most size": float(sizes.max()),
     }
 
 
@@ -213,8 +237,11 @@
 def lost(fleet: Fleet, world: World, rng: np.random.Generator) -> dict[str, float]:
     """The least part of its subset that a gateway keeps when a zone, region or rack goes, by the mean."""
     zones = rng.permutation(len(world.names)) % ZONES
-    places = {"zone": zones, "region": zones % REGIONS,
-              "rack": zones + ZONES * (rng.permutation(len(world.names)) // (RACK * ZONES))}
+    places = {
+        "zone": zones,
+        "region": zones % REGIONS,
+        "rack": zones + ZONES * (rng.permutation(len(world.names)) // (RACK * ZONES)),
+    }
     left = {}
     for name, where in places.items():
         count = int(where.max()) + 1
@@ -227,8 +254,10 @@
 def churn(old: Fleet, new: Fleet) -> float:
     """Share of the entries of gateways in both fleets that are new."""
     both = min(len(old), len(new))
-    fresh = sum(len(after) - len(np.intersect1d(before, after, assume_unique=True))
-                for before, after in zip(old[:both], new[:both], strict=True))
+    fresh = sum(
+        len(after) - len(np.intersect1d(before, after, assume_unique=True))
+        for before, after in zip(old[:both], new[:both], strict=True)
+    )
     return fresh / max(1, sum(len(own) for own in old[:both]))
 
 
@@ -240,12 +269,17 @@
     part = max(1, len(ids) // 100)
     down = rng.choice(ids, part, replace=False)
     return {
-        "server goes": float(np.mean([churn(fleet, choose(world.but([s], False)))
-                                      for s in rng.choice(ids, DELTA, replace=False)])),
+        "server goes": float(
+            np.mean(
+                [churn(fleet, choose(world.but([s], False))) for s in rng.choice(ids, DELTA, replace=False)]
+            )
+        ),
         "server comes": float(np.mean([churn(fleet, choose(world.but([s], True))) for s in spare[:DELTA]])),
-        "gateway goes": churn(fleet, choose(fewer)), "gateway comes": churn(fleet, choose(more)),
-        "1% down": churn(fleet, choose(World(world.names, world.but(down, False).listed, world.gateways,
-                                             world.size()))),  # they stay listed, so the size stays
+        "gateway goes": churn(fleet, choose(fewer)),
+        "gateway comes": churn(fleet, choose(more)),
+        "1% down": churn(
+            fleet, choose(World(world.names, world.but(down, False).listed, world.gateways, world.size()))
+        ),  # they stay listed, so the size stays
         "1% replaced": churn(fleet, choose(world.but(down, False).but(spare[:part], True))),
     }
 
@@ -268,8 +302,12 @@
     ways: dict[str, tuple[int, Callable[[], Any]]] = {
         CHOSEN: (len(names), stream),
         "rendezvous, gateways": (len(names), lambda: nsmallest(size, names, key=lambda name: both(name, 1))),
-        "rendezvous, servers": (min(ROWS, len(names)), lambda: [
-            nsmallest(sharers, range(world.gateways), key=partial(both, name)) for name in names[:ROWS]]),
+        "rendezvous, servers": (
+            min(ROWS, len(names)),
+            lambda: [
+                nsmallest(sharers, range(world.gateways), key=partial(both, name)) for name in names[:ROWS]
+            ],
+        ),
         "shuffled rounds": (len(names), lambda: random.Random(1).shuffle(sorted(names))),
         "hashed rounds": (len(names), lambda: sorted(names, key=lambda name: both(name, 1))),
         "random draw": (len(names), lambda: random.Random(1).sample(sorted(names), size)),
@@ -281,8 +319,11 @@
         spent = time.perf_counter() - begun
         whole = spent * len(names) / rows * 1e3
         anew = name in ("shuffled rounds", "hashed rounds", "random draw")  # the whole list is needed again
-        times[name] = {"us a row": spent / rows * 1e6, "ms a list": whole,
-                       "us a change": whole * 1e3 if anew else spent / rows * 1e6}
+        times[name] = {
+            "us a row": spent / rows * 1e6,
+            "ms a list": whole,
+            "us a change": whole * 1e3 if anew else spent / rows * 1e6,
+        }
     return times
 
 
@@ -292,7 +333,7 @@
         nearest = subset.NearestEndpoints(subset.Subset(world.gateways, gateway, world.least))
         for index in np.flatnonzero(world.listed):
             nearest.offer(world.names[index])
-        if sorted(list(nearest)[:world.size()]) != [world.names[index] for index in fleet[gateway]]:
+        if sorted(list(nearest)[: world.size()]) != [world.names[index] for index in fleet[gateway]]:
             raise RuntimeError(f"gateway {gateway}: the comparison and the module choose different servers")
 
 
@@ -304,16 +345,25 @@
         names.add(f"s-{drawn.getrandbits(32):08x}")
     world = World(sorted(names), np.ones(servers + spare, dtype=bool), gateways, least)
     world = world.but(drawn.sample(range(servers + spare), spare), False)
-    result: dict[str, Any] = {"gateways": gateways, "servers": servers, "seed": seed,
-                              "size": world.size(), "ways": {}}
+    result: dict[str, Any] = {
+        "gateways": gateways,
+        "servers": servers,
+        "seed": seed,
+        "size": world.size(),
+        "ways": {},
+    }
     times = timed(world)
     for name in ways:
         choose, rng = WAYS[name], np.random.default_rng(seed)
         fleet = choose(world)
         if name == CHOSEN:
             agree(world, fleet)
-        result["ways"][name] = {**balance(fleet, world, rng), **lost(fleet, world, rng),
-                                **changes(choose, world, fleet, rng), **times.get(name, {})}
+        result["ways"][name] = {
+            **balance(fleet, world, rng),
+            **lost(fleet, world, rng),
+            **changes(choose, world, fleet, rng),
+            **times.get(name, {}),
+        }
     return result
 
 
@@ -321,9 +371,11 @@
     """The figures, a way a column."""
     ways = result["ways"]
     keys = list(dict.fromkeys(key for figures in ways.values() for key in figures))
-    lines = [f"{result['gateways']} gateways, {result['servers']} servers, seed {result['seed']}: "
-             f"{result['size']} servers for each gateway",
-             " " * 14 + "".join(f"{name:>22}" for name in ways)]
+    lines = [
+        f"{result['gateways']} gateways, {result['servers']} servers, seed {result['seed']}: "
+        f"{result['size']} servers for each gateway",
+        " " * 14 + "".join(f"{name:>22}" for name in ways),
+    ]
     for key in keys:
         cells = (f"{ways[name][key]:.4g}" if key in ways[name] else "-" for name in ways)
         lines.append(f"{key:14}" + "".join(f"{cell:>22}" for cell in cells))
--- a/tests/net/test_client_disconnect.py
+++ b/tests/net/test_client_disconnect.py
@@ -18,8 +18,10 @@
 from quota_gateway.net.upstream_pool import Attempt, UpstreamConnection
 from tests.support.fakes import FakeServer, Peer, array, call, node, run, until
 
-CLASSES = (RequestClass("read", 200_000.0, 600_000.0, Idempotency.IDEMPOTENT),  # nothing falls due by itself
-           RequestClass("buy", 200_000.0, 600_000.0, Idempotency.NON_IDEMPOTENT))
+CLASSES = (
+    RequestClass("read", 200_000.0, 600_000.0, Idempotency.IDEMPOTENT),  # nothing falls due by itself
+    RequestClass("buy", 200_000.0, 600_000.0, Idempotency.NON_IDEMPOTENT),
+)
 PLANS = (Plan("free"), Plan("held", rate=0.2, burst=2.0), Plan("two", max_in_flight=2))  # one of two here
 LIMITS = GatewayLimits(max_attempts=3, may_duplicate=True, can_cancel=True, connect_timeout_ms=2000.0)
 LIMIT_MS = 10_000  # generous: what a loopback end takes to arrive
@@ -62,7 +64,6 @@
         arrived.register(self.client.socket.fileno(), select.POLLRDHUP)
         assert arrived.poll(LIMIT_MS)
 
-
     def began(self, *numbers: int) -> list[bytes]:
         """The attempts that have come to servers whole, of these requests or of all that are its own."""
         came = [words[2] for server in self.servers for words in server.commands]
@@ -107,6 +108,7 @@
 
 # Each case: what happens before the client leaves, and what makes an attempt fall due once it has.
 
+
 async def held(gateway, leaver):
     peer = await gateway.peer()
     assert await peer.ask(ask(OTHER + 1, "held")) == name(OTHER + 1)
@@ -188,8 +190,20 @@
     return lambda: (leaver.client.transport.abort(), due())  # as the loop does once reading has failed
 
 
-CASES = [held, parked_under_a_cap, parked_for_the_pool, failed, timed_out, slow, slow_and_not_read, hedged,
-         pipelined, answers_not_taken, not_read_yet, reset_not_told_yet]
+CASES = [
+    held,
+    parked_under_a_cap,
+    parked_for_the_pool,
+    failed,
+    timed_out,
+    slow,
+    slow_and_not_read,
+    hedged,
+    pipelined,
+    answers_not_taken,
+    not_read_yet,
+    reset_not_told_yet,
+]
 
 
 async def warm(gateway, servers: int) -> None:
@@ -263,7 +277,8 @@
 
 @pytest.mark.parametrize("how", ["end", "reset"])
 def test_of_a_client_that_left_while_it_was_not_read_nothing_is_sent_on_before_that_is_noticed(
-        how, monkeypatch):
+    how, monkeypatch
+):
     monkeypatch.setattr(clients_module, "SWEEP_S", 3600.0)
     monkeypatch.setattr(clients_module, "MOST_PIPELINED", 8)
 
@@ -300,7 +315,8 @@
 
 @pytest.mark.parametrize("how", ["end", "reset"])
 def test_last_byte_of_a_command_that_its_server_is_slow_to_take_is_not_written_once_the_client_has_left(
-        how, monkeypatch):
+    how, monkeypatch
+):
     monkeypatch.setattr(clients_module, "SWEEP_S", 3600.0)
 
     async def test():
--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -26,11 +26,21 @@
             assert await peer.ask(call(1, "post", body=b"\x00\r\nx")) == b"val\r\nue"
             name, customer, request_id, fields, body = server.commands[0]
             assert (name, customer, request_id, body) == (
-                b"CALL.POST", WHO.encode(), b"0000000000000001", b"\x00\r\nx")
+                b"CALL.POST",
+                WHO.encode(),
+                b"0000000000000001",
+                b"\x00\r\nx",
+            )
             sent = dict(part.split(b"=") for part in fields.split(b","))
             assert 0 < int(sent.pop(b"d")) < 4000
-            assert sent == {b"c": b"post", b"t": b"free", b"k": b"5c0f", b"units": b"1", b"spread": b"2",
-                            b"first": b"0"}
+            assert sent == {
+                b"c": b"post",
+                b"t": b"free",
+                b"k": b"5c0f",
+                b"units": b"1",
+                b"spread": b"2",
+                b"first": b"0",
+            }
 
     run(test())
 
@@ -57,8 +67,9 @@
             peer = await gateway.peer()
             peer.send(call(1), call(2), resp("PING"))
             await server.until(lambda: len(server.commands) == 2)
-            first = next(n for n, words in zip(server.by, server.commands, strict=True)
-                         if words[2].endswith(b"1"))
+            first = next(
+                n for n, words in zip(server.by, server.commands, strict=True) if words[2].endswith(b"1")
+            )
             # The second is answered first: it waits for its turn.
             await until(lambda: len(gateway.driver.calls) == 1)
             server.writers[first].write(array(b"late"))
@@ -69,23 +80,37 @@
     run(test())
 
 
-@pytest.mark.parametrize("words", [
-    ["NONSENSE"], ["HELLO", "3"], ["CALL.GET"], ["CALL.GET", WHO, ID], ["CALL.GET", WHO, ID, GOOD, "body"],
-    ["CALL.POST", WHO, ID, GOOD.replace("read", "buy")],
-    ["CALL.GET", "zz", ID, GOOD], ["CALL.GET", "00000003b4d65521", ID, GOOD],
-    ["CALL.GET", WHO, "", GOOD], ["CALL.GET", WHO, "a" * 65, GOOD], ["CALL.GET", WHO, b"\xff\x00", GOOD],
-    ["CALL.GET", WHO, ID, ""], ["CALL.GET", WHO, ID, "c"], ["CALL.GET", WHO, ID, GOOD + ",c=read"],
-    ["CALL.GET", WHO, ID, GOOD.replace("read", "none")],
-    ["CALL.GET", WHO, ID, GOOD.replace("free", "none")],
-    ["CALL.GET", WHO, ID, GOOD.replace("d=4000", "d=x")],
-    ["CALL.GET", WHO, ID, GOOD.replace("d=4000", "d=nan")],
-    ["CALL.GET", WHO, ID, GOOD.replace("d=4000", "d=-1")], ["CALL.GET", WHO, ID, GOOD.replace("d=4000,", "")],
-    ["CALL.GET", WHO, ID, GOOD.replace("units=1", "units=inf")],
-    ["CALL.GET", WHO, ID, GOOD.replace("spread=2", "spread=0")],
-    ["CALL.GET", WHO, ID, GOOD.replace("read", "buy")], ["CALL.POST", WHO, ID, GOOD, "body"],
-    ["CALL.POST", WHO, ID, GOOD.replace("read", "post"), "body"],
-    ["CALL.GET", WHO, ID, b"\xff" + GOOD.encode() + b"\xff=\xff"],
-])
+@pytest.mark.parametrize(
+    "words",
+    [
+        ["NONSENSE"],
+        ["HELLO", "3"],
+        ["CALL.GET"],
+        ["CALL.GET", WHO, ID],
+        ["CALL.GET", WHO, ID, GOOD, "body"],
+        ["CALL.POST", WHO, ID, GOOD.replace("read", "buy")],
+        ["CALL.GET", "zz", ID, GOOD],
+        ["CALL.GET", "00000003b4d65521", ID, GOOD],
+        ["CALL.GET", WHO, "", GOOD],
+        ["CALL.GET", WHO, "a" * 65, GOOD],
+        ["CALL.GET", WHO, b"\xff\x00", GOOD],
+        ["CALL.GET", WHO, ID, ""],
+        ["CALL.GET", WHO, ID, "c"],
+        ["CALL.GET", WHO, ID, GOOD + ",c=read"],
+        ["CALL.GET", WHO, ID, GOOD.replace("read", "none")],
+        ["CALL.GET", WHO, ID, GOOD.replace("free", "none")],
+        ["CALL.GET", WHO, ID, GOOD.replace("d=4000", "d=x")],
+        ["CALL.GET", WHO, ID, GOOD.replace("d=4000", "d=nan")],
+        ["CALL.GET", WHO, ID, GOOD.replace("d=4000", "d=-1")],
+        ["CALL.GET", WHO, ID, GOOD.replace("d=4000,", "")],
+        ["CALL.GET", WHO, ID, GOOD.replace("units=1", "units=inf")],
+        ["CALL.GET", WHO, ID, GOOD.replace("spread=2", "spread=0")],
+        ["CALL.GET", WHO, ID, GOOD.replace("read", "buy")],
+        ["CALL.POST", WHO, ID, GOOD, "body"],
+        ["CALL.POST", WHO, ID, GOOD.replace("read", "post"), "body"],
+        ["CALL.GET", WHO, ID, b"\xff" + GOOD.encode() + b"\xff=\xff"],
+    ],
+)
 def test_bad_command_gets_an_error_and_the_connection_lives(words):
     async def test():
         server = FakeServer()
@@ -99,10 +124,21 @@
     run(test())
 
 
-@pytest.mark.parametrize("junk", [
-    b"GET / HTTP/1.1\r\n\r\n", b"*1\r\n$x\r\n", b"*0\r\n", b"*1\r\n:5\r\n", b"+OK\r\n", b"-ERR\r\n",
-    b"*-1\r\n", b"*4000000000\r\n", b"\x00\xff\r\n", b"*1\r\n*1\r\n$4\r\nPING\r\n",
-])
+@pytest.mark.parametrize(
+    "junk",
+    [
+        b"GET / HTTP/1.1\r\n\r\n",
+        b"*1\r\n$x\r\n",
+        b"*0\r\n",
+        b"*1\r\n:5\r\n",
+        b"+OK\r\n",
+        b"-ERR\r\n",
+        b"*-1\r\n",
+        b"*4000000000\r\n",
+        b"\x00\xff\r\n",
+        b"*1\r\n*1\r\n$4\r\nPING\r\n",
+    ],
+)
 def test_broken_resp_gets_an_error_and_a_close_after_what_was_taken(junk):
     async def test():
         server = FakeServer(lambda words: None)
@@ -161,8 +197,7 @@
 
 @pytest.mark.parametrize("how", ["end", "reset"])
 @pytest.mark.parametrize("wait", ["held by the bucket", "parked", "for a connection"])
-def test_what_a_client_waited_for_when_it_left_is_not_sent_on_and_its_units_come_back(
-        wait, how, monkeypatch):
+def test_what_a_client_waited_for_when_it_left_is_not_sent_on_and_its_units_come_back(wait, how, monkeypatch):
     up, plain = asyncio.Event(), UpstreamConnection.open
 
     async def open_late(self):
@@ -227,8 +262,11 @@
 
 def test_client_that_left_with_its_answers_unread_waits_for_nothing_more(monkeypatch):
     answered, plain = [], Driver._answer
-    monkeypatch.setattr(Driver, "_answer", lambda self, call, answer: (
-        answered.append(call.request_id), plain(self, call, answer)))
+    monkeypatch.setattr(
+        Driver,
+        "_answer",
+        lambda self, call, answer: (answered.append(call.request_id), plain(self, call, answer)),
+    )
 
     async def test():
         server = FakeServer(lambda words: array(b"v" * 65_000) if words[2].endswith(b"0") else None)
@@ -376,9 +414,14 @@
     run(test())
 
 
-@pytest.mark.parametrize("sent, first", [
-    (b"", None), (b"*4\r\n$8\r\nCALL", None), (call(1) + b"*4\r", "-ERR failed"),
-])
+@pytest.mark.parametrize(
+    "sent, first",
+    [
+        (b"", None),
+        (b"*4\r\n$8\r\nCALL", None),
+        (call(1) + b"*4\r", "-ERR failed"),
+    ],
+)
 def test_silence_before_or_within_a_command_gets_an_error_and_a_close(sent, first, monkeypatch):
     monkeypatch.setattr(module, "COMMAND_S", 0.05)
 
@@ -414,11 +457,21 @@
     run(test())
 
 
-@pytest.mark.parametrize("head", [
-    b"*2000000000\r\n", b"*6\r\n", b"*0\r\n", b"*4\r\n$60000000\r\n", b"*4\r\n$-1\r\n", b"x" * 100,
-    call(1, "buy", body=b"x" * 4_194_305)[:200], b"*00000000000000000000000", b"*1\r\n$4\r\nPINGxx",
-    b"*1\r\n$+4\r\n",
-])
+@pytest.mark.parametrize(
+    "head",
+    [
+        b"*2000000000\r\n",
+        b"*6\r\n",
+        b"*0\r\n",
+        b"*4\r\n$60000000\r\n",
+        b"*4\r\n$-1\r\n",
+        b"x" * 100,
+        call(1, "buy", body=b"x" * 4_194_305)[:200],
+        b"*00000000000000000000000",
+        b"*1\r\n$4\r\nPINGxx",
+        b"*1\r\n$+4\r\n",
+    ],
+)
 def test_header_that_promises_more_than_may_come_is_an_error_at_once(head, monkeypatch):
     monkeypatch.setattr(module, "COMMAND_S", 3600.0)
 
@@ -478,12 +531,27 @@
     run(test())
 
 
-@pytest.mark.parametrize("old, new", [
-    ("units=1", "units=2"), ("units=1", "units=1e0"), ("units=1", "units=0"), ("units=1", "units=-1"),
-    ("units=1", "units= 1"), ("units=1", "units=1_0"), ("units=1", "units=0x1"), (",units=1", ""),
-    ("spread=2", "spread=3"), ("spread=2", "spread=1.5"), ("first=0", "first=2"), ("first=0", "first=-1"),
-    ("first=0", "first=+0"), ("d=4000", "d=1e3"), ("d=4000", "d=0"), ("d=4000", "d= 4000"),
-])
+@pytest.mark.parametrize(
+    "old, new",
+    [
+        ("units=1", "units=2"),
+        ("units=1", "units=1e0"),
+        ("units=1", "units=0"),
+        ("units=1", "units=-1"),
+        ("units=1", "units= 1"),
+        ("units=1", "units=1_0"),
+        ("units=1", "units=0x1"),
+        (",units=1", ""),
+        ("spread=2", "spread=3"),
+        ("spread=2", "spread=1.5"),
+        ("first=0", "first=2"),
+        ("first=0", "first=-1"),
+        ("first=0", "first=+0"),
+        ("d=4000", "d=1e3"),
+        ("d=4000", "d=0"),
+        ("d=4000", "d= 4000"),
+    ],
+)
 def test_figures_out_of_range_are_an_error_and_charge_nobody(old, new):
     async def test():
         server = FakeServer()
@@ -507,6 +575,8 @@
             assert all(due <= gateway.driver.clock() + 4000.0 for due, *_ in gateway.driver.timers)
 
     run(test())
+
+
 def test_no_pong_before_the_list_is_known():
     async def test():
         async with node() as gateway:
@@ -539,8 +609,9 @@
             peer.send(*(call(number) for number in range(MOST_PIPELINED + more)))
             await server.until(lambda: len(held) == MOST_PIPELINED)
             gateway.clients.stop_listening()
-            first = next(n for n, words in zip(server.by, server.commands, strict=True)
-                         if int(words[2], 16) == 0)
+            first = next(
+                n for n, words in zip(server.by, server.commands, strict=True) if int(words[2], 16) == 0
+            )
             for number, writer in enumerate(server.writers):
                 if number != first:
                     writer.write(array(b"v"))
--- a/tests/net/test_descriptors.py
+++ b/tests/net/test_descriptors.py
@@ -169,14 +169,18 @@
 
 @pytest.mark.parametrize("said", SAID)
 def test_news_is_heard_and_requests_are_served_while_a_crowd_holds_all_there_is_for_clients(
-    said, tmp_path, monkeypatch, capfd,
+    said,
+    tmp_path,
+    monkeypatch,
+    capfd,
 ):
     """Discovery is gone, comes back, and moves as it does; servers hold all they may meanwhile.
 
     The kernel itself holds the process to its limit.
     """
-    monkeypatch.setattr(process_module, "command", lambda plain=process_module.command: (
-        f"ulimit -n {LIMIT}; {plain()}"))
+    monkeypatch.setattr(
+        process_module, "command", lambda plain=process_module.command: f"ulimit -n {LIMIT}; {plain()}"
+    )
 
     async def test():
         silent = await FakeServer(lambda words: None).start()
--- a/tests/net/test_detachments.py
+++ b/tests/net/test_detachments.py
@@ -17,8 +17,10 @@
     lambda rig: rig.servers(entry(1), entry(2)),
     lambda rig: rig.servers(entry(1, started_ms=rig.now), kind=UpdateKind.DELTA),
     lambda rig: (rig.servers(entry(2)), rig.servers(entry(1), entry(2))),
-    lambda rig: (rig.servers(entry(1, state=EndpointLifecycle.GONE), kind=UpdateKind.DELTA),
-                 rig.servers(entry(1), kind=UpdateKind.DELTA)),
+    lambda rig: (
+        rig.servers(entry(1, state=EndpointLifecycle.GONE), kind=UpdateKind.DELTA),
+        rig.servers(entry(1), kind=UpdateKind.DELTA),
+    ),
 ]
 
 
@@ -169,14 +171,24 @@
     run(test())
 
 
-@pytest.mark.parametrize("data, status", [
-    (post("/_servers/detach", b"other"), 404), (post("/_servers/attach", b"other"), 404),
-    (post("/_servers/drain", b"s-1"), 404), (post("/_ready", b""), 405), (post("/_servers/detach", b""), 400),
-    (b"GET /_servers/detach HTTP/1.1\r\n\r\n", 405), (b"GET / HTTP/1.1\r\n\r\n", 404),
-    (post("/_servers/detach", b"\xff\xfe"), 400), (post("/_servers/detach", b"s" * 300), 400),
-    (post("/_servers/detach", b"s" * 10_000), 413), (b"\x00\x01\r\n\r\n", 400), (b"PING\r\n\r\n", 400),
-    (b"GET /_ready HTTP/1.1\r\nX: " + b"x" * 10_000, 413),
-])
+@pytest.mark.parametrize(
+    "data, status",
+    [
+        (post("/_servers/detach", b"other"), 404),
+        (post("/_servers/attach", b"other"), 404),
+        (post("/_servers/drain", b"s-1"), 404),
+        (post("/_ready", b""), 405),
+        (post("/_servers/detach", b""), 400),
+        (b"GET /_servers/detach HTTP/1.1\r\n\r\n", 405),
+        (b"GET / HTTP/1.1\r\n\r\n", 404),
+        (post("/_servers/detach", b"\xff\xfe"), 400),
+        (post("/_servers/detach", b"s" * 300), 400),
+        (post("/_servers/detach", b"s" * 10_000), 413),
+        (b"\x00\x01\r\n\r\n", 400),
+        (b"PING\r\n\r\n", 400),
+        (b"GET /_ready HTTP/1.1\r\nX: " + b"x" * 10_000, 413),
+    ],
+)
 def test_call_that_is_malformed_too_long_or_unknown_is_a_no(data, status):
     async def test():
         async with managed() as (port, told, _):
--- a/tests/net/test_discovery_client.py
+++ b/tests/net/test_discovery_client.py
@@ -40,7 +40,9 @@
             told, addresses = await news.get()
             assert told.kind is UpdateKind.DELTA and told.version == 43
             assert [(e.server, e.state, e.started_ms) for e in told.endpoints] == [
-                (2, EndpointLifecycle.DRAINING, 0.0), (3, EndpointLifecycle.READY, 9.0)]
+                (2, EndpointLifecycle.DRAINING, 0.0),
+                (3, EndpointLifecycle.READY, 9.0),
+            ]
             watch.close()
             target, watch = await fake.watch()
             assert target == "/discovery/hosts?watch=1&from=43"
@@ -51,10 +53,19 @@
     run(test())
 
 
-@pytest.mark.parametrize("line", [
-    b"{not json\n\n", b"[]\n", b"7\n", b'{"generation":2,"reset":false}\n', b"\xff\xfe\n", b"}\n",
-    listing(2, {**row("s-2", 2), "hostPort": None}, reset=True), b'{"generation":2,\n"reset":false,\n\n',
-])
+@pytest.mark.parametrize(
+    "line",
+    [
+        b"{not json\n\n",
+        b"[]\n",
+        b"7\n",
+        b'{"generation":2,"reset":false}\n',
+        b"\xff\xfe\n",
+        b"}\n",
+        listing(2, {**row("s-2", 2), "hostPort": None}, reset=True),
+        b'{"generation":2,\n"reset":false,\n\n',
+    ],
+)
 def test_malformed_line_is_not_fatal_and_all_is_asked_for_again(line):
     async def test():
         async with watched() as (_, fake, news):
@@ -72,9 +83,17 @@
 
 
 SPOILT = [
-    {"hostPort": None}, {"hostPort": "nowhere"}, {"hostPort": "127.0.0.1:99999"}, {"hostPort": "127.0.0.:1"},
-    {"lifecycle": "Odd"}, {"lifecycle": []}, {"startedAtMs": "soon"}, {"startedAtMs": 1e999}, {"zone": None},
-    {"cell": "x"}, {"weight": "x"},
+    {"hostPort": None},
+    {"hostPort": "nowhere"},
+    {"hostPort": "127.0.0.1:99999"},
+    {"hostPort": "127.0.0.:1"},
+    {"lifecycle": "Odd"},
+    {"lifecycle": []},
+    {"startedAtMs": "soon"},
+    {"startedAtMs": 1e999},
+    {"zone": None},
+    {"cell": "x"},
+    {"weight": "x"},
 ]
 
 
@@ -92,8 +111,15 @@
             told, addresses = await news.get()
             # the one that drains and the new one are heard of; the one whose row is spoilt stays as it was
             assert [(e.server, e.state) for e in told.endpoints] == [
-                (1, EndpointLifecycle.READY), (2, EndpointLifecycle.DRAINING), (3, EndpointLifecycle.READY)]
-            assert addresses[1] == ("127.0.0.1", 1) and set(discovery.registry.numbers) == {"s-1", "s-2", "s-3"}
+                (1, EndpointLifecycle.READY),
+                (2, EndpointLifecycle.DRAINING),
+                (3, EndpointLifecycle.READY),
+            ]
+            assert addresses[1] == ("127.0.0.1", 1) and set(discovery.registry.numbers) == {
+                "s-1",
+                "s-2",
+                "s-3",
+            }
             watch.write(chunk(listing(3, row("s-4", 4))))  # the watch goes on
             assert (await news.get())[1] == {4: ("127.0.0.1", 4)}
 
@@ -192,10 +218,14 @@
     run(test())
 
 
-@pytest.mark.parametrize("answer", [
-    b"HTTP/1.1 500 Odd\r\nContent-Length: 2\r\n\r\n{}", b"junk\r\n\r\n",
-    b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
-])
+@pytest.mark.parametrize(
+    "answer",
+    [
+        b"HTTP/1.1 500 Odd\r\nContent-Length: 2\r\n\r\n{}",
+        b"junk\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
+    ],
+)
 def test_answer_that_is_no_watch_is_asked_for_again(answer):
     async def test():
         asked = asyncio.Queue()
@@ -247,7 +277,10 @@
 
 def test_gateways_that_are_turned_away_ask_again_later_each_time_and_not_in_step():
     async def test():
-        feeds = [DiscoveryWatcher(DiscoveryClient(lambda *told: None, seed), ("127.0.0.1", 9)) for seed in range(40)]
+        feeds = [
+            DiscoveryWatcher(DiscoveryClient(lambda *told: None, seed), ("127.0.0.1", 9))
+            for seed in range(40)
+        ]
         for feed in feeds:
             feed.end()
             feed.turned_away = True
@@ -290,7 +323,10 @@
                 assert told.kind is UpdateKind.DELTA
                 watch.write(chunk(listing(generation, row("s-2", 2), row("s-3", 3), reset=True)))
                 told, addresses = await news.get()
-                assert told.kind is UpdateKind.SNAPSHOT and sorted(addresses) == [2, 3]  # s-2 keeps its number
+                assert told.kind is UpdateKind.SNAPSHOT and sorted(addresses) == [
+                    2,
+                    3,
+                ]  # s-2 keeps its number
                 assert discovery.feed.address == ("127.0.0.1", other.port) and discovery.next is None
                 await fake.ended.get()  # the old one has been closed
                 fake, old = other, watch
--- a/tests/net/test_discovery_notification.py
+++ b/tests/net/test_discovery_notification.py
@@ -24,8 +24,16 @@
 NEVER_S = 60.0
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 TURNED_AWAY = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
-DOWN = ("refuses connections", "hangs up", "is silent", "sends headers alone", "turns away",
-        "turns away late", "answers nothing", "sends half a line")
+DOWN = (
+    "refuses connections",
+    "hangs up",
+    "is silent",
+    "sends headers alone",
+    "turns away",
+    "turns away late",
+    "answers nothing",
+    "sends half a line",
+)
 
 
 class Fickle:
--- a/tests/net/test_driver.py
+++ b/tests/net/test_driver.py
@@ -59,13 +59,18 @@
     async def test():
         async with node() as gateway:
             sends = []
-            script = Script(Request=lambda e: [StartAttempt("r", 9), StartAttempt("r", 9), LogMessage("after both")],
-                            Outcome=lambda e: sends.append(gateway.driver.calls["r"].sends) or (
-                                [Reject("r")] if e.attempt == 1 else []))
+            script = Script(
+                Request=lambda e: [StartAttempt("r", 9), StartAttempt("r", 9), LogMessage("after both")],
+                Outcome=lambda e: (
+                    sends.append(gateway.driver.calls["r"].sends) or ([Reject("r")] if e.attempt == 1 else [])
+                ),
+            )
             answers = scripted(gateway, script)
             assert sends == [2, 2]
             assert script.outcomes() == [
-                (0, AttemptStatus.CONNECT_FAILED, False), (1, AttemptStatus.CONNECT_FAILED, False)]
+                (0, AttemptStatus.CONNECT_FAILED, False),
+                (1, AttemptStatus.CONNECT_FAILED, False),
+            ]
             assert answers == [b"-BUSY\r\n"] and not gateway.driver.calls
 
     run(test())
@@ -74,7 +79,9 @@
 def test_only_the_first_final_answer_goes_out_and_advice_is_in_whole_milliseconds():
     async def test():
         async with node() as gateway:
-            script = Script(Request=lambda e: [Reject("r", 249.6), Fail("r"), Reject("r"), StartAttempt("r", 1)])
+            script = Script(
+                Request=lambda e: [Reject("r", 249.6), Fail("r"), Reject("r"), StartAttempt("r", 1)]
+            )
             assert scripted(gateway, script) == [b"-BUSY 250\r\n"]
             assert script.outcomes() == [] and not gateway.driver.calls
 
@@ -85,11 +92,20 @@
     async def test():
         server = FakeServer(lambda words: None)
         async with node(server) as gateway:
-            script = Script(Request=lambda e: [
-                StartAttempt("r", 1), Fail("r"), Reject("r"), StartAttempt("r", 1), CancelAttempt("r", 0)])
+            script = Script(
+                Request=lambda e: [
+                    StartAttempt("r", 1),
+                    Fail("r"),
+                    Reject("r"),
+                    StartAttempt("r", 1),
+                    CancelAttempt("r", 0),
+                ]
+            )
             assert scripted(gateway, script) == [b"-ERR failed\r\n"]
             assert sorted(script.outcomes(), key=lambda outcome: outcome[0]) == [
-                (0, AttemptStatus.CONNECT_FAILED, True), (1, AttemptStatus.NOT_SENT, True)]
+                (0, AttemptStatus.CONNECT_FAILED, True),
+                (1, AttemptStatus.NOT_SENT, True),
+            ]
             assert not server.commands and not gateway.driver.calls
 
     run(test())
@@ -99,8 +115,10 @@
     async def test():
         server, other = FakeServer(lambda words: None), FakeServer(lambda words: None)
         async with node(server, other) as gateway:
-            script = Script(Request=lambda e: [StartAttempt("r", 1)],
-                            Outcome=lambda e: [StartAttempt("r", 2)] if e.attempt == 0 else [])
+            script = Script(
+                Request=lambda e: [StartAttempt("r", 1)],
+                Outcome=lambda e: [StartAttempt("r", 2)] if e.attempt == 0 else [],
+            )
             scripted(gateway, script)
             await server.until(lambda: len(server.commands) == 1)
             gateway.driver._perform(CancelAttempt("r", 0))
@@ -117,8 +135,10 @@
     async def test():
         quick, late = FakeServer(lambda words: None), FakeServer()
         async with node(quick, late) as gateway:
-            script = Script(Request=lambda e: [StartAttempt("r", 1), StartAttempt("r", 2)],
-                            TimerFired=lambda e: [Reject("r")])
+            script = Script(
+                Request=lambda e: [StartAttempt("r", 1), StartAttempt("r", 2)],
+                TimerFired=lambda e: [Reject("r")],
+            )
             answers = scripted(gateway, script)
             await quick.until(lambda: len(quick.commands) == 1)  # the second is gated from here on
             assert answers == [] and script.outcomes() == []
@@ -136,7 +156,10 @@
             await told.wait()
             assert [words[0] for words in late.commands] == [b"LAST"]
             if end == "answered by another":
-                assert [status for _, status, _ in script.outcomes()] == [AttemptStatus.OK, AttemptStatus.NOT_SENT]
+                assert [status for _, status, _ in script.outcomes()] == [
+                    AttemptStatus.OK,
+                    AttemptStatus.NOT_SENT,
+                ]
                 assert not gateway.driver.calls
 
     up, plain = asyncio.Event(), UpstreamConnection.open
@@ -161,8 +184,11 @@
                 gateway.told((Endpoint(1, "a"), listener.getsockname()))
                 script, whole = Script(Request=lambda e: [StartAttempt("r", 1)]), 32_000_000
                 gateway.driver.gateway = script
-                gateway.driver.request(ActiveRequest("r", lambda wait: b"x" * whole, lambda answer: None),
-                                       Request("r", "read", "free", "c", 60_000.0), 60_000.0)
+                gateway.driver.request(
+                    ActiveRequest("r", lambda wait: b"x" * whole, lambda answer: None),
+                    Request("r", "read", "free", "c", 60_000.0),
+                    60_000.0,
+                )
                 loop = asyncio.get_running_loop()
                 accepted, _ = await loop.sock_accept(listener)
                 got = len(await loop.sock_recv(accepted, 1))  # the rest waits for this reader
@@ -191,7 +217,9 @@
             script = Script(Request=lambda e: [StartAttempt("r", 1, 200.0)], Outcome=lambda e: [Fail("r")])
             answers = scripted(gateway, script)
             await server.until(lambda: server.ended == 1)
-            assert script.outcomes() == [(0, AttemptStatus.TIMEOUT, False)] and answers == [b"-ERR failed\r\n"]
+            assert script.outcomes() == [(0, AttemptStatus.TIMEOUT, False)] and answers == [
+                b"-ERR failed\r\n"
+            ]
 
     run(test())
 
@@ -208,7 +236,9 @@
             server.writers[0].write(array(b"late"))
             await until(lambda: bool(script.outcomes()))
             assert script.outcomes() == [(0, AttemptStatus.OK, True)] and answers == []
-            assert [e for e in script.events if isinstance(e, ClientDisconnected)] == [ClientDisconnected("r")]
+            assert [e for e in script.events if isinstance(e, ClientDisconnected)] == [
+                ClientDisconnected("r")
+            ]
             assert not gateway.driver.calls
 
     run(test())
@@ -295,7 +325,8 @@
 
 @pytest.mark.parametrize("how", ["end", "reset"])
 def test_client_that_leaves_while_its_server_is_connected_to_says_nothing_against_the_server(
-        how, monkeypatch):
+    how, monkeypatch
+):
     async def never(self):
         await asyncio.Event().wait()
 
--- a/tests/net/test_idle_connections.py
+++ b/tests/net/test_idle_connections.py
@@ -46,7 +46,7 @@
             slow, command = await gateway.peer(), call(7)
             peers = []
             for at in range(0, len(command), 4):
-                slow.send(command[at:at + 4])
+                slow.send(command[at : at + 4])
                 peers.append(await gateway.peer())
                 peers[-1].send(call(1)[:50])
                 await asyncio.sleep(module.STOPPED_S / 8.0)
@@ -66,7 +66,7 @@
             peer, body = await gateway.peer(), b"x" * 3000
             command = call(1, "post", body=body)
             for at in range(0, len(command), 200):
-                peer.send(command[at:at + 200])
+                peer.send(command[at : at + 200])
                 await asyncio.sleep(0.05)
             assert await peer.reply() == body
             stopped = await gateway.peer()
--- a/tests/net/test_large_endpoint_lists.py
+++ b/tests/net/test_large_endpoint_lists.py
@@ -139,14 +139,19 @@
     run(test())
 
 
-@pytest.mark.parametrize("bad", [
-    b'{"generation":2,"reset":true,"instances":[' + b'{"instanceId":"' + b"x" * 200_000,
-    b'{"generation":2,"reset":true,"instances":[' + b"[" * 100_000,
-    b'{"generation":2,"reset":true,"instances":' + b" " * 100_000 + b"7}\n",
-    b"[" + b" " * 100_000 + b"]\n", b" " * 200_000, b'{"a":' + b'{"a":' * 40_000,
-    b'{"reset":true,"instances":[' + b",".join([b"7"] * 50_000) + b"]}\n",
-    b'{"generation":2,\n"reset":true,\n"instances":[\n' + b" \t{}," * 20_000 + b"\n\n",
-])
+@pytest.mark.parametrize(
+    "bad",
+    [
+        b'{"generation":2,"reset":true,"instances":[' + b'{"instanceId":"' + b"x" * 200_000,
+        b'{"generation":2,"reset":true,"instances":[' + b"[" * 100_000,
+        b'{"generation":2,"reset":true,"instances":' + b" " * 100_000 + b"7}\n",
+        b"[" + b" " * 100_000 + b"]\n",
+        b" " * 200_000,
+        b'{"a":' + b'{"a":' * 40_000,
+        b'{"reset":true,"instances":[' + b",".join([b"7"] * 50_000) + b"]}\n",
+        b'{"generation":2,\n"reset":true,\n"instances":[\n' + b" \t{}," * 20_000 + b"\n\n",
+    ],
+)
 def test_long_document_that_can_not_be_read_is_given_up_and_what_was_known_stays(bad):
     async def test():
         async with few_known() as (discovery, fake, watch, known):
@@ -162,14 +167,28 @@
     monkeypatch.setattr(roster_module, "MOST_LISTED", 2000)
     long = StreamingSnapshotReader(EndpointRegistry(FEW))
     with pytest.raises(ValueError):
-        long.take(b'{"generation":2,"reset":true,"instances":[' + b",".join(
-            json.dumps(line).encode() for line in rows(*range(3000))))
+        long.take(
+            b'{"generation":2,"reset":true,"instances":['
+            + b",".join(json.dumps(line).encode() for line in rows(*range(3000)))
+        )
     assert len(long.reading.others) <= 2001
 
 
 NUMBERS = st.integers(0, 120)
-ODD = st.sampled_from([{}, {}, {}, {"lifecycle": "Terminating"}, {"lifecycle": "Gone"}, {"hostPort": None},
-                       {"lifecycle": "Odd"}, {"cell": "x"}, {"instanceId": 7}, {"instanceId": ""}])
+ODD = st.sampled_from(
+    [
+        {},
+        {},
+        {},
+        {"lifecycle": "Terminating"},
+        {"lifecycle": "Gone"},
+        {"hostPort": None},
+        {"lifecycle": "Odd"},
+        {"cell": "x"},
+        {"instanceId": 7},
+        {"instanceId": ""},
+    ]
+)
 ROWS = st.lists(st.tuples(NUMBERS, ODD), max_size=150)
 DOCUMENTS = st.lists(st.tuples(st.booleans(), ROWS), min_size=1, max_size=5)
 
@@ -179,7 +198,7 @@
     long, text = StreamingSnapshotReader(registry), json.dumps(document, indent=indent).encode() + b"\nrest"
     try:
         for at in range(0, len(text), cut):
-            if (behind := long.take(text[at:at + cut])) is not None:
+            if (behind := long.take(text[at : at + cut])) is not None:
                 break
         assert behind is not None and b"rest".startswith(behind)
         news = [listing for listing, _ in long.news()]
@@ -219,7 +238,7 @@
     async def test():
         async with few_known() as (discovery, fake, watch, known):
             near = [int(name[2:]) for name in discovery.registry.nearest]
-            gone = near[:FEW.size(1000) + 1]
+            gone = near[: FEW.size(1000) + 1]
             watch.write(chunk(listing(2, *rows(*gone, state="Gone"))))
             target, watch = await fake.watch()
             assert target == "/discovery/hosts?watch=1"
@@ -271,11 +290,13 @@
     rig, order = large_rig()
     assert ready(rig) == set(order[:SIZE])
     drained = order[3:10]
-    rig.servers(*(Endpoint(number, "a", state=EndpointLifecycle.DRAINING) for number in drained),
-                kind=UpdateKind.DELTA)
+    rig.servers(
+        *(Endpoint(number, "a", state=EndpointLifecycle.DRAINING) for number in drained),
+        kind=UpdateKind.DELTA,
+    )
     rig.gateway.listed = SERVERS
     rig.do(EndpointUpdate(UpdateKind.DELTA, (), 2, SERVERS))
-    assert ready(rig) == set(order[:SIZE + 7]) - set(drained)
+    assert ready(rig) == set(order[: SIZE + 7]) - set(drained)
     assert rig.gateway.reserve[-1].id == order[SIZE + 7]
 
 
@@ -298,7 +319,9 @@
     for _ in range(4):
         rig.count += 1
         name = f"f{rig.count}"
-        sent = [a for a in rig.do(Request(name, "unsafe", "free", "c", 4000.0)) if isinstance(a, StartAttempt)]
+        sent = [
+            a for a in rig.do(Request(name, "unsafe", "free", "c", 4000.0)) if isinstance(a, StartAttempt)
+        ]
         assert [a.server for a in sent] == [server]
         rest, gateway.ready = gateway.ready, before  # another may have come to stand in
         rig.do(Outcome(name, 0, server, AttemptStatus.RESET, 10.0))
@@ -311,9 +334,9 @@
     rig, order = large_rig()
     for server in order[:5]:
         fail(rig, server)
-    assert ready(rig) == set(order[:SIZE + 5])
+    assert ready(rig) == set(order[: SIZE + 5])
     rig.do(EndpointUpdate(UpdateKind.DELTA, (), 2, SERVERS))  # some news: they stay as long as the doubt does
-    assert ready(rig) == set(order[:SIZE + 5])
+    assert ready(rig) == set(order[: SIZE + 5])
     rig.run(60_000.0)
     for _ in range(100):  # the others are well
         rig.finish(rig.ask(class_name="unsafe"))
@@ -367,10 +390,15 @@
         if what < 0.4:
             plan, kind = self.draw.choice(("free", "metered", "capped")), ("safe", "keyed", "unsafe")
             self.ask(plan, self.draw.choice(kind), self.draw.choice("abc"))
-        elif what < 0.7 and (open_now := [(name, number) for name, flight in self.gateway.flights.items()
-                                          for number in flight.out]):
+        elif what < 0.7 and (
+            open_now := [
+                (name, number) for name, flight in self.gateway.flights.items() for number in flight.out
+            ]
+        ):
             name, number = self.draw.choice(open_now)
-            how = self.draw.choice((AttemptStatus.OK, AttemptStatus.RESET, AttemptStatus.OVERLOADED, AttemptStatus.TIMEOUT))
+            how = self.draw.choice(
+                (AttemptStatus.OK, AttemptStatus.RESET, AttemptStatus.OVERLOADED, AttemptStatus.TIMEOUT)
+            )
             self.finish(name, how, number)
         elif what < 0.95:
             numbers = self.draw.sample(sorted(self.states), 6)
--- a/tests/net/test_large_replies.py
+++ b/tests/net/test_large_replies.py
@@ -17,7 +17,7 @@
     """What a reader of answers makes of bytes that come in pieces: the large value, and all answers."""
     reader, value, answers = ReplyReader(), b"", []
     for at in range(0, len(answer), size):
-        reader.feed(answer[at:at + size])
+        reader.feed(answer[at : at + size])
         got = reader.answer()
         if got is None and reader.left is not None:
             value += reader.piece()
@@ -91,12 +91,12 @@
             many = 4 * LARGE
             peer.send(call(1))
             await server.until(lambda: server.commands)
-            server.writers[0].write(b"*3\r\n$%d\r\n" % (len(many) // 2) + many[:len(many) // 2] + TAIL)
+            server.writers[0].write(b"*3\r\n$%d\r\n" % (len(many) // 2) + many[: len(many) // 2] + TAIL)
             (connection,) = gateway.servers.connections
             await until(lambda: connection.paused)
             assert gateway.clients.held < 300_000 and gateway.servers.held < 100_000
             peer.writer.transport.resume_reading()
-            assert await peer.reply() == many[:len(many) // 2]
+            assert await peer.reply() == many[: len(many) // 2]
 
     run(test())
 
@@ -109,8 +109,10 @@
             peer = await gateway.peer()
             peer.send(call(1), call(2))
             await server.until(lambda: len(server.commands) == 2)
-            first, second = (server.writers[server.by[server.commands.index(words)]]
-                             for words in sorted(server.commands, key=lambda words: words[2]))
+            first, second = (
+                server.writers[server.by[server.commands.index(words)]]
+                for words in sorted(server.commands, key=lambda words: words[2])
+            )
             second.write(HEAD + LARGE + TAIL)
             await until(lambda: any(connection.paused for connection in gateway.servers.connections))
             assert gateway.clients.held < 300_000
@@ -146,8 +148,10 @@
             peer = await gateway.peer()
             peer.send(call(1), call(2))
             await server.until(lambda: len(server.commands) == 2)
-            first, second = (server.writers[server.by[server.commands.index(words)]]
-                             for words in sorted(server.commands, key=lambda words: words[2]))
+            first, second = (
+                server.writers[server.by[server.commands.index(words)]]
+                for words in sorted(server.commands, key=lambda words: words[2])
+            )
             second.write(HEAD + LARGE[:10])
             await until(lambda: any(call.value for call in gateway.driver.calls.values()))
             second.close()
--- a/tests/net/test_upstream_pool.py
+++ b/tests/net/test_upstream_pool.py
@@ -50,13 +50,24 @@
     run(test())
 
 
-@pytest.mark.parametrize("answer, status", [
-    (array(b"v"), AttemptStatus.OK), (b"-BUSY\r\n", AttemptStatus.OVERLOADED), (b"-ERR failed\r\n", AttemptStatus.ERROR),
-    (b"", AttemptStatus.RESET), (b"$1\r\nv\r\n", AttemptStatus.ERROR), (b"*3\r\n$-1\r\n$-1\r\n$-1\r\n", AttemptStatus.ERROR),
-    (b"*0\r\n", AttemptStatus.ERROR), (b"*-1\r\n", AttemptStatus.ERROR), (b"+OK\r\n", AttemptStatus.ERROR),
-    (b"HTTP/1.1 200 OK\r\n\r\n", AttemptStatus.ERROR), (b"$500000000\r\n" + b"x" * 3_000_000, AttemptStatus.ERROR),
-    (b"*4000000000\r\n", AttemptStatus.ERROR), (b"*1\r\n:5\r\n", AttemptStatus.ERROR),
-])
+@pytest.mark.parametrize(
+    "answer, status",
+    [
+        (array(b"v"), AttemptStatus.OK),
+        (b"-BUSY\r\n", AttemptStatus.OVERLOADED),
+        (b"-ERR failed\r\n", AttemptStatus.ERROR),
+        (b"", AttemptStatus.RESET),
+        (b"$1\r\nv\r\n", AttemptStatus.ERROR),
+        (b"*3\r\n$-1\r\n$-1\r\n$-1\r\n", AttemptStatus.ERROR),
+        (b"*0\r\n", AttemptStatus.ERROR),
+        (b"*-1\r\n", AttemptStatus.ERROR),
+        (b"+OK\r\n", AttemptStatus.ERROR),
+        (b"HTTP/1.1 200 OK\r\n\r\n", AttemptStatus.ERROR),
+        (b"$500000000\r\n" + b"x" * 3_000_000, AttemptStatus.ERROR),
+        (b"*4000000000\r\n", AttemptStatus.ERROR),
+        (b"*1\r\n:5\r\n", AttemptStatus.ERROR),
+    ],
+)
 def test_outcome_by_the_table_and_one_only(answer, status):
     async def test():
         server = FakeServer(lambda words: answer)
@@ -73,10 +84,12 @@
 def test_figures_on_use_and_load_in_answers_and_error_lines():
     read = ReplyParser(("utilisation", "queue"), 1.0).reply
     assert read([b"v", b"used=37,cost=4", b"inflight=7,queue=2,util=0.61"]) == UpstreamReply(
-        AttemptStatus.OK, b"v", 37.0, 4.0, (0.61, 2.0))
+        AttemptStatus.OK, b"v", 37.0, 4.0, (0.61, 2.0)
+    )
     assert read([b"v", None, None]) == UpstreamReply(AttemptStatus.OK, b"v")
     assert read("ERR failed used=120 util=0.5,queue=3") == UpstreamReply(
-        AttemptStatus.ERROR, None, 120.0, None, (0.5, 3.0))
+        AttemptStatus.ERROR, None, 120.0, None, (0.5, 3.0)
+    )
     assert read("BUSY used=9") == UpstreamReply(AttemptStatus.OVERLOADED, None, 9.0)
     assert read([b"v", b"used=x,,=,nan", b"util=0.5"]) == UpstreamReply(AttemptStatus.OK, b"v")
 
@@ -95,11 +108,24 @@
     run(test())
 
 
-@pytest.mark.parametrize("answer", [
-    array(b"v") + b"junk", b"*3\r\n$1\r\nvv\r\n$-1\r\n$-1\r\n", b"*2000000000\r\n",
-    b"*3\r\n$3000000000\r\n", b"*3\r\n$10000000\r\n", b"*1\r\n$1\r\nv\r\n", b"*3\r\n$-1\r\n", b"\xb4P\xff",
-    b"-" + b"x" * 600, b"-NOISE x\r\n", b"-\xff\xff\r\n", b"*3\r\n*1\r\n$1\r\nv\r\n", b":5\r\n",
-])
+@pytest.mark.parametrize(
+    "answer",
+    [
+        array(b"v") + b"junk",
+        b"*3\r\n$1\r\nvv\r\n$-1\r\n$-1\r\n",
+        b"*2000000000\r\n",
+        b"*3\r\n$3000000000\r\n",
+        b"*3\r\n$10000000\r\n",
+        b"*1\r\n$1\r\nv\r\n",
+        b"*3\r\n$-1\r\n",
+        b"\xb4P\xff",
+        b"-" + b"x" * 600,
+        b"-NOISE x\r\n",
+        b"-\xff\xff\r\n",
+        b"*3\r\n*1\r\n$1\r\nv\r\n",
+        b":5\r\n",
+    ],
+)
 def test_connection_of_a_spoilt_answer_is_never_used_again_though_it_stays_open(answer):
     async def test():
         server = FakeServer(lambda words: answer if words[2].endswith(b"1") else array(words[2]))
@@ -305,8 +331,10 @@
     async def test():
         server = FakeServer()
         async with node(server) as gateway:
+
             def none_left(*_):
                 raise OSError(errno.EMFILE, "too many open files")
+
             ends = Ends()
             with monkeypatch.context() as patch:
                 patch.setattr(module.socket, "socket", none_left)
--- a/tests/process/test_process.py
+++ b/tests/process/test_process.py
@@ -65,7 +65,10 @@
 
 @asynccontextmanager
 async def program(
-    tmp_path, server: FakeServer, descriptors: int = 1024, known: int = 1,
+    tmp_path,
+    server: FakeServer,
+    descriptors: int = 1024,
+    known: int = 1,
     discovery: FakeDiscovery | None = None,
 ):
     """The running program, the port it listens on and the discovery it watches.
@@ -74,15 +77,30 @@
     """
     discovery, port = discovery or await FakeDiscovery().start(), free_port()
     path = tmp_path / "config.json"
-    path.write_text(json.dumps({
-        "name": "n0", "listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{discovery.port}",
-        "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": descriptors},
-        "known": {"generation": 1, "reset": True,
-                  "instances": [row(f"s-{number}", server.port) for number in range(1, known + 1)]},
-        "settings": SETTINGS,
-    }))
-    env = {**os.environ, "EDGE_CONFIG": str(path), "EDGE_NAME": "n0", "EDGE_LISTEN": f"127.0.0.1:{port}",
-           "EDGE_DISCOVERY": f"127.0.0.1:{discovery.port}"}
+    path.write_text(
+        json.dumps(
+            {
+                "name": "n0",
+                "listen": f"127.0.0.1:{port}",
+                "discovery": f"127.0.0.1:{discovery.port}",
+                "seed": "8c1f30d27a5be964",
+                "limits": {"cores": 1.0, "memory_mb": 192, "sockets": descriptors},
+                "known": {
+                    "generation": 1,
+                    "reset": True,
+                    "instances": [row(f"s-{number}", server.port) for number in range(1, known + 1)],
+                },
+                "settings": SETTINGS,
+            }
+        )
+    )
+    env = {
+        **os.environ,
+        "EDGE_CONFIG": str(path),
+        "EDGE_NAME": "n0",
+        "EDGE_LISTEN": f"127.0.0.1:{port}",
+        "EDGE_DISCOVERY": f"127.0.0.1:{discovery.port}",
+    }
     process = await asyncio.create_subprocess_shell(command(), cwd=ROOT, env=env)
     try:
         yield process, port, discovery
@@ -119,8 +137,11 @@
             await server.until(lambda: len(server.commands) == 3)
             process.send_signal(signal.SIGTERM)
             assert await idle.reply() is None
-            number = next(n for n, words in zip(server.by, server.commands, strict=True)
-                          if words[2] == b"0000000000000001")
+            number = next(
+                n
+                for n, words in zip(server.by, server.commands, strict=True)
+                if words[2] == b"0000000000000001"
+            )
             server.writers[number].write(array(b"late"))
             assert await busy.reply() == b"late" and await busy.reply() is None
             # The server stays silent on this one, whose client would wait for a minute: refused in time.
@@ -136,7 +157,8 @@
     async def test():
         async with node(FakeServer()) as gateway:
             leaving = asyncio.ensure_future(
-                program_module._leave(FAKE_SETTINGS, gateway.driver, gateway.clients, gateway.handover))
+                program_module._leave(FAKE_SETTINGS, gateway.driver, gateway.clients, gateway.handover)
+            )
             await asyncio.sleep(0)
             late = await gateway.peer()
             assert await late.ask(call(3)) == b"0000000000000003"
@@ -149,7 +171,8 @@
 
 def leave(gateway):
     return asyncio.ensure_future(
-        program_module._leave(FAKE_SETTINGS, gateway.driver, gateway.clients, gateway.handover))
+        program_module._leave(FAKE_SETTINGS, gateway.driver, gateway.clients, gateway.handover)
+    )
 
 
 @pytest.fixture
@@ -192,8 +215,11 @@
                 finish()
 
             monkeypatch.setattr(gateway.clients, "finish", last)
-            monkeypatch.setattr(client, "_leave_if_done", lambda plain=client._leave_if_done: (
-                plain() if client.ending else None))  # as if it sent on and on
+            monkeypatch.setattr(
+                client,
+                "_leave_if_done",
+                lambda plain=client._leave_if_done: plain() if client.ending else None,
+            )  # as if it sent on and on
             leaving = leave(gateway)
             assert await peer.reply() == "-BUSY"
             assert await peer.reply() == "-BUSY" and await peer.reply() is None
@@ -250,13 +276,15 @@
 
 def test_signal_that_comes_while_the_program_starts_waits_for_its_handler(tmp_path, monkeypatch):
     """SIGHUP at the first moment that code of ours runs in ``main``: its default would end the process."""
+
     async def test():
         code = (
             "import os, signal; from quota_gateway import __main__ as program\n"
             "load = program.Config.load\n"
             "def slow(env):\n    os.kill(os.getpid(), signal.SIGHUP)\n    return load(env)\n"
             "program.Config.load = slow\n"
-            "raise SystemExit(program.main())")
+            "raise SystemExit(program.main())"
+        )
         monkeypatch.setattr(sys.modules[__name__], "command", lambda: f'exec {sys.executable} -c "$CODE"')
         monkeypatch.setenv("CODE", code)
         server = await FakeServer(lambda words: array(b"v")).start()
@@ -281,7 +309,8 @@
 
 
 @pytest.mark.parametrize(
-    "text", ["127.0.0.1:99999", "127.0.0.1:0", "127.0.0.1", ":80", "127.0.0.1:", "h:1_0", 7])
+    "text", ["127.0.0.1:99999", "127.0.0.1:0", "127.0.0.1", ":80", "127.0.0.1:", "h:1_0", 7]
+)
 def test_address_that_can_not_be_is_told_by_its_field_and_the_watch_stays_where_it_is(text, tmp_path, caplog):
     class Watched:
         def watch(self, address):
--- a/tests/process/test_upgrade.py
+++ b/tests/process/test_upgrade.py
@@ -69,12 +69,20 @@
     async def start(self, tell: bool = True) -> tuple[asyncio.subprocess.Process, int]:
         """A further process, and where operators call it."""
         mgmt, path = free_port(), self.folder / f"config{len(self.processes)}.json"
-        path.write_text(json.dumps({
-            "name": "n0", "listen": f"127.0.0.1:{self.port}", "mgmt": f"127.0.0.1:{mgmt}",
-            "discovery": f"127.0.0.1:{self.discovery.port}", "seed": "8c1f30d27a5be964",
-            "limits": {"cores": 1.0, "memory_mb": 80, "sockets": 384},
-            "known": {"generation": 1, "reset": True, "instances": []}, "settings": SETTINGS,
-        }))
+        path.write_text(
+            json.dumps(
+                {
+                    "name": "n0",
+                    "listen": f"127.0.0.1:{self.port}",
+                    "mgmt": f"127.0.0.1:{mgmt}",
+                    "discovery": f"127.0.0.1:{self.discovery.port}",
+                    "seed": "8c1f30d27a5be964",
+                    "limits": {"cores": 1.0, "memory_mb": 80, "sockets": 384},
+                    "known": {"generation": 1, "reset": True, "instances": []},
+                    "settings": SETTINGS,
+                }
+            )
+        )
         env = {**os.environ, "EDGE_CONFIG": str(path), "TMPDIR": str(self.tmp)}
         for name in ("EDGE_LISTEN", "EDGE_DISCOVERY", "EDGE_MGMT"):
             env.pop(name, None)
@@ -138,8 +146,9 @@
                 await ready(mgmt)
                 old.send_signal(signal.SIGTERM)
                 assert await idle.ask(call(number + 1)) == b"%016x" % (number + 1)  # at the very moment
-                at = next(n for n, words in enumerate(p.server.commands)
-                          if n >= got - 1 and words[2].endswith(b"7"))
+                at = next(
+                    n for n, words in enumerate(p.server.commands) if n >= got - 1 and words[2].endswith(b"7")
+                )
                 p.server.writers[p.server.by[at]].write(array(b"late"))
                 assert await busy.reply() == b"late"
                 assert await old.wait() == 0
@@ -195,8 +204,18 @@
     return other
 
 
-@pytest.mark.parametrize("left", ["nothing", "a file", "a dead socket", "a silent process", "a malformed one",
-                                  "one that hangs up", "no state"])
+@pytest.mark.parametrize(
+    "left",
+    [
+        "nothing",
+        "a file",
+        "a dead socket",
+        "a silent process",
+        "a malformed one",
+        "one that hangs up",
+        "no state",
+    ],
+)
 def test_whatever_was_left_at_the_meeting_place_a_process_starts_and_is_ready(tmp_path, left):
     async def test():
         async with platform(tmp_path) as p:
@@ -349,12 +368,21 @@
     assert 1 in [server.id for server in successor.gateway.ready]
 
 
-@pytest.mark.parametrize("harm", [
-    lambda s: s.pop("customers"), lambda s: s.update(pool="x"), lambda s: s.update(pool=float("nan")),
-    lambda s: s["customers"][0].pop(), lambda s: s["customers"][0].__setitem__(3, None),
-    lambda s: s.update(servers=[[1, 2]]), lambda s: s.update(barred=[1]), lambda s: s.update(marks=[]),
-    lambda s: s.update(customers=[[{}, 1]]), lambda s: s.update(latency={"safe": [[1]]}),
-])
+@pytest.mark.parametrize(
+    "harm",
+    [
+        lambda s: s.pop("customers"),
+        lambda s: s.update(pool="x"),
+        lambda s: s.update(pool=float("nan")),
+        lambda s: s["customers"][0].pop(),
+        lambda s: s["customers"][0].__setitem__(3, None),
+        lambda s: s.update(servers=[[1, 2]]),
+        lambda s: s.update(barred=[1]),
+        lambda s: s.update(marks=[]),
+        lambda s: s.update(customers=[[{}, 1]]),
+        lambda s: s.update(latency={"safe": [[1]]}),
+    ],
+)
 def test_malformed_estate_is_refused_whole(rig, harm):
     rig.ask("metered")
     _, state = heir(rig)
--- a/tests/scale/test_capacity.py
+++ b/tests/scale/test_capacity.py
@@ -52,17 +52,32 @@
 
 def test_figure_is_the_line_at_the_size_of_the_fleet_and_its_verdict_goes_by_the_budget():
     within = row(capacity.table([made((100, 20.1), (200, 20.2), (400, 20.4), (800, 20.8))]), "memory, all")
-    assert within == ["gateway", "memory, all", "0.001 MB", "100, 200, 400, 800", "0%", "38,000 servers",
-                      "58 MB", "128 MB", "within", "47.5 times"]
+    assert within == [
+        "gateway",
+        "memory, all",
+        "0.001 MB",
+        "100, 200, 400, 800",
+        "0%",
+        "38,000 servers",
+        "58 MB",
+        "128 MB",
+        "within",
+        "47.5 times",
+    ]
     points = ((100, 20.3), (200, 20.6), (400, 21.2), (19000, 77.0))
     over = row(capacity.table([made(*points, note=[38000])]), "memory, all")
     assert over[3] == "100, 200, 400, 19000; 38000: refused"
     assert over[6:] == ["134 MB", "128 MB", "over", "2.0 times"]
 
 
-@pytest.mark.parametrize("points", [
-    [(1, 1.0), (2, 2.0), (3, 3.0)], [(1, 1.0), (2, 1.0), (3, 9.0), (4, 1.0)], [(1, 1.0)],
-])
+@pytest.mark.parametrize(
+    "points",
+    [
+        [(1, 1.0), (2, 2.0), (3, 3.0)],
+        [(1, 1.0), (2, 1.0), (3, 9.0), (4, 1.0)],
+        [(1, 1.0)],
+    ],
+)
 def test_fewer_than_four_sizes_or_a_line_that_does_not_hold_leave_it_unknown(points):
     cells = row(capacity.table([made(*points)]), "memory, all")
     assert cells[8] == "unknown"
@@ -83,7 +98,15 @@
     assert refused not in capacity.table([first])
     table = capacity.table([first, later])
     assert row(table, refused)[2:] == [
-        "none", "38000", "0%", "38,000 servers", "7,000 bytes/s", "5,000 bytes/s", "over", "no"]
+        "none",
+        "38000",
+        "0%",
+        "38,000 servers",
+        "7,000 bytes/s",
+        "5,000 bytes/s",
+        "over",
+        "no",
+    ]
     assert row(table, "memory, all")[3] == "1, 2, 3, 4"
 
 
--- a/tests/scale/test_scale_run.py
+++ b/tests/scale/test_scale_run.py
@@ -67,8 +67,16 @@
         rows = list(made.catalogue.rows.values())
         whole = await (await Reader().open(port, "?watch=1")).line()
         assert (whole["generation"], whole["reset"], len(whole["instances"])) == (1, True, 4)
-        assert set(whole["instances"][0]) == {"instanceId", "hostPort", "zone", "machineType", "cell",
-                                              "lifecycle", "weight", "startedAtMs"}
+        assert set(whole["instances"][0]) == {
+            "instanceId",
+            "hostPort",
+            "zone",
+            "machineType",
+            "cell",
+            "lifecycle",
+            "weight",
+            "startedAtMs",
+        }
         watch = await Reader().open(port, "?watch=1&from=1")
         assert await watch.line() == {"generation": 1, "reset": False, "instances": []}
         gone = fleet.msgspec.structs.replace(rows[0], lifecycle="Gone")
@@ -138,13 +146,21 @@
     assert first > 4 * sum(arrival.tenant == 9 for arrival in asked) > 0
 
 
-@pytest.mark.parametrize("text, key", [
-    ("[fleet]\nservers = 0", "fleet.servers"), ("[fleet]\nservers = 38001", "fleet.servers"),
-    ("[flet]\nservers = 5", "flet"), ("[load]\nrate = 'x'", "load.rate"),
-    ("[[faults]]\nat_s = 1.0\nkind = 'flood'", "faults[0].kind"), ("[[faults]]\nkind = 'silent'", "at_s"),
-    ("[[faults]]\nat_s = 1.0\nkind = 'lose_zone'\nzone = 'zz'", "faults[0].zone"),
-    ("[slopes]\nlists = []", "slopes.lists"), ("processes = 201", "processes"), ("seed = ", "wrong.toml"),
-])
+@pytest.mark.parametrize(
+    "text, key",
+    [
+        ("[fleet]\nservers = 0", "fleet.servers"),
+        ("[fleet]\nservers = 38001", "fleet.servers"),
+        ("[flet]\nservers = 5", "flet"),
+        ("[load]\nrate = 'x'", "load.rate"),
+        ("[[faults]]\nat_s = 1.0\nkind = 'flood'", "faults[0].kind"),
+        ("[[faults]]\nkind = 'silent'", "at_s"),
+        ("[[faults]]\nat_s = 1.0\nkind = 'lose_zone'\nzone = 'zz'", "faults[0].zone"),
+        ("[slopes]\nlists = []", "slopes.lists"),
+        ("processes = 201", "processes"),
+        ("seed = ", "wrong.toml"),
+    ],
+)
 def test_wrong_file_is_refused_with_the_name_of_the_key(tmp_path, text, key):
     path = tmp_path / "wrong.toml"
     path.write_text(text)
@@ -165,9 +181,27 @@
 @pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM, signal.SIGKILL])
 def test_children_end_with_the_run_also_when_it_is_interrupted(tmp_path, number):
     process = subprocess.Popen(
-        [sys.executable, "-m", "scale", "run", "--out", str(tmp_path), "--hollow", "2", "--servers", "4",
-         "--set", "load.seconds=300.0", "--set", "fleet.ports=4"],
-        cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.DEVNULL, env={**os.environ, "COLUMNS": "80"})
+        [
+            sys.executable,
+            "-m",
+            "scale",
+            "run",
+            "--out",
+            str(tmp_path),
+            "--hollow",
+            "2",
+            "--servers",
+            "4",
+            "--set",
+            "load.seconds=300.0",
+            "--set",
+            "fleet.ports=4",
+        ],
+        cwd=ROOT,
+        stdout=subprocess.PIPE,
+        stderr=subprocess.DEVNULL,
+        env={**os.environ, "COLUMNS": "80"},
+    )
     try:
         pids = _started(process, tmp_path, 5)
         process.send_signal(number)
@@ -182,23 +216,49 @@
         assert results.read(path).stopped == f"{number.name} came"
 
 
-@pytest.mark.parametrize("flag, why", [
-    ("deadline_s=4.0", "deadline_s of 4 is over"), ("memory_mb=64", "more than memory_mb"),
-    ("processes=4", "`processes`"),
-])
+@pytest.mark.parametrize(
+    "flag, why",
+    [
+        ("deadline_s=4.0", "deadline_s of 4 is over"),
+        ("memory_mb=64", "more than memory_mb"),
+        ("processes=4", "`processes`"),
+    ],
+)
 def test_run_beyond_its_limits_is_cut_short_and_leaves_a_result(tmp_path, flag, why):
     done = subprocess.run(
-        [sys.executable, "-m", "scale", "run", "--out", str(tmp_path), "--hollow", "2", "--servers", "4",
-         "--set", "load.seconds=300.0", "--set", "fleet.ports=4", "--set", flag],
-        cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.DEVNULL, timeout=60, check=False)
+        [
+            sys.executable,
+            "-m",
+            "scale",
+            "run",
+            "--out",
+            str(tmp_path),
+            "--hollow",
+            "2",
+            "--servers",
+            "4",
+            "--set",
+            "load.seconds=300.0",
+            "--set",
+            "fleet.ports=4",
+            "--set",
+            flag,
+        ],
+        cwd=ROOT,
+        stdout=subprocess.PIPE,
+        stderr=subprocess.DEVNULL,
+        timeout=60,
+        check=False,
+    )
     (path,) = tmp_path.glob("*.json")
     assert done.returncode == 1 and why in results.read(path).stopped
     assert not [pid for pid in _pids(tmp_path) if psutil.pid_exists(pid)]
 
 
 def test_child_ends_with_its_input_also_in_the_middle_of_a_call():
-    child = subprocess.Popen([sys.executable, "-m", "scale.child", "load"], cwd=ROOT, stdin=subprocess.PIPE,
-                             stdout=subprocess.PIPE)
+    child = subprocess.Popen(
+        [sys.executable, "-m", "scale.child", "load"], cwd=ROOT, stdin=subprocess.PIPE, stdout=subprocess.PIPE
+    )
     assert child.stdin and child.stdout
     made = {"plan": "plan", "class_name": "class-0", "deadline_ms": 100.0, "spread": 1}
     long = {"label": "", "ports": [1], "seed": 1, "rate": 9.0, "seconds": 9e9, "tenants": 9, "skew": 1.0}
--- a/tests/support/engine_harness.py
+++ b/tests/support/engine_harness.py
@@ -28,12 +28,35 @@
 
 CLASSES = (
     RequestClass("safe", 2000.0, 4000.0, Idempotency.IDEMPOTENT),
-    RequestClass("keyed", 2000.0, 4000.0, Idempotency.KEYED, idempotency_scope=IdempotencyScope.ZONE, idempotency_window_ms=3000.0),
-    RequestClass("keyed-all", 2000.0, 4000.0, Idempotency.KEYED, idempotency_scope=IdempotencyScope.ALL, idempotency_window_ms=3000.0),
-    RequestClass("keyed-cell", 2000.0, 4000.0, Idempotency.KEYED, idempotency_scope=IdempotencyScope.CELL, idempotency_window_ms=3000.0),
+    RequestClass(
+        "keyed",
+        2000.0,
+        4000.0,
+        Idempotency.KEYED,
+        idempotency_scope=IdempotencyScope.ZONE,
+        idempotency_window_ms=3000.0,
+    ),
+    RequestClass(
+        "keyed-all",
+        2000.0,
+        4000.0,
+        Idempotency.KEYED,
+        idempotency_scope=IdempotencyScope.ALL,
+        idempotency_window_ms=3000.0,
+    ),
+    RequestClass(
+        "keyed-cell",
+        2000.0,
+        4000.0,
+        Idempotency.KEYED,
+        idempotency_scope=IdempotencyScope.CELL,
+        idempotency_window_ms=3000.0,
+    ),
     RequestClass("unsafe", 2000.0, 4000.0, Idempotency.NON_IDEMPOTENT),
 )
-DEAR = RequestClass("dear", 1000.0, 4000.0, Idempotency.NON_IDEMPOTENT, priority_weight=4.0)  # beside CLASSES where it is needed
+DEAR = RequestClass(
+    "dear", 1000.0, 4000.0, Idempotency.NON_IDEMPOTENT, priority_weight=4.0
+)  # beside CLASSES where it is needed
 PLANS = (
     Plan("metered", rate=10.0, burst=8.0),
     Plan("capped", rate=10.0, burst=100.0, max_in_flight=4),
@@ -43,10 +66,16 @@
     Plan("capped-wide", max_in_flight=60),
 )
 SETTINGS = Settings(
-    gateways=2, index=0, zone="a", classes=CLASSES, plans=PLANS,
+    gateways=2,
+    index=0,
+    zone="a",
+    classes=CLASSES,
+    plans=PLANS,
     limits=GatewayLimits(max_attempts=3, can_cancel=True),
     contract=ServiceRules(8.0, 500.0, 0.2, 10_000.0, 3.0, 2000.0, 10_000.0),
-    usage_period_ms=1000.0, max_request_units=4, tick_ms=2.0,
+    usage_period_ms=1000.0,
+    max_request_units=4,
+    tick_ms=2.0,
 )
 
 
@@ -77,20 +106,26 @@
     def servers(self, *endpoints: Endpoint, kind: UpdateKind = UpdateKind.SNAPSHOT) -> list:
         return self.do(EndpointUpdate(kind, endpoints))
 
-    def ask(self, plan="free", class_name="safe", customer="c", patience=4000.0, units=1, gateway_set_size=2) -> str:
+    def ask(
+        self, plan="free", class_name="safe", customer="c", patience=4000.0, units=1, gateway_set_size=2
+    ) -> str:
         """A new request; its id."""
         self.count += 1
         name = f"r{self.count}"
         self.do(Request(name, class_name, plan, customer, patience, units, gateway_set_size))
         return name
 
-    def finish(self, name: str, status=AttemptStatus.OK, attempt=None, used=None, units=None, latency=50.0) -> list:
+    def finish(
+        self, name: str, status=AttemptStatus.OK, attempt=None, used=None, units=None, latency=50.0
+    ) -> list:
         """The outcome of an attempt, the last by default."""
         attempt = len(self.sent[name]) - 1 if attempt is None else attempt
         server = self.sent[name][attempt]
         if status is AttemptStatus.OK:
             self.answers.setdefault(name, "Ok")
-        return self.do(Outcome(name, attempt, server, status, latency, status is AttemptStatus.OK, used, units))
+        return self.do(
+            Outcome(name, attempt, server, status, latency, status is AttemptStatus.OK, used, units)
+        )
 
     def run(self, ms: float) -> None:
         """Let time pass and fire what falls due."""
--- a/tests/support/fakes.py
+++ b/tests/support/fakes.py
@@ -34,16 +34,27 @@
 MOST_HELD = 32 * 1024 * 1024
 LIMIT_S = 60.0  # generous: a test that takes so long hangs
 SETTINGS = Settings(
-    gateways=2, index=0, zone="a",
+    gateways=2,
+    index=0,
+    zone="a",
     classes=(
         RequestClass("read", 2000.0, 4000.0, Idempotency.IDEMPOTENT),
-        RequestClass("post", 2000.0, 4000.0, Idempotency.KEYED, idempotency_scope=IdempotencyScope.ZONE, idempotency_window_ms=6000.0),
+        RequestClass(
+            "post",
+            2000.0,
+            4000.0,
+            Idempotency.KEYED,
+            idempotency_scope=IdempotencyScope.ZONE,
+            idempotency_window_ms=6000.0,
+        ),
         RequestClass("buy", 2000.0, 8000.0, Idempotency.NON_IDEMPOTENT),
     ),
     plans=(Plan("free"), Plan("tiny", rate=0.001, burst=2.0)),
     limits=GatewayLimits(max_attempts=3, can_cancel=True, connect_timeout_ms=2000.0),
     contract=ServiceRules(8.0, 1000.0, 0.2, 10_000.0, 3.0, 2000.0, 10_000.0),
-    load_report_fields=("utilisation", "queue"), usage_period_ms=1000.0, tick_ms=2.0,
+    load_report_fields=("utilisation", "queue"),
+    usage_period_ms=1000.0,
+    tick_ms=2.0,
 )
 
 
@@ -66,8 +77,9 @@
 
 def array(value: bytes, used: bytes | None = None, load: bytes | None = None) -> bytes:
     """A good answer of a server."""
-    parts = [b"$-1\r\n" if part is None else b"$%d\r\n%b\r\n" % (len(part), part)
-             for part in (value, used, load)]
+    parts = [
+        b"$-1\r\n" if part is None else b"$%d\r\n%b\r\n" % (len(part), part) for part in (value, used, load)
+    ]
     return b"*3\r\n" + b"".join(parts)
 
 
@@ -244,5 +256,13 @@
 
 
 def row(name: str, port: int, state: str = "Ready", started: int = 0) -> dict[str, Any]:
-    return {"instanceId": name, "hostPort": f"127.0.0.1:{port}", "zone": "a", "machineType": "m", "cell": 0,
-            "lifecycle": state, "weight": 1.0, "startedAtMs": started}
+    return {
+        "instanceId": name,
+        "hostPort": f"127.0.0.1:{port}",
+        "zone": "a",
+        "machineType": "m",
+        "cell": 0,
+        "lifecycle": state,
+        "weight": 1.0,
+        "startedAtMs": started,
+    }
--- a/tests/unit/test_leaky_bucket.py
+++ b/tests/unit/test_leaky_bucket.py
@@ -68,7 +68,9 @@
     rig.servers(entry(1), entry(2), entry(3))
     sent = [rig.ask("metered", gateway_set_size=3) in rig.sent for _ in range(4)]
     assert sent == [True, True, False, False]  # 8 / 3 = 2.67
-    assert [done(rig, rig.ask("metered", customer="one", gateway_set_size=1)) for _ in range(9)] == [True] * 8 + [False]
+    assert [done(rig, rig.ask("metered", customer="one", gateway_set_size=1)) for _ in range(9)] == [
+        True
+    ] * 8 + [False]
 
 
 def test_slice_grows_by_the_room_and_falls_back(rig):
@@ -187,6 +189,7 @@
 
 # Thin slices: rate 10, burst 8 over 60 gateways hold 0.13 of a request of one unit and drain it in 6 s
 
+
 def thin_rig(gateway_set_size: int = 60) -> Rig:
     rig = Rig(replace(SETTINGS, gateways=60))
     rig.servers(entry(1), entry(2))
--- a/tests/unit/test_library.py
+++ b/tests/unit/test_library.py
@@ -22,7 +22,8 @@
     asked = []
     plain = rig.do
     rig.do = lambda event: (lambda acts: asked.extend(a for a in acts if isinstance(a, Subscribe)) or acts)(
-        plain(event))
+        plain(event)
+    )
     rig.servers(entry(1), kind=UpdateKind.CACHED)
     rig.run(10.0)
     assert len(asked) == 1
--- a/tests/unit/test_properties.py
+++ b/tests/unit/test_properties.py
@@ -16,9 +16,18 @@
 NAMES = [item.name for item in SETTINGS.classes]
 MAYBE = {AttemptStatus.ERROR, AttemptStatus.TIMEOUT, AttemptStatus.RESET, AttemptStatus.CANCELLED}
 STEPS = st.one_of(
-    st.tuples(st.just("ask"), st.sampled_from([p.name for p in SETTINGS.plans]), st.sampled_from(NAMES),
-              st.floats(20.0, 4000.0), st.integers(1, 4)),
-    st.tuples(st.just("end"), st.integers(0, 50), st.sampled_from([s for s in AttemptStatus if s is not AttemptStatus.OK])),
+    st.tuples(
+        st.just("ask"),
+        st.sampled_from([p.name for p in SETTINGS.plans]),
+        st.sampled_from(NAMES),
+        st.floats(20.0, 4000.0),
+        st.integers(1, 4),
+    ),
+    st.tuples(
+        st.just("end"),
+        st.integers(0, 50),
+        st.sampled_from([s for s in AttemptStatus if s is not AttemptStatus.OK]),
+    ),
     st.tuples(st.just("end"), st.integers(0, 50), st.just(AttemptStatus.OK)),
     st.tuples(st.just("wait"), st.floats(0.0, 900.0)),
     st.tuples(st.just("list"), st.integers(1, 4), st.sampled_from(list(EndpointLifecycle))),
--- a/tests/unit/test_protocol_rules.py
+++ b/tests/unit/test_protocol_rules.py
@@ -23,6 +23,7 @@
 
 # 1. One final answer
 
+
 @pytest.mark.parametrize("class_name, answer", [("safe", "Reject"), ("keyed", "Fail"), ("unsafe", "Fail")])
 def test_silent_attempt_is_answered_before_the_client_leaves(rig, class_name, answer):
     name = rig.ask(class_name=class_name, patience=300.0)
@@ -56,6 +57,7 @@
 
 # 2. No effect twice
 
+
 @pytest.mark.parametrize("status", RAN_NOT)
 @pytest.mark.parametrize("class_name", ["safe", "keyed", "unsafe"])
 def test_an_attempt_proven_not_to_have_run_is_sent_elsewhere(rig, class_name, status):
@@ -87,8 +89,9 @@
     assert rig.answers[name] == "Fail"
 
 
-@pytest.mark.parametrize("class_name, group", [
-    ("keyed", {1, 2}), ("keyed-cell", {1, 2}), ("keyed-all", {1, 2, 3, 4})])
+@pytest.mark.parametrize(
+    "class_name, group", [("keyed", {1, 2}), ("keyed-cell", {1, 2}), ("keyed-all", {1, 2, 3, 4})]
+)
 def test_keyed_goes_again_only_in_its_group(class_name, group):
     for seed in range(10):
         rig = Rig(seed=seed)
@@ -123,6 +126,7 @@
 
 # 3. Drains
 
+
 @pytest.mark.parametrize("state", [EndpointLifecycle.DRAINING, EndpointLifecycle.GONE])
 def test_nothing_goes_to_a_draining_server(rig, state):
     rig.servers(entry(1, state=state), kind=UpdateKind.DELTA)
@@ -145,6 +149,7 @@
 
 # 4. Cold servers
 
+
 def test_cold_server_gets_little_work_in_a_burst():
     rig = Rig()
     rig.servers(entry(1), entry(2), entry(3, started_ms=1000.0))
@@ -184,6 +189,7 @@
 
 # 5. Ceilings
 
+
 def test_ceiling_starts_empty_and_fills_at_its_share(rig):
     names = [rig.ask("ceiling") for _ in range(3)]
     assert not any(name in rig.sent for name in names)
@@ -228,6 +234,7 @@
 
 # Beyond the rules: pressure
 
+
 def test_pool_parks_and_sheds_the_least_worth():
     rig = rig_with(classes=(*CLASSES, DEAR))
     rig.servers(entry(1), entry(2))
@@ -279,6 +286,7 @@
 
 # Beyond the rules: pressure over all servers, at any number of gateways
 
+
 def test_all_gateways_together_keep_few_out_before_anything_is_known():
     out = 0
     for index in range(100):  # six a server over all gateways: 0.6 each with ten servers
@@ -351,6 +359,7 @@
 
 # Beyond the rules: servers that fail a part of what they get
 
+
 def test_an_attempt_after_one_that_found_no_server_is_free_and_one_that_was_turned_away_is_not():
     rig = rig_with(limits=GatewayLimits(max_attempts=5, can_cancel=True))
     rig.servers(*(entry(n) for n in range(60)))
@@ -366,6 +375,7 @@
         rig.finish(name, AttemptStatus.OVERLOADED)
     assert sum(len(rig.sent[name]) for name in names) == 4
 
+
 def fleet(size: int = 4) -> Rig:
     rig = Rig()
     rig.servers(*(entry(n) for n in range(size)))
@@ -447,6 +457,7 @@
 
 # Beyond the rules: connections that fall silent
 
+
 def hung(class_name: str, mean: float) -> tuple[Rig, str]:
     """A request out without an answer, at servers that answer its class in this time on the mean."""
     rig = fleet(2)
@@ -556,8 +567,9 @@
     for index in range(40):
         rig = Rig(replace(SETTINGS, gateways=40, index=index, contract=HALF_COLD), seed=index)
         warm, cold = range(1, 25), range(25, 61)
-        rig.servers(*(entry(number) for number in warm),
-                    *(entry(number, started_ms=rig.now) for number in cold))
+        rig.servers(
+            *(entry(number) for number in warm), *(entry(number, started_ms=rig.now) for number in cold)
+        )
         for number in range(200):
             name = rig.ask()
             got[rig.sent[name][0]] += number >= 100  # once it has met a few
--- a/tests/unit/test_quota_over_fleet.py
+++ b/tests/unit/test_quota_over_fleet.py
@@ -22,8 +22,10 @@
 
     def __init__(self, plan: Plan, seed: int) -> None:
         self.plan, self.random = plan, random.Random(seed)
-        self.rigs = [Rig(replace(SETTINGS, gateways=GATEWAYS, index=index, plans=PLANS), seed=index)
-                     for index in range(GATEWAYS)]
+        self.rigs = [
+            Rig(replace(SETTINGS, gateways=GATEWAYS, index=index, plans=PLANS), seed=index)
+            for index in range(GATEWAYS)
+        ]
         for rig in self.rigs:
             rig.servers(*(entry(number) for number in range(1, 9)))
         self.store: dict[str, tuple[float, float]] = {}
@@ -38,8 +40,10 @@
         start = max(rig.now for rig in self.rigs) + 1000.0
         events: list[tuple[float, int, str, Rig | None, str]] = [
             (start + 1000.0 * (second + self.random.random()), TRIES, name, None, "")
-            for second in range(SECONDS) for name, rate in rates.items()
-            for _ in range(int(rate) + (self.random.random() < rate % 1.0))]
+            for second in range(SECONDS)
+            for name, rate in rates.items()
+            for _ in range(int(rate) + (self.random.random() < rate % 1.0))
+        ]
         heapq.heapify(events)
         while events:
             now, left, name, rig, made = heapq.heappop(events)
