--- a/tests/unit/test_simulator.py
+++ b/tests/unit/test_simulator.py
@@ -13,24 +13,82 @@
 SIM = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["sim"]
 
 ENV = {
-    "balancers": 2, "slot_no": 0, "locality": "a", "discovery": "automatic", "tick_ms": 2.0,
-    "services": [{"name": "read", "slo_ms": 500.0, "hard_limit_ms": 2000.0, "effect": "safe", "value": 1.0,
-                  "late_share": 0.0, "key_scope": "all", "memory_span_ms": 5000.0, "stream": False}],
-    "tariffs": [{"name": "basic", "refill": 2.0, "most_at_once": 4.0, "parallel": 0, "value_factor": 1.0,
-                 "excess_worth": 0.0, "overrun_cost": 1.0, "cap_rate": 0.0, "cap_depth": 0.0,
-                 "hard_slack": 0.0}],
-    "limits": {"attempts_cap": 3, "may_duplicate": False, "cancelling": True, "probes": False, "peers": False,
-               "retry_after": False, "open_cap": 1000, "connect_timeout_ms": 250.0,
-               "max_retry_after_ms": 0.0},
-    "contract": {"answer_slack_ms": 8.0, "drain_grace_ms": 1000.0, "start_capacity": 0.2,
-                 "warm_up_ms": 10000.0, "tip_multiple": 3.0, "fall_ms": 2000.0, "must_ask_in_ms": 10000.0},
+    "balancers": 2,
+    "slot_no": 0,
+    "locality": "a",
+    "discovery": "automatic",
+    "tick_ms": 2.0,
+    "services": [
+        {
+            "name": "read",
+            "slo_ms": 500.0,
+            "hard_limit_ms": 2000.0,
+            "effect": "safe",
+            "value": 1.0,
+            "late_share": 0.0,
+            "key_scope": "all",
+            "memory_span_ms": 5000.0,
+            "stream": False,
+        }
+    ],
+    "tariffs": [
+        {
+            "name": "basic",
+            "refill": 2.0,
+            "most_at_once": 4.0,
+            "parallel": 0,
+            "value_factor": 1.0,
+            "excess_worth": 0.0,
+            "overrun_cost": 1.0,
+            "cap_rate": 0.0,
+            "cap_depth": 0.0,
+            "hard_slack": 0.0,
+        }
+    ],
+    "limits": {
+        "attempts_cap": 3,
+        "may_duplicate": False,
+        "cancelling": True,
+        "probes": False,
+        "peers": False,
+        "retry_after": False,
+        "open_cap": 1000,
+        "connect_timeout_ms": 250.0,
+        "max_retry_after_ms": 0.0,
+    },
+    "contract": {
+        "answer_slack_ms": 8.0,
+        "drain_grace_ms": 1000.0,
+        "start_capacity": 0.2,
+        "warm_up_ms": 10000.0,
+        "tip_multiple": 3.0,
+        "fall_ms": 2000.0,
+        "must_ask_in_ms": 10000.0,
+    },
     "load_info": {"how": "answers", "names": ["busy", "q"]},
-    "family_info": {"meter_ms": 1000.0, "largest": 1, "settles": False, "has_counter": False,
-                    "count_limit_ms": 0.0},
-    "deductions": {"cross_zone": 0.01}, "a_new_key": [1, 2],
+    "family_info": {
+        "meter_ms": 1000.0,
+        "largest": 1,
+        "settles": False,
+        "has_counter": False,
+        "count_limit_ms": 0.0,
+    },
+    "deductions": {"cross_zone": 0.01},
+    "a_new_key": [1, 2],
+}
+KNOCK = {
+    "i": "gateway-1",
+    "op_id": "aa",
+    "priority": "read",
+    "plan": "basic",
+    "member": "m",
+    "patience_left_ms": 900.0,
+    "units": 1,
+    "width": 2,
+    "base": 0,
+    "retry": False,
+    "update": None,
 }
-KNOCK = {"i": "gateway-1", "op_id": "aa", "priority": "read", "plan": "basic", "member": "m",
-         "patience_left_ms": 900.0, "units": 1, "width": 2, "base": 0, "retry": False, "update": None}
 
 
 def command() -> list[str]:
@@ -44,7 +102,8 @@
     text = "\n".join(m if isinstance(m, str) else json.dumps(m) for m in messages) + "\n"
     env = {**os.environ, "PYTHONHASHSEED": seed}
     return subprocess.run(
-        command(), cwd=ROOT, input=text, capture_output=True, text=True, timeout=60, env=env, check=False)
+        command(), cwd=ROOT, input=text, capture_output=True, text=True, timeout=60, env=env, check=False
+    )
 
 
 def batch(turn, t, *events):
@@ -52,8 +111,19 @@
 
 
 def registry(ref, *servers):
-    rows = [{"server": s, "locality": "a", "generation_hw": "std", "cluster": 0, "phase": "U", "size": 1,
-             "since_ms": None, "new_field": 3} for s in servers]
+    rows = [
+        {
+            "server": s,
+            "locality": "a",
+            "generation_hw": "std",
+            "cluster": 0,
+            "phase": "U",
+            "size": 1,
+            "since_ms": None,
+            "new_field": 3,
+        }
+        for s in servers
+    ]
     return {"Roster": {"ref": ref, "members_list": rows}}
 
 
@@ -75,12 +145,27 @@
 
 
 def test_a_conversation_from_opening_to_answer():
-    outcome = {"Outcome": {"i": "gateway-1", "op_id": "aa", "seq_no": 0, "server": 7, "code": 200,
-                           "delay_seen_ms": 20.0, "final": True, "metered": 31, "final_units": None,
-                           "gauge": [0.5, 1]}}
-    done = talk(*batch(1, 0.0), *batch(2, 1.0, opening(), registry(0, 7), listing("gateway-1", 0)),
-                *batch(3, 2.0, {"Knock": {**KNOCK, "extra": 1}}), *batch(4, 22.0, outcome),
-                *batch(5, 30.0, {"Vanished": {"i": "gateway-1", "op_id": "aa"}}))
+    outcome = {
+        "Outcome": {
+            "i": "gateway-1",
+            "op_id": "aa",
+            "seq_no": 0,
+            "server": 7,
+            "code": 200,
+            "delay_seen_ms": 20.0,
+            "final": True,
+            "metered": 31,
+            "final_units": None,
+            "gauge": [0.5, 1],
+        }
+    }
+    done = talk(
+        *batch(1, 0.0),
+        *batch(2, 1.0, opening(), registry(0, 7), listing("gateway-1", 0)),
+        *batch(3, 2.0, {"Knock": {**KNOCK, "extra": 1}}),
+        *batch(4, 22.0, outcome),
+        *batch(5, 30.0, {"Vanished": {"i": "gateway-1", "op_id": "aa"}}),
+    )
     rows = replies(done)
     assert [row["turn"] for row in only(rows, "Ack")] == [1, 2, 3, 4, 5]
     assert [(row["op_id"], row["server"]) for row in only(rows, "Try")] == [("aa", 7)]
@@ -88,16 +173,39 @@
 
 
 def test_a_list_number_recycled_in_one_batch_is_resolved_in_order():
-    rows = replies(talk(*batch(1, 0.0, opening("gateway-1"), registry(3, 7), listing("gateway-1", 3),
-                               opening("gateway-2"), registry(3, 8), listing("gateway-2", 3)),
-                        *batch(2, 1.0, {"Knock": KNOCK}, {"Knock": {**KNOCK, "i": "gateway-2"}})))
+    rows = replies(
+        talk(
+            *batch(
+                1,
+                0.0,
+                opening("gateway-1"),
+                registry(3, 7),
+                listing("gateway-1", 3),
+                opening("gateway-2"),
+                registry(3, 8),
+                listing("gateway-2", 3),
+            ),
+            *batch(2, 1.0, {"Knock": KNOCK}, {"Knock": {**KNOCK, "i": "gateway-2"}}),
+        )
+    )
     assert [(row["i"], row["server"]) for row in only(rows, "Try")] == [("gateway-1", 7), ("gateway-2", 8)]
 
 
 def test_destroy_then_open_in_one_batch_starts_anew():
-    rows = replies(talk(*batch(1, 0.0, opening(), registry(0, 7), listing("gateway-1", 0)),
-                        *batch(2, 1.0, {"Destroy": {"i": "gateway-1"}}, opening(), registry(0, 9),
-                               listing("gateway-1", 0), {"Knock": KNOCK})))
+    rows = replies(
+        talk(
+            *batch(1, 0.0, opening(), registry(0, 7), listing("gateway-1", 0)),
+            *batch(
+                2,
+                1.0,
+                {"Destroy": {"i": "gateway-1"}},
+                opening(),
+                registry(0, 9),
+                listing("gateway-1", 0),
+                {"Knock": KNOCK},
+            ),
+        )
+    )
     assert [row["server"] for row in only(rows, "Try")] == [9]
 
 
@@ -112,12 +220,19 @@
     assert alone == beside and len(alone) >= 2
 
 
-@pytest.mark.parametrize("bad, word", [
-    ("{not json", "JSON"), ("[1]", "single key"), ({"Nonsense": {"i": "gateway-1"}}, "Nonsense"),
-    ({"Knock": {"i": "gateway-1"}}, "op_id"), ({"Batch": {"turn": 1}}, "t_ms"),
-    ({"Alarm": {"i": "gateway-9", "mark": 1}}, "gateway-9"), ({"Alarm": 3}, "Alarm"),
-    ({"OpenInstance": {"i": "x", "rng_seed": 1, "env": {**ENV, "balancers": 0}}}, "gateways"),
-])
+@pytest.mark.parametrize(
+    "bad, word",
+    [
+        ("{not json", "JSON"),
+        ("[1]", "single key"),
+        ({"Nonsense": {"i": "gateway-1"}}, "Nonsense"),
+        ({"Knock": {"i": "gateway-1"}}, "op_id"),
+        ({"Batch": {"turn": 1}}, "t_ms"),
+        ({"Alarm": {"i": "gateway-9", "mark": 1}}, "gateway-9"),
+        ({"Alarm": 3}, "Alarm"),
+        ({"OpenInstance": {"i": "x", "rng_seed": 1, "env": {**ENV, "balancers": 0}}}, "gateways"),
+    ],
+)
 def test_bad_input_gets_a_plain_message_and_a_failing_exit(bad, word):
     done = talk(*batch(1, 0.0, opening(), registry(0, 7), listing("gateway-1", 0)), bad)
     assert done.returncode == 1 and word in done.stderr
@@ -125,6 +240,10 @@
 
 
 def test_a_fault_of_the_module_is_told_as_bail_out():
-    rows = replies(talk(*batch(1, 9.0, opening(), {"Alarm": {"i": "gateway-1", "mark": 1}}),
-                        *batch(2, 3.0, {"Alarm": {"i": "gateway-1", "mark": 1}})))
+    rows = replies(
+        talk(
+            *batch(1, 9.0, opening(), {"Alarm": {"i": "gateway-1", "mark": 1}}),
+            *batch(2, 3.0, {"Alarm": {"i": "gateway-1", "mark": 1}}),
+        )
+    )
     assert "now_ms" in only(rows, "BailOut")[0]["what"]
--- a/tests/unit/test_slow_start.py
+++ b/tests/unit/test_slow_start.py
@@ -61,7 +61,11 @@
 
 
 def warmth(age):
-    return min(1.0, RULES.initial_capacity_share + (1.0 - RULES.initial_capacity_share) * max(0.0, age) / RULES.warm_up_ms)
+    return min(
+        1.0,
+        RULES.initial_capacity_share
+        + (1.0 - RULES.initial_capacity_share) * max(0.0, age) / RULES.warm_up_ms,
+    )
 
 
 class Fleet:
@@ -71,11 +75,18 @@
         self.case, self.random = case, random.Random(seed)
         self.now, self.order, self.events = 0.0, 0, []
         settings = replace(
-            SETTINGS, gateways=gateways, contract=RULES,
+            SETTINGS,
+            gateways=gateways,
+            contract=RULES,
             limits=GatewayLimits(max_attempts=4, can_cancel=True, may_duplicate=True),
-            classes=tuple(replace(kind, latency_objective_ms=500.0, deadline_ms=1500.0) for kind in SETTINGS.classes))
-        self.gateways = [PolicyEngine(replace(settings, index=index), self.random.randrange(1 << 30))
-                         for index in range(gateways)]
+            classes=tuple(
+                replace(kind, latency_objective_ms=500.0, deadline_ms=1500.0) for kind in SETTINGS.classes
+            ),
+        )
+        self.gateways = [
+            PolicyEngine(replace(settings, index=index), self.random.randrange(1 << 30))
+            for index in range(gateways)
+        ]
         self.told = [{} for _ in self.gateways]  # by server: since when a gateway has known of its start
         cold = max(1, round(case.cold * servers))
         self.servers, self.size = {}, servers
@@ -89,8 +100,9 @@
         self.made, self.flights, self.out, self.attempts = 0, {}, {}, Counter()
         if not case.known:
             self.servers |= {-server.number: Server(-server.number, -1e9, 0.0) for server in self.cold}
-        before = [self.row(number) for number, server in self.servers.items()
-                  if case.known or server.started < 0.0]
+        before = [
+            self.row(number) for number, server in self.servers.items() if case.known or server.started < 0.0
+        ]
         for index in range(gateways):
             self.push(0.0, self.tell, index, tuple(before), UpdateKind.SNAPSHOT)
             for server in self.cold:
@@ -134,7 +146,9 @@
             elif isinstance(action, StartAttempt):
                 self.send(index, action)
             elif isinstance(action, CancelAttempt):
-                self.push(self.now, self.finish, index, (action.request_id, action.attempt), AttemptStatus.CANCELLED)
+                self.push(
+                    self.now, self.finish, index, (action.request_id, action.attempt), AttemptStatus.CANCELLED
+                )
 
     def fire(self, index, token):
         if token in self.gateways[index].timers:
@@ -152,7 +166,11 @@
         server.sent.append((self.now, server.number in self.told[index]))
         full = server.free[0] - self.now > FULL_MS
         if full or self.random.random() < server.bad:
-            status = AttemptStatus.OVERLOADED if full else self.random.choice((AttemptStatus.OVERLOADED, AttemptStatus.RESET, AttemptStatus.ERROR))
+            status = (
+                AttemptStatus.OVERLOADED
+                if full
+                else self.random.choice((AttemptStatus.OVERLOADED, AttemptStatus.RESET, AttemptStatus.ERROR))
+            )
             self.push(self.now + 5.0, self.finish, index, (name, number), status)
             return
         free = heapq.heappop(server.free)
@@ -166,7 +184,9 @@
     def finish(self, index, which, status):
         if which in self.out:
             server, sent = self.out.pop(which)
-            self.do(index, Outcome(*which, server.number, status, self.now - sent, status is AttemptStatus.OK))
+            self.do(
+                index, Outcome(*which, server.number, status, self.now - sent, status is AttemptStatus.OK)
+            )
 
     def play(self, end):
         self.push(0.0, self.arrive)
@@ -188,7 +208,7 @@
             for last, when in enumerate(sent):
                 budget = self.budget(when - server.started)
                 many = last + 1 - bisect_right(sent, when - RULES.overload_window_ms)
-                worst = max(worst, many / (budget + 2.0 * budget ** 0.5 + 2.0))
+                worst = max(worst, many / (budget + 2.0 * budget**0.5 + 2.0))
         return worst
 
     def part(self, age, gateway_set_size=4000.0):
@@ -196,7 +216,10 @@
         got = due = 0.0
         fleet = [server for number, server in self.servers.items() if number > 0]
         for server in self.cold:
-            low, high = server.started + age - gateway_set_size / 2.0, server.started + age + gateway_set_size / 2.0
+            low, high = (
+                server.started + age - gateway_set_size / 2.0,
+                server.started + age + gateway_set_size / 2.0,
+            )
             many = [bisect_left(other.sent, (high,)) - bisect_left(other.sent, (low,)) for other in fleet]
             warm = sum(warmth(server.started + age - other.started) for other in fleet)
             got += many[fleet.index(server)]
--- a/tests/unit/test_subset.py
+++ b/tests/unit/test_subset.py
@@ -19,7 +19,7 @@
 
 
 def own(view, names):
-    return sorted(names, key=lambda name: (view.distance(name), name))[:view.size(len(names))]
+    return sorted(names, key=lambda name: (view.distance(name), name))[: view.size(len(names))]
 
 
 def sharers_of(gateways, names, least):
@@ -39,7 +39,10 @@
 def test_distances_are_the_same_in_every_process_and_version():
     view = Subset(3800, 17)
     assert [view.distance(name) for name in ("s-5be2a07c", "s-0", "")] == [
-        0.0076487206388264894, 0.7366848201490939, 0.6642177470494062]
+        0.0076487206388264894,
+        0.7366848201490939,
+        0.6642177470494062,
+    ]
 
 
 @given(FLEETS, SEEDS)
@@ -57,8 +60,9 @@
 
 
 def test_the_sizes_of_known_fleets():
-    assert [Subset(gateways, 0).size(servers) for gateways, servers in (
-        (3800, 38000), (500, 5000), (200, 200), (40, 60), (20, 38000), (100, 38000))
+    assert [
+        Subset(gateways, 0).size(servers)
+        for gateways, servers in ((3800, 38000), (500, 5000), (200, 200), (40, 60), (20, 38000), (100, 38000))
     ] == [256, 256, 200, 60, 38000, 9120]
     assert subset.PLACES == logic.FIRST_LIMIT  # its even part of these is what a gateway has to spread
 
@@ -101,7 +105,7 @@
         ranked = sorted(names, key=lambda name: (view.distance(name), name))
         size = view.size(servers)
         before, after = set(ranked[:size]), set([name for name in ranked if name != gone][:size])
-        assert after - before == (set(ranked[size:size + 1]) if gone in before else set())
+        assert after - before == (set(ranked[size : size + 1]) if gone in before else set())
         assert before - after == ({gone} & before)
         assert set(own(view, [name for name in names if name != gone])) <= after
 
@@ -156,7 +160,7 @@
             for name in order:
                 nearest.offer(name)
             assert nearest.sure() >= view.size(servers)
-            assert list(nearest)[:view.size(servers)] == own(view, names)
+            assert list(nearest)[: view.size(servers)] == own(view, names)
 
 
 def test_where_rows_were_passed_over_too_soon_it_does_not_claim_to_be_sure():
@@ -167,7 +171,7 @@
     for name in ranked:
         nearest.offer(name)
     assert 0 < nearest.sure() < view.size(3000)
-    assert list(nearest)[:nearest.sure()] == ranked[:nearest.sure()]
+    assert list(nearest)[: nearest.sure()] == ranked[: nearest.sure()]
 
 
 def test_a_name_that_is_offered_twice_is_kept_once():
