--- a/quota_gateway/__main__.py
+++ b/quota_gateway/__main__.py
@@ -18,6 +18,7 @@
 import uvloop
 
 from quota_gateway import model as api
+from quota_gateway.net.address import Address
 from quota_gateway.net.admin import MOST_CALLERS, AdminServer
 from quota_gateway.net.client_listener import ClientListener
 from quota_gateway.net.detachments import Detachments
@@ -25,7 +26,8 @@
 from quota_gateway.net.driver import Clock, Driver
 from quota_gateway.net.endpoint_registry import EndpointRegistry
 from quota_gateway.net.handover import MOST_QUEUED, Handover, HandoverState, rendezvous_path, request_handover
-from quota_gateway.net.upstream_pool import Address, UpstreamPool
+from quota_gateway.net.peer_processes import PeerProcesses
+from quota_gateway.net.upstream_pool import UpstreamPool
 from quota_gateway.policy.engine import PolicyEngine
 from quota_gateway.settings_format import settings_from_document
 
@@ -166,25 +168,28 @@
     held = max(LEAST_HELD, int((config.memory - PROGRAM) * HELD_SHARE))
     servers = UpstreamPool(config.settings, for_servers, held)
     gateway = PolicyEngine(config.settings, config.seed)
-    driver = Driver(gateway, servers, Clock())
+    peers = PeerProcesses()
+    driver = Driver(gateway, servers, Clock(), peers.notify_usage)
     clients = ClientListener(driver, config.settings, for_clients, held)
 
     def news(listing: api.EndpointUpdate, addresses: dict[int, Address]) -> None:
         servers.update(listing, addresses)
         driver.post(listing)
         if listing.kind is not api.UpdateKind.CACHED:
-            clients.ready = True
+            clients.is_ready = True
+
+    def unavailable() -> None:
+        clients.is_ready = clients.is_ready or bool(registry.rows)
 
-    discovery = DiscoveryClient(news, config.seed, gateway.subset)
     # with a list that is known, one who is turned away serves by it at once
-    discovery.on_unavailable = lambda: setattr(
-        clients, "ready", clients.ready or bool(discovery.registry.rows)
+    registry = EndpointRegistry(gateway.subset)
+    discovery = DiscoveryClient(registry, news, unavailable, config.seed)
+    detachments = Detachments(registry, driver, peers)
+    handover = Handover(
+        rendezvous_path(config.listen), driver, clients, servers, registry, detachments, peers
     )
-    handover = Handover(rendezvous_path(config.listen), driver, clients, servers)
-    bans = Detachments(discovery.registry, driver, handover)
-    handover.leave_roster, handover.on_ban = discovery.registry.leave, bans.carry_out
     estate = await request_handover(handover.path)
-    discovery.known(_known(config, discovery.registry, estate))
+    discovery.load_known(_known(config, registry, estate))
     discovery.watch(config.discovery)
 
     async def reload() -> None:
@@ -194,20 +199,20 @@
             _reload(config.path, discovery)
 
     management = AdminServer(
-        lambda: clients.ready and not clients.suspended and not stop.is_set(), bans.moved
+        lambda: clients.is_ready and not clients.is_suspended and not stop.is_set(), detachments.set_detached
     )
     if config.mgmt:
         await management.listen(config.mgmt)
     reloading = loop.create_task(reload())
     if estate and not estate.channel.closed and driver.restore_state(estate.state):
         clients.adopt(estate.listener)
-        clients.ready = True
+        clients.is_ready = True
         handover.took_over(estate, max(0, min(int(PROGRAM * HELD_SHARE), held - LEAST_HELD)))
     else:
         if estate:
             estate.channel.close("its estate can't be taken over")
             estate.listener.close()
-        bans.repeat()
+        detachments.repeat()
         await _listen(clients, config.listen)
         loop.call_later(FIRST_LIST_S, lambda: setattr(clients, "ready", True))
     handover.wait()
--- a/quota_gateway/model/__init__.py
+++ b/quota_gateway/model/__init__.py
@@ -1,4 +1,4 @@
-"""The types that go in and out of the policy engine: settings, events and actions. Nothing is decided here."""
+"""The types that go in and out of the policy engine: settings, events, actions. Nothing is decided here."""
 
 from quota_gateway.model.actions import (
     Action,
@@ -54,6 +54,7 @@
 )
 
 __all__ = [
+    "DEFAULT_IDLE_MS",
     "Action",
     "AttachServer",
     "AttemptStatus",
@@ -61,7 +62,6 @@
     "ClientDisconnected",
     "CloseIdle",
     "CounterReply",
-    "DEFAULT_IDLE_MS",
     "DetachServer",
     "DiscoveryMode",
     "Endpoint",
--- a/quota_gateway/model/actions.py
+++ b/quota_gateway/model/actions.py
@@ -104,7 +104,7 @@
 class NotifyPeerProcess:
     """Bring the other process of this gateway an ``PeerProcessUsage``."""
 
-    news: PeerProcessUsage
+    usage: PeerProcessUsage
 
 
 @dataclass(frozen=True, slots=True)
--- a/quota_gateway/model/events.py
+++ b/quota_gateway/model/events.py
@@ -74,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A client's try. It may come through ``gateway_set_size`` gateways in a row from number ``first_gateway``."""
+    """A client's request. It may come through ``gateway_set_size`` gateways from ``first_gateway`` on."""
 
     request_id: str
     class_name: str
@@ -184,8 +184,8 @@
 
     plan: str
     customer: str
-    out: int
-    change: float = 0.0
+    in_flight: int
+    excess_change: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
--- a/quota_gateway/model/settings.py
+++ b/quota_gateway/model/settings.py
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests. ``priority_weight`` is per unit; ``value_after_objective`` of it is earned after the aim."""
+    """A class of requests. ``priority_weight`` is per unit; ``value_after_objective`` of it is kept later."""
 
     name: str
     latency_objective_ms: float
--- a/quota_gateway/model/state.py
+++ b/quota_gateway/model/state.py
@@ -16,19 +16,19 @@
     """What this gateway knows of one customer: its excess, its late metered use, what it has out."""
 
     __slots__ = (
+        "asked",
+        "asked_at",
+        "ceiling",
+        "ceiling_at",
+        "elsewhere",
         "excess",
-        "touched",
-        "largest",
         "gateway_set_size",
-        "used",
-        "used_at",
+        "largest",
         "out",
-        "ceiling",
-        "ceiling_at",
-        "asked",
-        "asked_at",
         "scarce_until",
-        "elsewhere",
+        "touched",
+        "used",
+        "used_at",
     )
 
     def __init__(self, now: float, ceiling: float) -> None:
@@ -48,19 +48,19 @@
     """What this gateway knows of one server."""
 
     __slots__ = (
-        "id",
-        "distance",
-        "zone",
         "cell",
-        "ready",
+        "distance",
+        "id",
         "listed",
-        "started",
+        "marks",
         "out",
-        "ratio",
-        "ratio_at",
         "queue",
         "queue_at",
-        "marks",
+        "ratio",
+        "ratio_at",
+        "ready",
+        "started",
+        "zone",
     )
 
     def __init__(self, entry: Endpoint, distance: float) -> None:
@@ -84,26 +84,26 @@
     """A request in hand: held, parked or out, or answered with attempts still out."""
 
     __slots__ = (
-        "request",
-        "kind",
-        "plan",
-        "customer",
         "arrived",
+        "closed",
+        "crowd",
+        "customer",
         "deadline",
-        "sends",
+        "erred",
+        "keys",
+        "kind",
+        "maybe_ran",
         "out",
-        "tried",
-        "crowd",
-        "closed",
+        "plan",
         "reached",
-        "maybe_ran",
+        "request",
+        "sends",
+        "size",
         "streaming",
-        "waiting",
-        "turn",
-        "keys",
         "timers",
-        "size",
-        "erred",
+        "tried",
+        "turn",
+        "waiting",
     )
 
     def __init__(
--- a/quota_gateway/net/admin.py
+++ b/quota_gateway/net/admin.py
@@ -10,7 +10,7 @@
 
 import httptools
 
-from quota_gateway.net.upstream_pool import Address
+from quota_gateway.net.address import Address
 
 log = logging.getLogger(__name__)
 
--- a/quota_gateway/net/client_listener.py
+++ b/quota_gateway/net/client_listener.py
@@ -16,8 +16,9 @@
 from typing import cast
 
 from quota_gateway import model as api
+from quota_gateway.errors import CommandError, ProtocolError
 from quota_gateway.net.driver import CLIENT_MARGIN_MS, ActiveRequest, Driver
-from quota_gateway.net.resp import CommandReader, ProtocolError
+from quota_gateway.net.resp import CommandReader
 from quota_gateway.net.upstream_pool import Attempt
 
 log = logging.getLogger(__name__)
@@ -46,10 +47,6 @@
 DECIMAL = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?")
 
 
-class CommandError(ValueError):
-    """A command that is answered with an error; the connection lives on."""
-
-
 def _field(fields: dict[bytes, bytes], name: bytes, form: re.Pattern[bytes]) -> bytes:
     text = fields.get(name, b"")
     if not form.fullmatch(text):
@@ -153,7 +150,7 @@
 class PendingReply:
     """The place of a command's reply in the order of its connection."""
 
-    __slots__ = ("connection", "answer", "request_id", "size", "source", "pieces", "begun")
+    __slots__ = ("answer", "begun", "connection", "pieces", "request_id", "size", "source")
 
     def __init__(
         self,
@@ -263,9 +260,9 @@
         slots, self.slots = self.slots, deque()
         for slot in slots:
             if slot.source:
-                self.clients.driver.servers.stop(slot.source, api.AttemptStatus.CANCELLED)
+                self.clients.driver.upstream.stop(slot.source, api.AttemptStatus.CANCELLED)
             elif slot.answer is None:
-                self.clients.driver.client_gone(slot.request_id)
+                self.clients.driver.client_disconnected(slot.request_id)
 
     def eof_received(self) -> None:
         """The client has closed its side. The loop closes the connection once what is written has gone."""
@@ -298,7 +295,7 @@
         self.ending = True
         for slot in list(self.slots):
             if slot.answer is None:
-                self.clients.driver.client_gone(slot.request_id)
+                self.clients.driver.client_disconnected(slot.request_id)
         self.transport.close()
 
     def hold(self, size: int, in_hand: bool = True) -> None:
@@ -322,7 +319,7 @@
         """Whether no more commands may be in hand now."""
         return (
             self.stuck
-            or self.clients.suspended
+            or self.clients.is_suspended
             or len(self.slots) >= MOST_PIPELINED
             or self.in_hand > MOST_IN_HAND
         )
@@ -395,7 +392,7 @@
         driver = self.clients.driver
         try:
             request, encode = self.clients.requests.read(command)
-            if request.request_id in driver.calls:
+            if request.request_id in driver.active_requests:
                 raise CommandError("a request of this id is in hand")
         except ValueError as error:
             self.hold(-size, in_hand=False)
@@ -410,7 +407,7 @@
         self.in_hand += size
         slot = PendingReply(self, None, request.request_id, size)
         self.slots.append(slot)
-        driver.request(
+        driver.submit(
             ActiveRequest(request.request_id, encode, slot.fill, slot.begin, self.waits),
             request,
             request.timeout_ms,
@@ -447,7 +444,7 @@
             self._break("timeout")
         for slot in list(self.slots):
             if slot.answer is None:
-                self.clients.driver.client_gone(slot.request_id)
+                self.clients.driver.client_disconnected(slot.request_id)
                 slot.fill(b"-ERR failed\r\n")
 
     # ---- Replies out
@@ -513,7 +510,9 @@
                 self.timer = self.clients.loop.call_later(LINGER_S, self._abort)
         elif self.ending:
             self.transport.close()
-        elif self.clients.leaving and not self.clients.suspended and (self.paused or not self._more_came()):
+        elif (
+            self.clients.leaving and not self.clients.is_suspended and (self.paused or not self._more_came())
+        ):
             self.transport.close()  # a command that has come is read first, and this comes back
 
     def finish(self) -> None:
@@ -616,10 +615,10 @@
             0  # descriptors taken: counted from accepting until the loop has closed them
         )
         self.loop = asyncio.get_running_loop()
-        self.ready = self.leaving = self.accepting = False
-        self.suspended = False  # as another process serves: nothing is accepted or read here
+        self.is_ready = self.leaving = self.accepting = False
+        self.is_suspended = False  # as another process serves: nothing is accepted or read here
         self.peer_connections = 0  # connections of the other process of this gateway
-        self.listener: socket.socket | None = None
+        self.listening_socket: socket.socket | None = None
         self.tasks: set[asyncio.Task[None]] = set()
         self.sweeper = self.loop.call_later(SWEEP_S, self._sweep)
 
@@ -631,10 +630,10 @@
 
     def adopt(self, listener: socket.socket) -> tuple[str, int]:
         """Accept from this socket, which another process may have accepted from."""
-        self.listener = listener
-        self.listener.setblocking(False)
+        self.listening_socket = listener
+        self.listening_socket.setblocking(False)
         self._accept_more()
-        address: tuple[str, int] = self.listener.getsockname()
+        address: tuple[str, int] = self.listening_socket.getsockname()
         return address
 
     def ahead(self) -> int:
@@ -643,17 +642,17 @@
 
     def pong(self) -> bytes:
         """The front takes in a gateway that says PONG: not before it knows whom to send to."""
-        return b"+PONG\r\n" if self.ready else b"-LOADING the list of servers is not known yet\r\n"
+        return b"+PONG\r\n" if self.is_ready else b"-LOADING the list of servers is not known yet\r\n"
 
     def _accept_more(self) -> None:
-        if self.listener and not self.accepting and not self.suspended:
+        if self.listening_socket and not self.accepting and not self.is_suspended:
             self.accepting = True
-            self.loop.add_reader(self.listener, self._accept)
+            self.loop.add_reader(self.listening_socket, self._accept)
 
     def _accept_no_more(self) -> None:
-        if self.listener and self.accepting:
+        if self.listening_socket and self.accepting:
             self.accepting = False
-            self.loop.remove_reader(self.listener)
+            self.loop.remove_reader(self.listening_socket)
 
     def _accept(self) -> None:
         """Accept while there is room; else make some, and leave those who come in the kernel meanwhile.
@@ -661,26 +660,26 @@
         Guards against running out of descriptors, which would hit connections to servers too. A place is
         free only once the loop has closed its descriptor, so this goes on from ``closed``.
         """
-        assert self.listener
+        assert self.listening_socket
         if self._room() <= 0:
             self._accept_no_more()
             self._make_room()
         for _ in range(min(ACCEPTS, self._room())):
             try:
-                sock, _ = self.listener.accept()
+                sock, _ = self.listening_socket.accept()
             except BlockingIOError:
                 return
             except OSError as error:
                 log.warning("no connection accepted: %r", error)
                 self._accept_no_more()  # until the next sweep
                 return
-            self.take(sock)
+            self.serve(sock)
 
     def _room(self) -> int:
         """How many connections there is room for, counted over all processes of this gateway."""
         return self.max_connections - self.descriptors_in_use - self.peer_connections
 
-    def take(self, sock: socket.socket, before: ResumedConnection = NEW) -> None:
+    def serve(self, sock: socket.socket, before: ResumedConnection = NEW) -> None:
         """Serve a connection: a new one, or one that another process has served until now."""
         self.descriptors_in_use += 1
         task = self.loop.create_task(self._admit(sock, before))
@@ -798,14 +797,14 @@
 
     def suspend(self) -> None:
         """Accept and read no more, as another process takes over; what was taken is still answered."""
-        self.suspended = True
+        self.is_suspended = True
         self._accept_no_more()
         for client in list(self.connections):
             client._throttle()
 
     def resume(self) -> None:
         """Go on as before, as there is no other process after all."""
-        self.suspended = False
+        self.is_suspended = False
         self._accept_more()
         for client in list(self.connections):
             client._read()
@@ -815,12 +814,12 @@
 
         What waits to be accepted is taken first: guards against the reset that closing would send there.
         """
-        if self.listener:
-            if not self.suspended:
+        if self.listening_socket:
+            if not self.is_suspended:
                 self._accept()
             self._accept_no_more()
-            self.listener.close()
-            self.listener = None
+            self.listening_socket.close()
+            self.listening_socket = None
         self.leaving = True
         for client in list(self.connections):
             client.flush()
--- a/quota_gateway/net/detachments.py
+++ b/quota_gateway/net/detachments.py
@@ -5,14 +5,14 @@
 from quota_gateway import model as api
 from quota_gateway.net.driver import Driver
 from quota_gateway.net.endpoint_registry import EndpointRegistry
-from quota_gateway.net.handover import Handover
+from quota_gateway.net.peer_processes import PeerProcesses
 
 
 class Detachments:
     """Carries out operators' calls on servers."""
 
-    def __init__(self, registry: EndpointRegistry, driver: Driver, handover: Handover) -> None:
-        self.registry, self.driver, self.handover = registry, driver, handover
+    def __init__(self, registry: EndpointRegistry, driver: Driver, peers: PeerProcesses) -> None:
+        self.registry, self.driver, self.peers = registry, driver, peers
 
     def carry_out(self, name: str, out: bool, certain: bool = False) -> bool:
         """Here, for a server that is known, or certain as another process knows it; whether it was known."""
@@ -23,10 +23,10 @@
             self.driver.post(api.DetachServer(number) if out else api.AttachServer(number))
         return known
 
-    async def moved(self, name: str, out: bool) -> bool:
+    async def set_detached(self, name: str, out: bool) -> bool:
         """Here, then in the other process, if there is one; whether either knows the server."""
         known = self.carry_out(name, out)
-        known_there = await self.handover.ban(name, out, known)
+        known_there = await self.peers.set_detached(name, out, known)
         if known_there and not known:
             self.carry_out(name, out, certain=True)
         return known or known_there
--- a/quota_gateway/net/discovery_client.py
+++ b/quota_gateway/net/discovery_client.py
@@ -13,9 +13,8 @@
 import httptools
 
 from quota_gateway import model as api
+from quota_gateway.net.address import Address
 from quota_gateway.net.endpoint_registry import EndpointRegistry, StreamingSnapshotReader
-from quota_gateway.net.upstream_pool import Address
-from quota_gateway.policy.subset import Subset
 
 log = logging.getLogger(__name__)
 
@@ -320,16 +319,24 @@
 class DiscoveryClient:
     """What discovery says, from the address that was named last and has spoken."""
 
-    def __init__(self, news: EndpointUpdateHandler, seed: int, subset: Subset | None = None) -> None:
-        self.news, self.registry, self.random = news, EndpointRegistry(subset), random.Random(seed)
-        self.on_unavailable: Callable[[], None] = lambda: None  # a watch ended before it had said anything
+    def __init__(
+        self,
+        registry: EndpointRegistry,
+        on_update: EndpointUpdateHandler,
+        on_unavailable: Callable[[], None],
+        seed: int,
+    ) -> None:
+        self.registry = registry
+        self.on_update = on_update
+        self.on_unavailable = on_unavailable  # a watch ended before it had said anything
+        self.random = random.Random(seed)
         self.feed: DiscoveryWatcher | None = None
         self.next: DiscoveryWatcher | None = None  # named last, has not spoken yet
 
-    def known(self, document: Any) -> None:
+    def load_known(self, document: Any) -> None:
         """The list as the configuration has it; it may be old."""
         try:
-            self.news(*self.registry.read(document, known=True))
+            self.on_update(*self.registry.read(document, known=True))
         except (ValueError, KeyError, TypeError, AttributeError) as error:
             log.error("malformed known list: %r", error)
 
@@ -351,7 +358,7 @@
             if self.feed:
                 self.feed.end()
             self.feed, self.next = feed, None
-        self.news(listing, addresses)
+        self.on_update(listing, addresses)
 
     def end(self) -> None:
         """Watch no more."""
--- a/quota_gateway/net/driver.py
+++ b/quota_gateway/net/driver.py
@@ -13,6 +13,7 @@
 from typing import Any, Protocol
 
 from quota_gateway import model as api
+from quota_gateway.net.peer_processes import UsageListener
 from quota_gateway.net.upstream_pool import Attempt, BodyConsumer, UpstreamPool, UpstreamReply
 from quota_gateway.policy.engine import PolicyEngine
 
@@ -48,17 +49,17 @@
     """A client's request in hand, until it has been answered and no attempt is out."""
 
     __slots__ = (
-        "request_id",
+        "answered",
+        "deadline",
         "encode",
+        "gone",
         "on_answer",
         "on_value",
-        "waits",
-        "value",
-        "deadline",
-        "sends",
         "out",
-        "answered",
-        "gone",
+        "request_id",
+        "sends",
+        "value",
+        "waits",
     )
 
     def __init__(
@@ -80,9 +81,17 @@
 class Driver:
     """Drives one ``PolicyEngine``: hands it events one after the other and carries out what it decides."""
 
-    def __init__(self, gateway: PolicyEngine, servers: UpstreamPool, clock: Callable[[], float]) -> None:
-        self.gateway, self.servers, self.clock = gateway, servers, clock
-        self.calls: dict[str, ActiveRequest] = {}
+    def __init__(
+        self,
+        engine: PolicyEngine,
+        upstream: UpstreamPool,
+        clock: Callable[[], float],
+        notify_peer: UsageListener,
+    ) -> None:
+        self.engine = engine
+        self.upstream = upstream
+        self.clock = clock
+        self.active_requests: dict[str, ActiveRequest] = {}
         self.events: deque[api.Event] = deque()
         self.over: list[ActiveRequest] = []  # calls that may be over once the actions of this event are done
         self.handling = False
@@ -90,7 +99,6 @@
         self.order = count()
         self.alarm: tuple[float, asyncio.TimerHandle] | None = None
         self.estate: dict[str, Any] = {}  # as the decisions gave it last
-        self.tell_other: Callable[[api.PeerProcessUsage], None] = lambda news: None
         self.loop = asyncio.get_running_loop()
         self.actions: dict[type, Callable[[Any], None]] = {
             api.StartAttempt: self._send,
@@ -99,11 +107,11 @@
             api.CancelAttempt: self._cancel,
             api.SetTimer: self._set_timer,
             api.LogMessage: lambda action: log.info("%s", action.text),
-            api.CloseIdle: lambda action: servers.close_idle(action.server),
-            api.SetServerDetached: lambda action: servers.set_detached(action.server, action.detached),
+            api.CloseIdle: lambda action: upstream.close_idle(action.server),
+            api.SetServerDetached: lambda action: upstream.set_detached(action.server, action.detached),
             api.Subscribe: lambda action: None,  # the watch, always open, asks
             api.StateSnapshot: lambda action: setattr(self, "estate", action.state),
-            api.NotifyPeerProcess: lambda action: self.tell_other(action.news),
+            api.NotifyPeerProcess: lambda action: notify_peer(action.usage),
         }
 
     # ---- Events in
@@ -126,7 +134,7 @@
 
     def _handle(self, event: api.Event) -> None:
         try:
-            for action in self.gateway.handle(self.clock(), event):
+            for action in self.engine.handle(self.clock(), event):
                 self._perform(action)
         except Exception:  # one request that the decisions can't cope with must not take the others along
             log.exception("the decisions failed on %r", event)
@@ -143,15 +151,15 @@
         else:
             log.error("no such action on these sockets: %r", action)
 
-    def request(self, call: ActiveRequest, request: api.Request, waits_ms: float) -> None:
+    def submit(self, call: ActiveRequest, request: api.Request, waits_ms: float) -> None:
         """Take a client's request; it is answered through ``call.on_answer``, once."""
         call.deadline = self.clock() + waits_ms
-        self.calls[call.request_id] = call
+        self.active_requests[call.request_id] = call
         self.post(request)
 
-    def client_gone(self, request_id: str) -> None:
+    def client_disconnected(self, request_id: str) -> None:
         """The client closed its connection: nothing more is owed."""
-        call = self.calls.get(request_id)
+        call = self.active_requests.get(request_id)
         if call and not call.answered:
             call.answered = call.gone = True
             self.over.append(call)
@@ -165,12 +173,12 @@
     def restore_state(self, state: dict[str, Any]) -> bool:
         """Hand the decisions what a process before has left; whether they could take it over."""
         self.post(api.RestoreState(state))
-        return self.gateway.has_peer_process
+        return self.engine.has_peer_process
 
     # ---- Actions out
 
     def _send(self, action: api.StartAttempt) -> None:
-        call = self.calls.get(action.request_id)
+        call = self.active_requests.get(action.request_id)
         if call is None:
             log.error("sent after its end: %r", action)
             return
@@ -194,7 +202,7 @@
         def begun(length: int) -> BodyConsumer:
             nonlocal first_ms
             if call.answered or call.on_value is None:
-                self.servers.stop(attempt, api.AttemptStatus.CANCELLED)
+                self.upstream.stop(attempt, api.AttemptStatus.CANCELLED)
                 return lambda piece: None
             call.answered, first_ms = True, self.clock() - now
             call.value = value = call.on_value(length, attempt)
@@ -207,13 +215,13 @@
             call.encode(wait), done, begun, lambda: call.encode(now + wait - self.clock()), call.waits
         )
         call.out[number] = attempt
-        self.servers.start(action.server, attempt)
+        self.upstream.start(action.server, attempt)
         if number in call.out:
             self._at(now + wait, self._time_out, attempt)
 
     def _time_out(self, attempt: Attempt) -> None:
         if attempt.sink is None:  # of a large value only the first bytes are timed
-            self.servers.stop(attempt, api.AttemptStatus.TIMEOUT)
+            self.upstream.stop(attempt, api.AttemptStatus.TIMEOUT)
 
     def _outcome(
         self,
@@ -250,12 +258,12 @@
         self._final(action.request_id, b"-ERR failed\r\n")
 
     def _final(self, request_id: str, answer: bytes) -> None:
-        call = self.calls.get(request_id)
+        call = self.active_requests.get(request_id)
         if call and not call.answered:
             self._answer(call, answer)
             self.over.append(call)
             if not call.out:
-                self.calls.pop(call.request_id, None)
+                self.active_requests.pop(call.request_id, None)
 
     def _answer(self, call: ActiveRequest, answer: bytes) -> None:
         call.answered = True
@@ -270,17 +278,17 @@
         if not call.answered:
             return
         for attempt in list(call.out.values()):
-            self.servers.cancel_unsent(attempt)
+            self.upstream.cancel_unsent(attempt)
         if not call.out:
-            self.calls.pop(call.request_id, None)
+            self.active_requests.pop(call.request_id, None)
 
     def _cancel(self, action: api.CancelAttempt) -> None:
-        call = self.calls.get(action.request_id)
+        call = self.active_requests.get(action.request_id)
         attempt = call.out.get(action.attempt) if call else None
         if call and attempt:
             if call.gone:  # that it has not come up yet says nothing of its server
-                self.servers.cancel_unsent(attempt)
-            self.servers.stop(attempt, api.AttemptStatus.CANCELLED)
+                self.upstream.cancel_unsent(attempt)
+            self.upstream.stop(attempt, api.AttemptStatus.CANCELLED)
 
     # ---- Timers
 
--- a/quota_gateway/net/endpoint_registry.py
+++ b/quota_gateway/net/endpoint_registry.py
@@ -16,7 +16,7 @@
 import ijson
 
 from quota_gateway import model as api
-from quota_gateway.net.upstream_pool import Address
+from quota_gateway.net.address import Address
 from quota_gateway.policy.subset import NearestEndpoints, Subset
 
 log = logging.getLogger(__name__)
@@ -67,7 +67,7 @@
             number = self.absent[name] = next(self.unused)
         return number
 
-    def leave(self) -> dict[str, Any]:
+    def export_state(self) -> dict[str, Any]:
         """What a process that takes over has to know: the list, and which number stands for whom."""
         return {
             "rows": list(self.rows.values()),
--- a/quota_gateway/net/resp.py
+++ b/quota_gateway/net/resp.py
@@ -12,6 +12,8 @@
 from math import inf
 from typing import cast
 
+from quota_gateway.errors import ProtocolError
+
 LONGEST_BODY = 4 * 1024 * 1024  # bytes: 64 KiB by the protocol, but values reach this
 LONGEST_VALUE = 9_999_999  # bytes of an answer's value, which takes no more memory than a short one
 PASSED_FROM = 64 * 1024  # bytes above which a value is passed on as it comes
@@ -22,10 +24,6 @@
 BULK = re.compile(rb"\$([0-9]{1,7}|-1)\r\n")
 
 
-class ProtocolError(ValueError):
-    """What was read is not of the form that the protocol has."""
-
-
 class BulkArrayReader:
     """Reads arrays of bulk strings, each at most as long as ``longest`` says for its place."""
 
--- a/quota_gateway/net/upstream_pool.py
+++ b/quota_gateway/net/upstream_pool.py
@@ -18,7 +18,9 @@
 from typing import cast
 
 from quota_gateway import model as api
-from quota_gateway.net.resp import Answer, ProtocolError, ReplyReader
+from quota_gateway.errors import ProtocolError
+from quota_gateway.net.address import Address
+from quota_gateway.net.resp import Answer, ReplyReader
 from quota_gateway.settings_format import REPORT_FIELD
 
 log = logging.getLogger(__name__)
@@ -34,7 +36,6 @@
 AT_ONCE = 16 * 1024  # bytes of a command that the kernel takes at once, as nothing else waits there
 TAIL = 2  # bytes of a longer one that are held back
 STALLED_S = 10.0  # a server that has begun a large value and gives no byte for so long is given up
-Address = tuple[str, int]
 
 
 @dataclass(slots=True)
@@ -66,7 +67,7 @@
     piece as it comes. The reply's value is empty then.
     """
 
-    __slots__ = ("payload", "done", "connection", "begun", "sink", "renew", "wanted")
+    __slots__ = ("begun", "connection", "done", "payload", "renew", "sink", "wanted")
 
     def __init__(
         self,
@@ -154,7 +155,7 @@
 class UpstreamHost:
     """A server as discovery last told it. Each change that makes old connections useless is an epoch."""
 
-    __slots__ = ("address", "started", "listed", "detached", "idle", "epoch")
+    __slots__ = ("address", "detached", "epoch", "idle", "listed", "started")
 
     def __init__(self) -> None:
         self.address: Address = ("", 0)
--- a/quota_gateway/policy/engine.py
+++ b/quota_gateway/policy/engine.py
@@ -1034,8 +1034,8 @@
     def _on_elsewhere(self, event: PeerProcessUsage) -> None:
         customer = self.customers.get((event.plan, event.customer))
         if customer:
-            customer.elsewhere = event.out
-            customer.excess = max(0.0, customer.excess + event.change)
+            customer.elsewhere = event.in_flight
+            customer.excess = max(0.0, customer.excess + event.excess_change)
             self._retry_parked()
 
     def _on_alone(self, _: PeerProcessExited) -> None:
--- a/scale/hollow.py
+++ b/scale/hollow.py
@@ -19,10 +19,11 @@
 import psutil
 
 from quota_gateway import model as api
+from quota_gateway.net.address import Address
 from quota_gateway.net.discovery_client import DiscoveryClient
 from quota_gateway.net.driver import ActiveRequest, Clock, Driver
 from quota_gateway.net.endpoint_registry import EndpointRegistry
-from quota_gateway.net.upstream_pool import Address, UpstreamPool
+from quota_gateway.net.upstream_pool import UpstreamPool
 from quota_gateway.policy.engine import PolicyEngine
 from quota_gateway.settings_format import settings_from_document
 from scale.config import zones
@@ -35,6 +36,10 @@
 NS_PER_MS = 1e6
 
 
+def _ignore(*_: object) -> None:
+    """Nobody has to hear of it."""
+
+
 class Versions(EndpointRegistry):
     """A roster that keeps nothing but the version: for gateways that only hold the watch."""
 
@@ -48,13 +53,12 @@
     def __init__(self, settings: api.Settings | None, seed: int) -> None:
         self.driver: Driver | None = None
         if settings is None:
-            self.discovery = DiscoveryClient(self._news, seed)
-            self.discovery.registry = Versions()
+            self.discovery = DiscoveryClient(Versions(), self._news, _ignore, seed)
         else:
             gateway = PolicyEngine(settings, seed)
-            self.discovery = DiscoveryClient(self._news, seed, gateway.subset)
+            self.discovery = DiscoveryClient(EndpointRegistry(gateway.subset), self._news, _ignore, seed)
             self.servers = UpstreamPool(settings, DESCRIPTORS, HELD)
-            self.driver = Driver(gateway, self.servers, Clock())
+            self.driver = Driver(gateway, self.servers, Clock(), _ignore)
         self.heard: list[tuple[int, float]] = []
 
     def _news(self, listing: api.EndpointUpdate, addresses: dict[int, Address]) -> None:
@@ -146,7 +150,7 @@
                 lambda answer: results.update([answer[:5].decode("latin-1").strip()]),
             )
             request = api.Request(name, CLASS, PLAN, f"{arrival.tenant:016x}", DEADLINE_MS)
-            source.choice(drivers).request(call, request, DEADLINE_MS)
+            source.choice(drivers).submit(call, request, DEADLINE_MS)
         await asyncio.sleep(DEADLINE_MS / 1000.0)
         served = sum(number for word, number in results.items() if word.startswith("$"))
         refused = results["-BUSY"]
--- a/scale/load.py
+++ b/scale/load.py
@@ -48,7 +48,7 @@
 class Ask:
     """A request on its way; ``due`` on the monotonic clock."""
 
-    __slots__ = ("due", "command", "again")
+    __slots__ = ("again", "command", "due")
 
     def __init__(self, due: float, command: bytes) -> None:
         self.due, self.command, self.again = due, command, False
--- a/scale/subsets.py
+++ b/scale/subsets.py
@@ -2,7 +2,7 @@
 
     python -m scale.subsets --gateways 3800 --servers 38000 --seed 1 --json result.json
 
-All ways get the size that quota_gateway.policy.subset gives, the same servers and the same gateways' parts of the
+All ways get the size that policy.subset gives, the same servers and the same gateways' parts of the
 traffic. Balance: a server's load is the sum, over its gateways, of the gateway's traffic by the size of its
 subset. Churn: share of the fleet's entries (a gateway and a server) that are new after a change.
 """
--- a/tests/net/test_client_disconnect.py
+++ b/tests/net/test_client_disconnect.py
@@ -46,11 +46,11 @@
         self.others: list[Peer] = []  # clients that stay
 
     async def open(self, gateway) -> "Leaver":
-        address = gateway.clients.listener.getsockname()
-        known = set(gateway.clients.connections)
+        address = gateway.client_listener.listening_socket.getsockname()
+        known = set(gateway.client_listener.connections)
         self.socket = socket.create_connection(address)
-        await until(lambda: len(gateway.clients.connections) > len(known))
-        (self.client,) = set(gateway.clients.connections) - known
+        await until(lambda: len(gateway.client_listener.connections) > len(known))
+        (self.client,) = set(gateway.client_listener.connections) - known
         return self
 
     def go(self) -> None:
@@ -73,13 +73,13 @@
 
 def fire(gateway, which: str) -> None:
     """Let a timer of the decisions fall due."""
-    (token,) = [token for token, (call, _) in gateway.driver.gateway.timers.items() if call.__name__ == which]
+    (token,) = [token for token, (call, _) in gateway.driver.engine.timers.items() if call.__name__ == which]
     gateway.driver.post(TimerFired(token))
 
 
 def out(gateway, number: int) -> list[UpstreamConnection]:
     """The connections that a request is out on."""
-    held = gateway.driver.calls[name(number).decode()]
+    held = gateway.driver.active_requests[name(number).decode()]
     return [attempt.connection for attempt in held.out.values()]
 
 
@@ -102,7 +102,7 @@
 
 
 async def waiting(gateway, number: int) -> None:
-    await until(lambda: name(number).decode() in gateway.driver.calls)
+    await until(lambda: name(number).decode() in gateway.driver.active_requests)
     assert not out(gateway, number)
 
 
@@ -125,7 +125,7 @@
 
 
 async def parked_for_the_pool(gateway, leaver):
-    gateway.driver.gateway.pool = 1.0
+    gateway.driver.engine.pool = 1.0
     return await parked_under_a_cap(gateway, leaver, "free")
 
 
@@ -138,7 +138,7 @@
 async def timed_out(gateway, leaver):
     leaver.socket.sendall(ask(FIRST))
     await sent(gateway, leaver, FIRST)
-    (attempt,) = gateway.driver.calls[name(FIRST).decode()].out.values()
+    (attempt,) = gateway.driver.active_requests[name(FIRST).decode()].out.values()
     return lambda: gateway.driver._time_out(attempt)
 
 
@@ -210,17 +210,17 @@
     """Leave an idle connection at each server: what falls due goes out at once."""
     for number in range(1, servers + 1):
         done = []
-        gateway.servers.start(number, Attempt(ask(LAST), done.append))
+        gateway.upstream_pool.start(number, Attempt(ask(LAST), done.append))
         await until(lambda done=done: bool(done))
 
 
 async def nothing_more(gateway, leaver: Leaver, before: list[bytes]) -> None:
     """Once another client's request has been served, nothing of who left has come, and nothing is kept."""
-    decisions = gateway.driver.gateway
+    decisions = gateway.driver.engine
     decisions.pool = 100.0
     assert await (await gateway.peer()).ask(ask(LAST)) == name(LAST)
     assert leaver.began() == before
-    await until(lambda: not gateway.driver.calls)
+    await until(lambda: not gateway.driver.active_requests)
     assert not decisions.flights and not decisions.parked and not decisions.young
     assert not any(server.out for server in decisions.servers.values())
     assert not any(customer.out for customer in decisions.customers.values())
@@ -307,7 +307,7 @@
     leaver.socket.setblocking(False)
     await loop.sock_sendall(leaver.socket, ask(FIRST, kind="buy", body=b"x" * 4_000_000))
     accepted, _ = await loop.sock_accept(listener)
-    await until(lambda: leaver.client.paused and bool(gateway.driver.calls))
+    await until(lambda: leaver.client.paused and bool(gateway.driver.active_requests))
     (connection,) = out(gateway, FIRST)
     await until(lambda: connection.transport and connection.transport.get_write_buffer_size() > 0)
     return accepted
@@ -330,7 +330,7 @@
                     reader.feed(data)
                     command = reader.gets()
                 assert command is False
-                await until(lambda: not gateway.driver.calls)
+                await until(lambda: not gateway.driver.active_requests)
                 accepted.close()
 
     run(test())
@@ -343,8 +343,8 @@
                 leaver = Leaver("end")
                 accepted = await half_written(gateway, listener, leaver)
                 accepted.send(b"-ERR\r\n")
-                await until(lambda: not gateway.driver.calls)
-                assert not gateway.servers.hosts[1].idle and not gateway.servers.connections
+                await until(lambda: not gateway.driver.active_requests)
+                assert not gateway.upstream_pool.hosts[1].idle and not gateway.upstream_pool.connections
                 accepted.close()
 
     run(test())
--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -71,7 +71,7 @@
                 n for n, words in zip(server.by, server.commands, strict=True) if words[2].endswith(b"1")
             )
             # The second is answered first: it waits for its turn.
-            await until(lambda: len(gateway.driver.calls) == 1)
+            await until(lambda: len(gateway.driver.active_requests) == 1)
             server.writers[first].write(array(b"late"))
             assert await peer.reply() == b"late"
             assert await peer.reply() == b"0000000000000002"
@@ -177,8 +177,8 @@
             peer.send(call(1), call(2))
             await server.until(lambda: len(server.commands) == 2)
             peer.writer.close()
-            await until(lambda: not gateway.clients.connections)
-            assert not gateway.driver.calls and not gateway.servers.connections
+            await until(lambda: not gateway.client_listener.connections)
+            assert not gateway.driver.active_requests and not gateway.upstream_pool.connections
             await server.until(lambda: server.ended == 2)
 
     run(test())
@@ -217,17 +217,17 @@
             elif wait == "for a connection":
                 monkeypatch.setattr(UpstreamConnection, "open", open_late)
             peer.send(call(last, plan="held"))
-            await until(lambda: len(gateway.driver.calls) == 1)
-            (flight,) = gateway.driver.gateway.flights.values()
+            await until(lambda: len(gateway.driver.active_requests) == 1)
+            (flight,) = gateway.driver.engine.flights.values()
             customer = flight.customer
             assert flight.waiting == (wait == "held by the bucket") and customer.excess >= 1000.0
             before = customer.excess
             go(peer, how)
-            await until(lambda: not gateway.driver.calls)
+            await until(lambda: not gateway.driver.active_requests)
             assert customer.excess == before - 1000.0
             gateway.told(server.entry(1))
             up.set()
-            gateway.driver.gateway._end_hold(flight)  # as its timer would
+            gateway.driver.engine._end_hold(flight)  # as its timer would
             assert await (await gateway.peer()).ask(call(9)) == b"0000000000000009"
             assert b"%016x" % last not in [words[2] for words in server.commands]
 
@@ -245,10 +245,10 @@
         async with node() as gateway:
             peer = await gateway.peer()
             peer.send(*(call(number, "post", body=body) for number in range(many)))
-            await until(lambda: any(client.paused for client in gateway.clients.connections))
+            await until(lambda: any(client.paused for client in gateway.client_listener.connections))
             await peer.writer.drain()
             go(peer, how)
-            await until(lambda: not gateway.driver.calls or bool(answered))
+            await until(lambda: not gateway.driver.active_requests or bool(answered))
             assert not answered  # they have ended before their time was up
             await server.start()
             gateway.told(server.entry(1))
@@ -275,7 +275,7 @@
             peer.send(*(call(16 * number, wait=60_000) for number in range(MOST_PIPELINED - 1)), call(1))
             await until(lambda: client.stuck)
             peer.writer.write_eof()
-            await until(lambda: not gateway.driver.calls)
+            await until(lambda: not gateway.driver.active_requests)
             assert "0000000000000001" not in answered
 
     run(test())
@@ -313,7 +313,7 @@
             peer, many = await gateway.peer(), 300
             peer.reader._limit = 1  # the stream stops reading at once
             peer.send(*(call(number, wait=60_000) for number in range(many)))
-            (client,) = gateway.clients.connections
+            (client,) = gateway.client_listener.connections
             await until(lambda: client.stuck)
             assert client.paused and len(client.slots) <= MOST_PIPELINED
             assert client.transport.get_write_buffer_size() <= (MOST_PIPELINED + 2) * (len(value) + 100)
@@ -351,11 +351,11 @@
             await server.until(lambda: len(server.commands) == 2)
             fourth = await gateway.peer()
             fourth.send(call(3))
-            await until(lambda: not gateway.clients.accepting)
+            await until(lambda: not gateway.client_listener.accepting)
             server.writers[0].write(array(b"value"))
             assert await busy.reply() == b"value"  # and it is idle now, and makes room
             await server.until(lambda: len(server.commands) == 3)
-            assert gateway.clients.descriptors_in_use == 2 == len(gateway.clients.connections)
+            assert gateway.client_listener.descriptors_in_use == 2 == len(gateway.client_listener.connections)
 
     run(test())
 
@@ -371,7 +371,7 @@
             idle, within, silent = await gateway.peer(), await gateway.peer(), await gateway.peer()
             assert await idle.ask(resp("PING")) == b"PONG"
             within.send(call(1)[:-3])
-            await until(lambda: any(client.held for client in gateway.clients.connections))
+            await until(lambda: any(client.held for client in gateway.client_listener.connections))
             assert await (await gateway.peer()).ask(resp("PING")) == b"PONG"
             assert await silent.reply() is None
             within.send(call(1)[-3:])
@@ -404,7 +404,7 @@
         async with node(FakeServer()) as gateway:
             peer = await gateway.peer()
             assert await peer.ask(resp("PING")) == b"PONG"
-            (client,) = gateway.clients.connections
+            (client,) = gateway.client_listener.connections
             os.write(peer.writer.get_extra_info("socket").fileno(), call(1))  # before the loop could read it
             assert not client.drop()
             assert await peer.reply() == b"0000000000000001"
@@ -434,8 +434,12 @@
                 assert await peer.reply() == first
             assert await peer.reply() == "-ERR timeout"
             assert await peer.reply() is None
-            await until(lambda: not gateway.clients.connections)
-            assert not gateway.driver.calls and not gateway.clients.held and not gateway.clients.owing
+            await until(lambda: not gateway.client_listener.connections)
+            assert (
+                not gateway.driver.active_requests
+                and not gateway.client_listener.held
+                and not gateway.client_listener.owing
+            )
 
     run(test())
 
@@ -515,7 +519,7 @@
     async def test():
         server = FakeServer(lambda words: None)
         async with node(server) as gateway:
-            gateway.clients.max_buffered_bytes = 150_000
+            gateway.client_listener.max_buffered_bytes = 150_000
             first, second, third = [await gateway.peer() for _ in range(3)]
             for number, peer in enumerate((first, second)):
                 peer.send(call(number, "buy", body=b"x" * 60_000))
@@ -526,7 +530,7 @@
             for writer in server.writers:
                 writer.write(array(b"v"))
             assert await first.reply() == await second.reply() == b"v"
-            await until(lambda: gateway.clients.held == 0)
+            await until(lambda: gateway.client_listener.held == 0)
 
     run(test())
 
@@ -559,7 +563,7 @@
             peer = await gateway.peer()
             fields = GOOD.replace("free", "tiny")
             assert (await peer.ask(resp("CALL.GET", WHO, ID, fields.replace(old, new)))).startswith("-ERR ")
-            assert not gateway.driver.gateway.customers and not server.commands
+            assert not gateway.driver.engine.customers and not server.commands
 
     run(test())
 
@@ -580,10 +584,10 @@
 def test_no_pong_before_the_list_is_known():
     async def test():
         async with node() as gateway:
-            gateway.clients.ready = False
+            gateway.client_listener.is_ready = False
             peer = await gateway.peer()
             assert (await peer.ask(resp("PING"))).startswith("-LOADING")
-            gateway.clients.ready = True
+            gateway.client_listener.is_ready = True
             assert await peer.ask(resp("PING")) == b"PONG"
 
     run(test())
@@ -608,14 +612,14 @@
             peer, more = await gateway.peer(), 6
             peer.send(*(call(number) for number in range(MOST_PIPELINED + more)))
             await server.until(lambda: len(held) == MOST_PIPELINED)
-            gateway.clients.stop_listening()
+            gateway.client_listener.stop_listening()
             first = next(
                 n for n, words in zip(server.by, server.commands, strict=True) if int(words[2], 16) == 0
             )
             for number, writer in enumerate(server.writers):
                 if number != first:
                     writer.write(array(b"v"))
-            await until(lambda: len(gateway.driver.calls) == 1)
+            await until(lambda: len(gateway.driver.active_requests) == 1)
             server.writers[first].write(array(b"v"))  # all that are in hand are written at once
             for _ in range(MOST_PIPELINED + more):
                 assert await peer.reply() == b"v"
--- a/tests/net/test_detachments.py
+++ b/tests/net/test_detachments.py
@@ -94,14 +94,14 @@
             peer = await gateway.peer()
             for number in range(1, 100):
                 await peer.ask(call(number))
-                if gateway.servers.hosts[1].idle:
+                if gateway.upstream_pool.hosts[1].idle:
                     break
             replies = []
-            gateway.servers.start(1, Attempt(b"*1\r\n$4\r\nPING\r\n", replies.append))
-            gateway.servers.start(1, Attempt(b"*1\r\n$4\r\nPING\r\n", replies.append))
+            gateway.upstream_pool.start(1, Attempt(b"*1\r\n$4\r\nPING\r\n", replies.append))
+            gateway.upstream_pool.start(1, Attempt(b"*1\r\n$4\r\nPING\r\n", replies.append))
             got = len(first.commands)
             gateway.driver.post(DetachServer(1))
-            assert not gateway.servers.hosts[1].idle
+            assert not gateway.upstream_pool.hosts[1].idle
             assert UpstreamReply(AttemptStatus.CONNECT_FAILED) in replies
             await first.until(lambda: first.ended == len(first.writers))
             for number in range(200, 230):
--- a/tests/net/test_discovery_client.py
+++ b/tests/net/test_discovery_client.py
@@ -10,6 +10,7 @@
 from quota_gateway import EndpointLifecycle, UpdateKind
 from quota_gateway.net import discovery_client as module
 from quota_gateway.net.discovery_client import DiscoveryClient, DiscoveryWatcher
+from quota_gateway.net.endpoint_registry import EndpointRegistry
 from tests.support.fakes import FakeDiscovery, chunk, listing, row, run
 
 
@@ -17,7 +18,7 @@
 async def watched():
     """A running watch, the fake it watches, and the news that came of it."""
     fake, news = await FakeDiscovery().start(), asyncio.Queue()
-    discovery = DiscoveryClient(lambda *told: news.put_nowait(told), seed=1)
+    discovery = DiscoveryClient(EndpointRegistry(), lambda *told: news.put_nowait(told), lambda: None, 1)
     discovery.watch(("127.0.0.1", fake.port))
     try:
         yield discovery, fake, news
@@ -29,7 +30,9 @@
 def test_known_list_then_changes_and_what_was_missed_after_a_break():
     async def test():
         async with watched() as (discovery, fake, news):
-            discovery.known({"generation": 41, "reset": True, "instances": [row("s-1", 1), row("s-2", 2)]})
+            discovery.load_known(
+                {"generation": 41, "reset": True, "instances": [row("s-1", 1), row("s-2", 2)]}
+            )
             told, addresses = await news.get()
             assert told.kind is UpdateKind.CACHED and addresses == {1: ("127.0.0.1", 1), 2: ("127.0.0.1", 2)}
             target, watch = await fake.watch()
@@ -182,7 +185,9 @@
 
 def test_agent_that_is_silent_or_refuses_is_asked_again_within_the_time_in_which_sends_must_end():
     async def test():
-        feed = DiscoveryWatcher(DiscoveryClient(lambda *told: None, 1), ("127.0.0.1", 9))
+        feed = DiscoveryWatcher(
+            DiscoveryClient(EndpointRegistry(), lambda *told: None, lambda: None, 1), ("127.0.0.1", 9)
+        )
         feed.end()
         waits = [feed._wait() for _ in range(20)]
         assert max(waits) <= module.AGENT_S
@@ -197,7 +202,7 @@
 def test_malformed_known_list_is_not_fatal(known):
     async def test():
         async with watched() as (discovery, fake, news):
-            discovery.known(known)
+            discovery.load_known(known)
             target, _ = await fake.watch()
             assert target == "/discovery/hosts?watch=1" and news.empty()
 
@@ -235,7 +240,7 @@
             writer.write(answer)
 
         server = await asyncio.start_server(odd, "127.0.0.1", 0)
-        discovery = DiscoveryClient(lambda *told: None, seed=1)
+        discovery = DiscoveryClient(EndpointRegistry(), lambda *told: None, lambda: None, 1)
         discovery.watch(server.sockets[0].getsockname())
         for _ in range(3):
             await asked.get()
@@ -261,8 +266,9 @@
 
         server = await asyncio.start_server(overbooked_at_first, "127.0.0.1", 0)
         news: asyncio.Queue[object] = asyncio.Queue()
-        discovery = DiscoveryClient(lambda *told: news.put_nowait(told), seed=1)
-        discovery.on_unavailable = lambda: unheard.put_nowait(asked)
+        discovery = DiscoveryClient(
+            EndpointRegistry(), lambda *told: news.put_nowait(told), lambda: unheard.put_nowait(asked), 1
+        )
         discovery.watch(server.sockets[0].getsockname())
         assert [await unheard.get(), await unheard.get()] == [1, 2] and news.empty()
         await news.get()
@@ -278,7 +284,9 @@
 def test_gateways_that_are_turned_away_ask_again_later_each_time_and_not_in_step():
     async def test():
         feeds = [
-            DiscoveryWatcher(DiscoveryClient(lambda *told: None, seed), ("127.0.0.1", 9))
+            DiscoveryWatcher(
+                DiscoveryClient(EndpointRegistry(), lambda *told: None, lambda: None, seed), ("127.0.0.1", 9)
+            )
             for seed in range(40)
         ]
         for feed in feeds:
--- a/tests/net/test_discovery_notification.py
+++ b/tests/net/test_discovery_notification.py
@@ -15,6 +15,7 @@
 
 from quota_gateway import EndpointUpdate
 from quota_gateway.net.discovery_client import DiscoveryClient
+from quota_gateway.net.endpoint_registry import EndpointRegistry
 from tests.support.fakes import chunk, listing, row
 from tests.support.virtual_loop import VirtualLoop, run_virtual
 
@@ -122,7 +123,7 @@
     def __init__(self, seed: int) -> None:
         self.at: dict[int, float] = {}
         self.news = asyncio.Event()
-        self.discovery = DiscoveryClient(self._hear, seed)
+        self.discovery = DiscoveryClient(EndpointRegistry(), self._hear, lambda: None, seed)
 
     def _hear(self, told: EndpointUpdate, _: object) -> None:
         self.at.setdefault(told.version, asyncio.get_running_loop().time())
--- a/tests/net/test_driver.py
+++ b/tests/net/test_driver.py
@@ -49,9 +49,9 @@
 
 def scripted(gateway, script, wait_ms=60_000.0):
     """Put a request before a script; the answers its client gets."""
-    gateway.driver.gateway, answers = script, []
+    gateway.driver.engine, answers = script, []
     made = ActiveRequest("r", lambda wait: b"*1\r\n$4\r\nWAIT\r\n", answers.append)
-    gateway.driver.request(made, Request("r", "read", "free", "c", wait_ms), wait_ms)
+    gateway.driver.submit(made, Request("r", "read", "free", "c", wait_ms), wait_ms)
     return answers
 
 
@@ -62,7 +62,8 @@
             script = Script(
                 Request=lambda e: [StartAttempt("r", 9), StartAttempt("r", 9), LogMessage("after both")],
                 Outcome=lambda e: (
-                    sends.append(gateway.driver.calls["r"].sends) or ([Reject("r")] if e.attempt == 1 else [])
+                    sends.append(gateway.driver.active_requests["r"].sends)
+                    or ([Reject("r")] if e.attempt == 1 else [])
                 ),
             )
             answers = scripted(gateway, script)
@@ -71,7 +72,7 @@
                 (0, AttemptStatus.CONNECT_FAILED, False),
                 (1, AttemptStatus.CONNECT_FAILED, False),
             ]
-            assert answers == [b"-BUSY\r\n"] and not gateway.driver.calls
+            assert answers == [b"-BUSY\r\n"] and not gateway.driver.active_requests
 
     run(test())
 
@@ -83,7 +84,7 @@
                 Request=lambda e: [Reject("r", 249.6), Fail("r"), Reject("r"), StartAttempt("r", 1)]
             )
             assert scripted(gateway, script) == [b"-BUSY 250\r\n"]
-            assert script.outcomes() == [] and not gateway.driver.calls
+            assert script.outcomes() == [] and not gateway.driver.active_requests
 
     run(test())
 
@@ -106,7 +107,7 @@
                 (0, AttemptStatus.CONNECT_FAILED, True),
                 (1, AttemptStatus.NOT_SENT, True),
             ]
-            assert not server.commands and not gateway.driver.calls
+            assert not server.commands and not gateway.driver.active_requests
 
     run(test())
 
@@ -148,11 +149,11 @@
             elif end == "refused":
                 gateway.driver.post(TimerFired(1))
             else:
-                gateway.driver.client_gone("r")
+                gateway.driver.client_disconnected("r")
             up.set()
             await until(lambda: any(e[:2] == (1, AttemptStatus.NOT_SENT) for e in script.outcomes()))
             told = asyncio.Event()
-            gateway.servers.start(2, Attempt(b"*1\r\n$4\r\nLAST\r\n", lambda reply: told.set()))
+            gateway.upstream_pool.start(2, Attempt(b"*1\r\n$4\r\nLAST\r\n", lambda reply: told.set()))
             await told.wait()
             assert [words[0] for words in late.commands] == [b"LAST"]
             if end == "answered by another":
@@ -160,7 +161,7 @@
                     AttemptStatus.OK,
                     AttemptStatus.NOT_SENT,
                 ]
-                assert not gateway.driver.calls
+                assert not gateway.driver.active_requests
 
     up, plain = asyncio.Event(), UpstreamConnection.open
 
@@ -183,8 +184,8 @@
                 listener.setblocking(False)
                 gateway.told((Endpoint(1, "a"), listener.getsockname()))
                 script, whole = Script(Request=lambda e: [StartAttempt("r", 1)]), 32_000_000
-                gateway.driver.gateway = script
-                gateway.driver.request(
+                gateway.driver.engine = script
+                gateway.driver.submit(
                     ActiveRequest("r", lambda wait: b"x" * whole, lambda answer: None),
                     Request("r", "read", "free", "c", 60_000.0),
                     60_000.0,
@@ -192,7 +193,7 @@
                 loop = asyncio.get_running_loop()
                 accepted, _ = await loop.sock_accept(listener)
                 got = len(await loop.sock_recv(accepted, 1))  # the rest waits for this reader
-                gateway.driver.client_gone("r")
+                gateway.driver.client_disconnected("r")
                 assert script.outcomes() == [(0, AttemptStatus.NOT_SENT, True)]
                 while piece := await received(loop, accepted):
                     got += len(piece)
@@ -231,15 +232,15 @@
             script = Script(Request=lambda e: [StartAttempt("r", 1)])
             answers = scripted(gateway, script)
             await server.until(lambda: len(server.commands) == 1)
-            gateway.driver.client_gone("r")
-            gateway.driver.client_gone("r")
+            gateway.driver.client_disconnected("r")
+            gateway.driver.client_disconnected("r")
             server.writers[0].write(array(b"late"))
             await until(lambda: bool(script.outcomes()))
             assert script.outcomes() == [(0, AttemptStatus.OK, True)] and answers == []
             assert [e for e in script.events if isinstance(e, ClientDisconnected)] == [
                 ClientDisconnected("r")
             ]
-            assert not gateway.driver.calls
+            assert not gateway.driver.active_requests
 
     run(test())
 
@@ -289,9 +290,9 @@
             raise RuntimeError("no decision")
 
         async with node(FakeServer()) as gateway:
-            good = gateway.driver.gateway
+            good = gateway.driver.engine
             assert scripted(gateway, Script(Request=failing)) == [b"-ERR failed\r\n"]
-            gateway.driver.gateway = good
+            gateway.driver.engine = good
             assert await (await gateway.peer()).ask(call(1)) == b"0000000000000001"
 
     run(test())
@@ -305,8 +306,8 @@
             _, address = server.entry(1)
             started = gateway.driver.clock() - 5_000.0  # half of the warm-up
             gateway.told((Endpoint(1, "a", started_ms=started), address), kind=UpdateKind.SNAPSHOT)
-            (known,) = gateway.driver.gateway.servers.values()
-            assert 0.59 < gateway.driver.gateway._warmth(known) < 1.0
+            (known,) = gateway.driver.engine.servers.values()
+            assert 0.59 < gateway.driver.engine._warmth(known) < 1.0
             await asyncio.sleep(0)
 
     run(test())
@@ -318,7 +319,7 @@
             peer = await gateway.peer()
             assert await peer.ask(call(1, "buy", body=b"x" * 60_000)) == b"0000000000000001"
             kept = [argument for *_, argument in gateway.driver.timers if isinstance(argument, Attempt)]
-            assert len(kept) == 1 and kept[0].payload == b"" and not gateway.driver.calls
+            assert len(kept) == 1 and kept[0].payload == b"" and not gateway.driver.active_requests
 
     run(test())
 
@@ -336,12 +337,12 @@
             monkeypatch.setattr(UpstreamConnection, "open", never)
             peer = await gateway.peer()
             peer.send(call(1))
-            await until(lambda: any(held.out for held in gateway.driver.calls.values()))
+            await until(lambda: any(held.out for held in gateway.driver.active_requests.values()))
             (peer.writer.close if how == "end" else peer.writer.transport.abort)()
-            await until(lambda: not gateway.driver.calls)
-            decisions = gateway.driver.gateway
+            await until(lambda: not gateway.driver.active_requests)
+            decisions = gateway.driver.engine
             assert decisions.servers[1].marks == {} == decisions.marks and not decisions.flights
-            assert not gateway.servers.connections and not server.commands
+            assert not gateway.upstream_pool.connections and not server.commands
 
     run(test())
 
@@ -351,9 +352,11 @@
         async with node(FakeServer()) as gateway:
             peer = await gateway.peer()
             peer.send(call(1, "buy", body=b"x" * 60_000))
-            await until(lambda: bool(gateway.driver.calls))
-            encode = weakref.ref(next(iter(gateway.driver.calls.values())).encode)  # it has the command
-            assert await peer.reply() == b"0000000000000001" and not gateway.driver.calls
+            await until(lambda: bool(gateway.driver.active_requests))
+            encode = weakref.ref(
+                next(iter(gateway.driver.active_requests.values())).encode
+            )  # it has the command
+            assert await peer.reply() == b"0000000000000001" and not gateway.driver.active_requests
             assert any(isinstance(argument, Attempt) for *_, argument in gateway.driver.timers)
             gc.collect()
             assert encode() is None
--- a/tests/net/test_idle_connections.py
+++ b/tests/net/test_idle_connections.py
@@ -31,7 +31,7 @@
             for number in range(10, 14):
                 peer = await gateway.peer()
                 assert await peer.ask(call(number)) == b"%016x" % number
-            assert gateway.clients.descriptors_in_use <= PLACES
+            assert gateway.client_listener.descriptors_in_use <= PLACES
             del peers
 
     run(test())
--- a/tests/net/test_large_endpoint_lists.py
+++ b/tests/net/test_large_endpoint_lists.py
@@ -50,7 +50,7 @@
             else:
                 assert addresses[entry.server]
 
-    discovery = DiscoveryClient(take, 1, subset)
+    discovery = DiscoveryClient(EndpointRegistry(subset), take, lambda: None, 1)
     discovery.watch(("127.0.0.1", port))
     return discovery, known
 
@@ -416,7 +416,9 @@
     rig = Crossing(seed)
     for _ in range(600):
         rig.step()
-        assert {server.id for server in rig.gateway.servers.values()} == set(rig.registry.numbers.values())
+        assert {server.id for server in rig.gateway.servers.values()} == set(
+            rig.registry.numbers.values()
+        )
         most = FEW.size(rig.gateway.listed)
         assert len(rig.gateway.ready) <= 2 * most
     rig.run(10_000.0)
@@ -441,6 +443,6 @@
             slow.writers[0].write(b"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
             assert await peer.reply() == b"v"
             assert len(slow.commands) == 1
-            await until(lambda: not gateway.driver.calls)
+            await until(lambda: not gateway.driver.active_requests)
 
     run(test())
--- a/tests/net/test_large_replies.py
+++ b/tests/net/test_large_replies.py
@@ -4,8 +4,9 @@
 
 import pytest
 
+from quota_gateway.errors import ProtocolError
 from quota_gateway.net import upstream_pool as servers_module
-from quota_gateway.net.resp import ProtocolError, ReplyReader
+from quota_gateway.net.resp import ReplyReader
 from tests.support.fakes import FakeServer, array, call, node, run, until
 
 LARGE = bytes(range(256)) * 16_384  # 4 MiB
@@ -57,8 +58,8 @@
             server.writers[0].write(LARGE[10:] + TAIL)
             assert await peer.reader.readexactly(len(LARGE) - 8) == LARGE[10:] + b"\r\n"
             assert await peer.ask(call(2)) == b"0000000000000002"
-            await until(lambda: not gateway.driver.calls)
-            assert gateway.clients.held == gateway.servers.held == 0
+            await until(lambda: not gateway.driver.active_requests)
+            assert gateway.client_listener.held == gateway.upstream_pool.held == 0
 
     run(test())
 
@@ -72,11 +73,11 @@
             peer.send(call(1))
             await server.until(lambda: server.commands)
             server.writers[0].write(b"*3\r\n$%d\r\n" % (2 * len(LARGE)) + LARGE + LARGE + TAIL)
-            await until(lambda: not gateway.driver.calls)
-            assert gateway.clients.held > 100_000
+            await until(lambda: not gateway.driver.active_requests)
+            assert gateway.client_listener.held > 100_000
             peer.writer.transport.resume_reading()
             assert await peer.reply() == LARGE + LARGE
-            await until(lambda: not gateway.clients.held)
+            await until(lambda: not gateway.client_listener.held)
 
     run(test())
 
@@ -85,16 +86,16 @@
     async def test():
         server = FakeServer(lambda words: None)
         async with node(server) as gateway:
-            gateway.clients.max_buffered_bytes = 200_000
+            gateway.client_listener.max_buffered_bytes = 200_000
             peer = await gateway.peer()
             peer.writer.transport.pause_reading()
             many = 4 * LARGE
             peer.send(call(1))
             await server.until(lambda: server.commands)
             server.writers[0].write(b"*3\r\n$%d\r\n" % (len(many) // 2) + many[: len(many) // 2] + TAIL)
-            (connection,) = gateway.servers.connections
+            (connection,) = gateway.upstream_pool.connections
             await until(lambda: connection.paused)
-            assert gateway.clients.held < 300_000 and gateway.servers.held < 100_000
+            assert gateway.client_listener.held < 300_000 and gateway.upstream_pool.held < 100_000
             peer.writer.transport.resume_reading()
             assert await peer.reply() == many[: len(many) // 2]
 
@@ -105,7 +106,7 @@
     async def test():
         server = FakeServer(lambda words: None)
         async with node(server) as gateway:
-            gateway.clients.max_buffered_bytes = 200_000
+            gateway.client_listener.max_buffered_bytes = 200_000
             peer = await gateway.peer()
             peer.send(call(1), call(2))
             await server.until(lambda: len(server.commands) == 2)
@@ -114,8 +115,8 @@
                 for words in sorted(server.commands, key=lambda words: words[2])
             )
             second.write(HEAD + LARGE + TAIL)
-            await until(lambda: any(connection.paused for connection in gateway.servers.connections))
-            assert gateway.clients.held < 300_000
+            await until(lambda: any(connection.paused for connection in gateway.upstream_pool.connections))
+            assert gateway.client_listener.held < 300_000
             first.write(array(b"first"))
             assert await peer.reply() == b"first"
             assert await peer.reply() == LARGE
@@ -132,11 +133,13 @@
             peer.send(call(1))
             await server.until(lambda: server.commands)
             server.writers[0].write(HEAD + LARGE[:10])
-            await until(lambda: any(call.value for call in gateway.driver.calls.values()))
+            await until(lambda: any(call.value for call in gateway.driver.active_requests.values()))
             server.writers[0].write(rest) if rest else server.writers[0].close()
             assert await peer.reply() is None
-            await until(lambda: not gateway.driver.calls and not gateway.clients.connections)
-            assert gateway.clients.held == gateway.servers.held == 0
+            await until(
+                lambda: not gateway.driver.active_requests and not gateway.client_listener.connections
+            )
+            assert gateway.client_listener.held == gateway.upstream_pool.held == 0
 
     run(test())
 
@@ -153,7 +156,7 @@
                 for words in sorted(server.commands, key=lambda words: words[2])
             )
             second.write(HEAD + LARGE[:10])
-            await until(lambda: any(call.value for call in gateway.driver.calls.values()))
+            await until(lambda: any(call.value for call in gateway.driver.active_requests.values()))
             second.close()
             first.write(array(b"first"))
             assert [await peer.reply(), await peer.reply()] == [b"first", None]
@@ -201,10 +204,10 @@
             peer.send(call(1))
             await server.until(lambda: server.commands)
             server.writers[0].write(HEAD + LARGE[:10])
-            await until(lambda: any(call.value for call in gateway.driver.calls.values()))
+            await until(lambda: any(call.value for call in gateway.driver.active_requests.values()))
             peer.writer.transport.abort()
             await server.until(lambda: server.ended)
-            await until(lambda: not gateway.driver.calls)
+            await until(lambda: not gateway.driver.active_requests)
 
     run(test())
 
@@ -215,14 +218,14 @@
         async with node(server, other) as gateway:
             peer = await gateway.peer()
             peer.send(call(1))
-            await until(lambda: gateway.driver.calls)
-            (held,) = gateway.driver.calls.values()
+            await until(lambda: gateway.driver.active_requests)
+            (held,) = gateway.driver.active_requests.values()
             (first,) = held.out.values()
-            flight = gateway.driver.gateway.flights[held.request_id]
+            flight = gateway.driver.engine.flights[held.request_id]
             at = next(number for number in (1, 2) if number not in flight.tried)
-            gateway.driver.gateway.actions = []
-            gateway.driver.gateway._send(flight, gateway.driver.gateway.servers[at])
-            for action in gateway.driver.gateway.actions:
+            gateway.driver.engine.actions = []
+            gateway.driver.engine._send(flight, gateway.driver.engine.servers[at])
+            for action in gateway.driver.engine.actions:
                 gateway.driver._perform(action)
             for fake in (server, other):
                 await fake.until(lambda fake=fake: fake.commands)
--- a/tests/net/test_upstream_pool.py
+++ b/tests/net/test_upstream_pool.py
@@ -35,15 +35,15 @@
         server = FakeServer(lambda words: None)
         async with node(server) as gateway:
             ends = Ends()
-            gateway.servers.start(1, ends.attempt())
-            gateway.servers.start(1, ends.attempt())
+            gateway.upstream_pool.start(1, ends.attempt())
+            gateway.upstream_pool.start(1, ends.attempt())
             await server.until(lambda: len(server.commands) == 2)
             assert sorted(server.by) == [0, 1]
             for number in (1, 0):
                 server.writers[number].write(array(b"v"))
                 assert await ends.status() is AttemptStatus.OK
             await asyncio.sleep(4.0 * module.REST_S)
-            gateway.servers.start(1, ends.attempt())
+            gateway.upstream_pool.start(1, ends.attempt())
             await server.until(lambda: len(server.commands) == 3)
             assert server.by[2] == 0
 
@@ -73,9 +73,9 @@
         server = FakeServer(lambda words: answer)
         async with node(server) as gateway:
             ends = Ends()
-            gateway.servers.start(1, ends.attempt())
+            gateway.upstream_pool.start(1, ends.attempt())
             assert await ends.status() is status
-            gateway.servers.close()
+            gateway.upstream_pool.close()
             assert ends.empty()
 
     run(test())
@@ -101,8 +101,8 @@
         server = FakeServer(lambda words: array(words[2], *(text.encode("latin-1") for text in figures)))
         async with node(server) as gateway:
             assert await (await gateway.peer()).ask(call(1)) == b"0000000000000001"
-            (customer,) = gateway.driver.gateway.customers.values()
-            (known,) = gateway.driver.gateway.servers.values()
+            (customer,) = gateway.driver.engine.customers.values()
+            (known,) = gateway.driver.engine.servers.values()
             assert customer.used == customer.excess == known.queue == 0.0
 
     run(test())
@@ -190,7 +190,7 @@
             port = listener.getsockname()[1]
             gateway.told((Endpoint(1, "a"), ("127.0.0.1", port)))
             ends = Ends()
-            gateway.servers.start(1, ends.attempt(b"x" * 32_000_000))
+            gateway.upstream_pool.start(1, ends.attempt(b"x" * 32_000_000))
             loop = asyncio.get_running_loop()
             accepted, _ = await loop.sock_accept(listener)
             await loop.sock_recv(accepted, 1)
@@ -221,13 +221,13 @@
             async with node() as gateway:
                 gateway.told((Endpoint(1, "a"), ("127.0.0.1", port)))
                 ends, loop = Ends(), asyncio.get_running_loop()
-                gateway.servers.start(1, ends.attempt())
+                gateway.upstream_pool.start(1, ends.attempt())
                 accepted, _ = await loop.sock_accept(listener)
                 await loop.sock_recv(accepted, 1000)
                 await loop.sock_sendall(accepted, array(b"v"))
                 assert await ends.status() is AttemptStatus.OK
                 accepted.close()
-                gateway.servers.start(1, ends.attempt())  # before the loop could see the end
+                gateway.upstream_pool.start(1, ends.attempt())  # before the loop could see the end
                 accepted, _ = await loop.sock_accept(listener)
                 await loop.sock_recv(accepted, 1000)
                 await loop.sock_sendall(accepted, array(b"v"))
@@ -242,10 +242,10 @@
         server = FakeServer()
         async with node(server, limits=GatewayLimits(connection_idle_ms=1.0)) as gateway:
             ends = Ends()
-            gateway.servers.start(1, ends.attempt())
+            gateway.upstream_pool.start(1, ends.attempt())
             assert await ends.status() is AttemptStatus.OK
             await server.until(lambda: server.ended == 1)
-            assert not gateway.servers.connections
+            assert not gateway.upstream_pool.connections
 
     run(test())
 
@@ -256,15 +256,15 @@
         server = FakeServer()
         async with node(server) as gateway:
             ends = Ends()
-            gateway.servers.start(1, ends.attempt())
-            (connection,) = gateway.servers.connections
+            gateway.upstream_pool.start(1, ends.attempt())
+            (connection,) = gateway.upstream_pool.connections
             gateway.told(server.entry(1, state=state), kind=UpdateKind.DELTA)
             assert await ends.status() is AttemptStatus.CONNECT_FAILED
-            gateway.servers.start(1, ends.attempt())
+            gateway.upstream_pool.start(1, ends.attempt())
             assert await ends.status() is AttemptStatus.CONNECT_FAILED
             await until(connection.task.done)
             gateway.told(server.entry(2), kind=UpdateKind.SNAPSHOT)
-            gateway.servers.start(2, ends.attempt())
+            gateway.upstream_pool.start(2, ends.attempt())
             assert await ends.status() is AttemptStatus.OK
             assert len(server.commands) == 1
 
@@ -278,17 +278,17 @@
         async with node(server) as gateway:
             ends = Ends()
             for _ in range(2):
-                gateway.servers.start(1, ends.attempt())
+                gateway.upstream_pool.start(1, ends.attempt())
             await server.until(lambda: len(server.commands) == 2)
             server.writers[0].write(array(b"v"))
             assert await ends.status() is AttemptStatus.OK
             gateway.told(server.entry(1, **change), kind=UpdateKind.DELTA)
-            (kept,) = gateway.servers.connections
+            (kept,) = gateway.upstream_pool.connections
             assert kept.attempt
             await server.until(lambda: server.ended == 1)
             server.writers[1].write(array(b"v"))  # what is out may finish, its connection is not kept
             assert await ends.status() is AttemptStatus.OK
-            assert not gateway.servers.connections
+            assert not gateway.upstream_pool.connections
             await server.until(lambda: server.ended == 2)
 
     run(test())
@@ -299,10 +299,10 @@
         server, other = FakeServer(), await FakeServer().start()
         async with node(server) as gateway:
             ends = Ends()
-            gateway.servers.start(1, ends.attempt())
+            gateway.upstream_pool.start(1, ends.attempt())
             assert await ends.status() is AttemptStatus.OK
             gateway.told(other.entry(1), kind=UpdateKind.DELTA)
-            gateway.servers.start(1, ends.attempt())
+            gateway.upstream_pool.start(1, ends.attempt())
             assert await ends.status() is AttemptStatus.OK
             assert len(server.commands) == len(other.commands) == 1
 
@@ -314,11 +314,11 @@
         server, other = FakeServer(), FakeServer(lambda words: None)
         async with node(server, other, max_connections=1) as gateway:
             ends = Ends()
-            gateway.servers.start(1, ends.attempt())
+            gateway.upstream_pool.start(1, ends.attempt())
             assert await ends.status() is AttemptStatus.OK
-            gateway.servers.start(2, ends.attempt())
+            gateway.upstream_pool.start(2, ends.attempt())
             await server.until(lambda: server.ended == 1)
-            gateway.servers.start(1, ends.attempt())
+            gateway.upstream_pool.start(1, ends.attempt())
             assert await ends.status() is AttemptStatus.CONNECT_FAILED
             await other.until(lambda: len(other.commands) == 1)
             other.writers[0].write(array(b"v"))
@@ -338,9 +338,9 @@
             ends = Ends()
             with monkeypatch.context() as patch:
                 patch.setattr(module.socket, "socket", none_left)
-                gateway.servers.start(1, ends.attempt())
+                gateway.upstream_pool.start(1, ends.attempt())
                 assert await ends.status() is AttemptStatus.CONNECT_FAILED
-            gateway.servers.start(1, ends.attempt())
+            gateway.upstream_pool.start(1, ends.attempt())
             assert await ends.status() is AttemptStatus.OK
 
     run(test())
@@ -358,9 +358,9 @@
             async with node(limits=GatewayLimits(connect_timeout_ms=50.0)) as gateway:
                 gateway.told((Endpoint(1, "a"), ("127.0.0.1", port)))
                 ends = Ends()
-                gateway.servers.start(1, ends.attempt())
+                gateway.upstream_pool.start(1, ends.attempt())
                 assert await ends.status() is AttemptStatus.CONNECT_FAILED
-                assert not gateway.servers.connections
+                assert not gateway.upstream_pool.connections
             for one in full:
                 one.close()
 
@@ -383,7 +383,7 @@
             usual = gateway.driver.clock
             monkeypatch.setattr(gateway.driver, "clock", lambda: usual() + ahead)
             peer.send(call(1))
-            await until(lambda: bool(gateway.servers.connections))
+            await until(lambda: bool(gateway.upstream_pool.connections))
             ahead = 1500.0  # as if connecting had taken so long
             up.set()
             assert await peer.reply() == b"0000000000000001"
@@ -399,9 +399,9 @@
         async with node(server) as gateway:
             told = []
             attempt = Attempt(COMMAND, told.append)
-            gateway.servers.start(1, attempt)
+            gateway.upstream_pool.start(1, attempt)
             await server.until(lambda: len(server.commands) == 1)
-            sock = next(iter(gateway.servers.connections)).socket
+            sock = next(iter(gateway.upstream_pool.connections)).socket
 
             def done(reply):
                 with pytest.raises(OSError):
@@ -409,7 +409,7 @@
                 told.append(reply)
 
             attempt.done = done
-            gateway.servers.stop(attempt, AttemptStatus.CANCELLED)
+            gateway.upstream_pool.stop(attempt, AttemptStatus.CANCELLED)
             assert [reply.status for reply in told] == [AttemptStatus.CANCELLED]
             await server.until(lambda: server.ended == 1)
 
@@ -421,10 +421,10 @@
         server = FakeServer(lambda words: array(b"v") + b"+EXTRA\r\n")
         async with node(server) as gateway:
             ends = Ends()
-            gateway.servers.start(1, ends.attempt())
+            gateway.upstream_pool.start(1, ends.attempt())
             assert await ends.status() is AttemptStatus.OK
             await server.until(lambda: server.ended == 1)
-            assert not gateway.servers.connections
+            assert not gateway.upstream_pool.connections
 
     run(test())
 
@@ -435,11 +435,11 @@
         async with node(server) as gateway:
             peer = await gateway.peer()
             assert await peer.ask(call(1, "buy")) == b"v" * 60_000
-            gateway.servers.max_buffered_bytes = 20_000
+            gateway.upstream_pool.max_buffered_bytes = 20_000
             peer.send(call(2, "buy"))
             await server.until(lambda: len(server.commands) == 2)
             server.writers[-1].write(array(b"v" * 60_000)[:-1])
             assert await peer.reply() == "-ERR failed"
-            assert gateway.servers.held == 0
+            assert gateway.upstream_pool.held == 0
 
     run(test())
--- a/tests/process/test_process.py
+++ b/tests/process/test_process.py
@@ -157,21 +157,23 @@
     async def test():
         async with node(FakeServer()) as gateway:
             leaving = asyncio.ensure_future(
-                program_module._leave(FAKE_SETTINGS, gateway.driver, gateway.clients, gateway.handover)
+                program_module._leave(
+                    FAKE_SETTINGS, gateway.driver, gateway.client_listener, gateway.handover
+                )
             )
             await asyncio.sleep(0)
             late = await gateway.peer()
             assert await late.ask(call(3)) == b"0000000000000003"
             assert await late.reply() is None
             await leaving
-            assert not gateway.clients.connections
+            assert not gateway.client_listener.connections
 
     run(test())
 
 
 def leave(gateway):
     return asyncio.ensure_future(
-        program_module._leave(FAKE_SETTINGS, gateway.driver, gateway.clients, gateway.handover)
+        program_module._leave(FAKE_SETTINGS, gateway.driver, gateway.client_listener, gateway.handover)
     )
 
 
@@ -191,7 +193,7 @@
             peer.send(*(call(number) for number in range(many)))
             await until(lambda: client.stuck and all(slot.answer for slot in client.slots))
             leaving = leave(gateway)
-            await until(lambda: client.ending or not gateway.clients.connections)
+            await until(lambda: client.ending or not gateway.client_listener.connections)
             for _ in range(many):
                 assert await peer.reply() == value
             assert await peer.reply() is None
@@ -207,14 +209,14 @@
             peer = await gateway.peer()
             peer.send(call(1, wait=60_000))
             await server.until(lambda: len(server.commands) == 1)
-            (client,) = gateway.clients.connections
-            finish = gateway.clients.finish
+            (client,) = gateway.client_listener.connections
+            finish = gateway.client_listener.finish
 
             def last():
                 client.data_received(call(2))
                 finish()
 
-            monkeypatch.setattr(gateway.clients, "finish", last)
+            monkeypatch.setattr(gateway.client_listener, "finish", last)
             monkeypatch.setattr(
                 client,
                 "_leave_if_done",
@@ -234,7 +236,7 @@
             peer = await gateway.peer()
             assert await peer.ask(call(1)) == b"0000000000000001"
             os.write(peer.writer.get_extra_info("socket").fileno(), call(2))  # before the loop could read it
-            gateway.clients.stop_listening()
+            gateway.client_listener.stop_listening()
             assert await peer.reply() == b"0000000000000002" and await peer.reply() is None
 
     run(test())
--- a/tests/process/test_upgrade.py
+++ b/tests/process/test_upgrade.py
@@ -169,26 +169,28 @@
             half, busy = await old.peer(), await old.peer()
             command = call(1, "post", body=b"x" * 100_000)
             half.send(command[:70_000])
-            await until(lambda: any(len(client.reader.buffer) > 60_000 for client in old.clients.connections))
+            await until(
+                lambda: any(len(client.reader.buffer) > 60_000 for client in old.client_listener.connections)
+            )
             busy.send(call(7), call(8))
-            await until(lambda: len(old.driver.calls) == 2 or len(server.commands) == 2)
+            await until(lambda: len(old.driver.active_requests) == 2 or len(server.commands) == 2)
             estate = await request_handover(new.handover.path)
-            new.clients.stop_listening()
-            new.clients.leaving = False
-            new.clients.adopt(estate.listener)
+            new.client_listener.stop_listening()
+            new.client_listener.leaving = False
+            new.client_listener.adopt(estate.listener)
             new.handover.took_over(estate, 0)
             half.send(command[70_000:])
             assert await half.reply() == b"0000000000000001"
-            assert old.clients.connections and new.clients.connections
+            assert old.client_listener.connections and new.client_listener.connections
             at = next(n for n, words in enumerate(server.commands) if words[2].endswith(b"7"))
             server.writers[server.by[at]].write(array(b"late"))
             assert [await busy.reply(), await busy.reply()] == [b"late", b"0000000000000008"]
             assert await busy.ask(call(9)) == b"0000000000000009"
-            assert not old.clients.connections
-            await until(lambda: not new.clients.peer_connections)
+            assert not old.client_listener.connections
+            await until(lambda: not new.client_listener.peer_connections)
             assert await (await new.peer()).ask(resp("PING")) == b"PONG"
             old.handover.close()
-            await until(lambda: new.handover.before is None)
+            await until(lambda: new.peers.previous is None)
             new.handover.close()
 
     run(test())
@@ -334,7 +336,7 @@
     assert not any(name in successor.sent for name in refused)
     second = successor.ask("only-cap")
     assert second not in successor.sent  # its one place here is taken, in the other process
-    news = [action.news for action in rig.finish(held[0]) if isinstance(action, NotifyPeerProcess)]
+    news = [action.usage for action in rig.finish(held[0]) if isinstance(action, NotifyPeerProcess)]
     assert news == [PeerProcessUsage("only-cap", "c", 0)]
     successor.do(news[0])
     assert second in successor.sent
--- a/tests/support/fakes.py
+++ b/tests/support/fakes.py
@@ -27,8 +27,11 @@
     UpdateKind,
 )
 from quota_gateway.net.client_listener import ClientConnection, ClientListener
+from quota_gateway.net.detachments import Detachments
 from quota_gateway.net.driver import Clock, Driver
+from quota_gateway.net.endpoint_registry import EndpointRegistry
 from quota_gateway.net.handover import Handover
+from quota_gateway.net.peer_processes import PeerProcesses
 from quota_gateway.net.upstream_pool import UpstreamPool
 
 MOST_HELD = 32 * 1024 * 1024
@@ -173,28 +176,33 @@
     """The gateway's parts, wired up as the program does, but without discovery."""
 
     def __init__(self, settings: Settings, max_connections: int) -> None:
-        self.servers = UpstreamPool(settings, max_connections, MOST_HELD)
-        self.driver = Driver(PolicyEngine(settings, 1), self.servers, Clock())
-        self.clients = ClientListener(self.driver, settings, max_connections, MOST_HELD)
-        self.clients.ready = True
-        self.handover = Handover(None, self.driver, self.clients, self.servers)
+        self.upstream_pool = UpstreamPool(settings, max_connections, MOST_HELD)
+        self.peers = PeerProcesses()
+        self.driver = Driver(PolicyEngine(settings, 1), self.upstream_pool, Clock(), self.peers.notify_usage)
+        self.client_listener = ClientListener(self.driver, settings, max_connections, MOST_HELD)
+        self.client_listener.is_ready = True
+        registry = EndpointRegistry()
+        detachments = Detachments(registry, self.driver, self.peers)
+        self.handover = Handover(
+            None, self.driver, self.client_listener, self.upstream_pool, registry, detachments, self.peers
+        )
 
     def told(self, *rows: tuple[Endpoint, tuple[str, int]], kind: UpdateKind = UpdateKind.SNAPSHOT) -> None:
         listing = EndpointUpdate(kind, tuple(entry for entry, _ in rows))
-        self.servers.update(listing, {entry.server: address for entry, address in rows})
+        self.upstream_pool.update(listing, {entry.server: address for entry, address in rows})
         self.driver.post(listing)
 
     async def peer(self) -> Peer:
-        assert self.clients.listener
-        return await Peer().open(self.clients.listener.getsockname()[1])
+        assert self.client_listener.listening_socket
+        return await Peer().open(self.client_listener.listening_socket.getsockname()[1])
 
 
 async def slow_reader(gateway: Node) -> tuple[Peer, ClientConnection]:
     """A client that takes nothing for now, and its connection; next to nothing fits in the kernel between."""
     peer = await gateway.peer()
     peer.reader._limit = 1  # the stream stops reading at once
-    await until(lambda: bool(gateway.clients.connections))
-    (client,) = gateway.clients.connections
+    await until(lambda: bool(gateway.client_listener.connections))
+    (client,) = gateway.client_listener.connections
     for sock in (peer.writer.get_extra_info("socket"), client.socket):
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 262_144)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 262_144)
@@ -208,13 +216,13 @@
     for fake in fakes:
         await fake.start()
     made.told(*(fake.entry(number) for number, fake in enumerate(fakes, 1)))
-    made.clients.listen("127.0.0.1", 0)
+    made.client_listener.listen("127.0.0.1", 0)
     try:
         yield made
     finally:
-        made.clients.stop_listening()
-        made.clients.abort()
-        made.servers.close()
+        made.client_listener.stop_listening()
+        made.client_listener.abort()
+        made.upstream_pool.close()
 
 
 class FakeDiscovery:
