--- a/quota_gateway/__main__.py
+++ b/quota_gateway/__main__.py
@@ -214,7 +214,7 @@
             estate.listener.close()
         detachments.repeat()
         await _listen(clients, config.listen)
-        loop.call_later(FIRST_LIST_S, lambda: setattr(clients, "ready", True))
+        loop.call_later(FIRST_LIST_S, lambda: setattr(clients, "is_ready", True))
     handover.wait()
     log.info("listening")
     await stop.wait()
