--- /dev/null
+++ b/quota_gateway/net/commands.py
@@ -0,0 +1,155 @@
+"""The clients' commands CALL.GET and CALL.POST: checked, read into a ``Request``, encoded for upstream."""
+
+from __future__ import annotations
+
+import re
+from collections.abc import Callable
+
+from quota_gateway import model as api
+from quota_gateway.errors import CommandError
+from quota_gateway.net.driver import CLIENT_MARGIN_MS
+
+CALL_GET = b"CALL.GET"
+CALL_POST = b"CALL.POST"
+PING = b"PING"
+
+GET_ARGUMENT_COUNT = 4  # name, customer, request id, list of fields
+POST_ARGUMENT_COUNT = 5  # the same, then the body
+CUSTOMER_LIMIT = 1 << 33  # customers are numbered below this
+CUSTOMER_PATTERN = re.compile(rb"[0-9a-fA-F]{16}")
+ID_PATTERN = re.compile(rb"[0-9A-Za-z]{1,64}")  # of a request, and an idempotency key
+INTEGER_PATTERN = re.compile(rb"[0-9]{1,6}")
+DECIMAL_PATTERN = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?")
+
+Fields = dict[bytes, bytes]
+Encoder = Callable[[float], bytes]
+
+
+def _matching_field(fields: Fields, name: bytes, pattern: re.Pattern[bytes]) -> bytes:
+    text = fields.get(name, b"")
+    if not pattern.fullmatch(text):
+        raise CommandError(f"bad or missing value of {name.decode()}")
+    return text
+
+
+def _split_fields(field_list: bytes) -> Fields:
+    """Split ``c=read,t=free`` into names and values; a name may occur once only."""
+    fields: Fields = {}
+    for part in field_list.split(b","):
+        name, equals, value = part.partition(b"=")
+        if not equals or not name or name in fields:
+            raise CommandError("bad list of names and values")
+        fields[name] = value
+    return fields
+
+
+def _parse_customer(text: bytes) -> str:
+    if not CUSTOMER_PATTERN.fullmatch(text) or int(text, 16) >= CUSTOMER_LIMIT:
+        raise CommandError("bad customer")
+    return text.decode("ascii").lower()
+
+
+def _parse_timeout_ms(fields: Fields, request_class: api.RequestClass) -> float:
+    """How long the reply may take: at most the deadline of the class, as timers are kept for that long."""
+    timeout_ms = float(_matching_field(fields, b"d", DECIMAL_PATTERN))
+    if timeout_ms <= 0.0:
+        raise CommandError("bad value of d")
+    return max(0.0, min(timeout_ms, request_class.deadline_ms) - CLIENT_MARGIN_MS)
+
+
+def upstream_encoder(name: bytes, command: list[bytes], field_list: bytes) -> Encoder:
+    """Make the function that encodes a client's command for an upstream server.
+
+    Everything is forwarded unchanged but the field ``d``, which says how long the gateway waits.
+
+    Args:
+        name: The command's name in upper case.
+        command: The command as the client sent it.
+        field_list: The command's list of fields; it has a field ``d``.
+
+    Returns:
+        A function from the timeout in milliseconds to the command's bytes.
+    """
+    parts = field_list.split(b",")
+    timeout_index = next(index for index, part in enumerate(parts) if part.startswith(b"d="))
+
+    def encode(timeout_ms: float) -> bytes:
+        parts[timeout_index] = b"d=%d" % max(1, int(timeout_ms))
+        words = [name, command[1], command[2], b",".join(parts), *command[4:]]
+        return b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%b\r\n" % (len(word), word) for word in words)
+
+    return encode
+
+
+class RequestParser:
+    """Reads CALL.GET and CALL.POST into requests; every value is checked before it is charged or forwarded.
+
+    See docs/decisions/client-commands.md for what a lenient parser would let through.
+    """
+
+    def __init__(self, settings: api.Settings) -> None:
+        self._gateway_count = settings.gateways
+        self._max_request_units = settings.max_request_units
+        self._classes = {item.name.encode(): item for item in settings.classes}
+        self._plans = {item.name.encode(): item.name for item in settings.plans}
+
+    def parse(self, command: list[bytes]) -> tuple[api.Request, Encoder]:
+        """Read one command.
+
+        Args:
+            command: The command's name and arguments; the name is CALL.GET or CALL.POST in any case.
+
+        Returns:
+            The request, and the function that encodes it for a server that has so many milliseconds.
+
+        Raises:
+            CommandError: An argument is missing, malformed or out of range; the text is for the client.
+        """
+        name = command[0].upper()
+        is_write = name == CALL_POST
+        if len(command) != (POST_ARGUMENT_COUNT if is_write else GET_ARGUMENT_COUNT):
+            raise CommandError(f"wrong number of arguments for {name.decode()}")
+        _, customer, request_id, field_list = command[:GET_ARGUMENT_COUNT]
+        fields = _split_fields(field_list)
+        request_class, plan = self._class_and_plan(fields, is_write)
+        if fields.get(b"r", b"1") not in (b"0", b"1"):
+            raise CommandError("bad value of r")
+        if not ID_PATTERN.fullmatch(request_id):
+            raise CommandError("bad request id")
+        request = api.Request(
+            request_id=request_id.decode("ascii"),
+            class_name=request_class.name,
+            plan=plan,
+            customer=_parse_customer(customer),
+            timeout_ms=_parse_timeout_ms(fields, request_class),
+            units=self._parse_units(fields),
+            gateway_set_size=self._parse_gateway_number(fields, b"spread", 1),
+            first_gateway=self._parse_gateway_number(fields, b"first", 0),
+            is_retry=fields.get(b"r") == b"1",
+            is_write=is_write,
+        )
+        return request, upstream_encoder(name, command, field_list)
+
+    def _class_and_plan(self, fields: Fields, is_write: bool) -> tuple[api.RequestClass, str]:
+        request_class = self._classes.get(fields.get(b"c", b""))
+        plan = self._plans.get(fields.get(b"t", b""))
+        if request_class is None or plan is None:
+            raise CommandError("unknown class or plan")
+        if is_write == (request_class.idempotency is api.Idempotency.IDEMPOTENT):
+            raise CommandError("the class does not go with the command")
+        if request_class.idempotency is api.Idempotency.KEYED:
+            _matching_field(fields, b"k", ID_PATTERN)
+        return request_class, plan
+
+    def _parse_units(self, fields: Fields) -> float:
+        units = float(_matching_field(fields, b"units", DECIMAL_PATTERN))
+        if not 0.0 < units <= self._max_request_units:
+            raise CommandError("bad value of units")
+        return units
+
+    def _parse_gateway_number(self, fields: Fields, name: bytes, lowest: int) -> int:
+        """The size of a customer's gateway set, counted from 1, or the number of its first, from 0."""
+        number = int(_matching_field(fields, name, INTEGER_PATTERN))
+        if not lowest <= number < self._gateway_count + lowest:
+            raise CommandError(f"bad value of {name.decode()}")
+        return number
--- /dev/null
+++ b/quota_gateway/net/pending_reply.py
@@ -0,0 +1,108 @@
+"""A reply that a client is owed: its place in the order of the connection's commands."""
+
+from __future__ import annotations
+
+from collections import deque
+from typing import Protocol
+
+from quota_gateway.net.upstream_pool import Attempt
+
+
+class ReplyChannel(Protocol):
+    """What a pending reply needs of its connection."""
+
+    def count_buffered(self, size_bytes: int, in_hand: bool = True) -> None:
+        """Count bytes that are held for this connection, or fewer of them."""
+
+    def flush(self) -> None:
+        """Write the replies that are due."""
+
+    def read_ahead_bytes(self) -> int:
+        """How far one large value may be ahead of its client."""
+
+    def close_truncated(self) -> None:
+        """Close within a value that can't be completed."""
+
+
+class PendingReply:
+    """The place of one command's reply in the order of its connection.
+
+    A short reply comes whole, by ``set_reply``. A large value comes in pieces: ``start_streaming``, then
+    ``take`` for each piece, then ``end``. See docs/decisions/client-large-values.md.
+    """
+
+    __slots__ = (
+        "attempt",
+        "buffered_bytes",
+        "connection",
+        "has_started_writing",
+        "pieces",
+        "reply",
+        "request_id",
+    )
+
+    def __init__(
+        self,
+        connection: ReplyChannel,
+        reply: bytes | None = None,
+        request_id: str = "",
+        buffered_bytes: int = 0,
+    ) -> None:
+        self.connection = connection
+        self.reply = reply  # None until it is known; empty for a value that comes in pieces
+        self.request_id = request_id
+        self.buffered_bytes = buffered_bytes  # of the command, later of the reply
+        self.attempt: Attempt | None = None  # that a large value comes from, until all of it has come
+        self.pieces: deque[bytes] | None = None  # of a large value, not written yet
+        self.has_started_writing = False
+
+    def set_reply(self, reply: bytes) -> None:
+        """Give the command's one reply."""
+        self.reply = reply
+        self.connection.count_buffered(len(reply) - self.buffered_bytes)
+        self.buffered_bytes = len(reply)
+        self.connection.flush()
+
+    def start_streaming(self, length: int, attempt: Attempt) -> PendingReply:
+        """Begin a large value, whose pieces are written as they come.
+
+        Args:
+            length: The value's bytes.
+            attempt: Where it comes from; it is paused while the client is too far behind.
+
+        Returns:
+            This reply, which takes the pieces.
+        """
+        self.attempt = attempt
+        self.pieces = deque()
+        self.reply = b""
+        self.connection.count_buffered(-self.buffered_bytes)
+        self.buffered_bytes = 0
+        self.take(b"$%d\r\n" % length)
+        return self
+
+    def take(self, piece: bytes) -> None:
+        """Take the next bytes of a large value; they are read ahead of the client while there is memory."""
+        assert self.pieces is not None
+        self.pieces.append(piece)
+        self.connection.count_buffered(len(piece))
+        self.buffered_bytes += len(piece)
+        self.connection.flush()
+        if self.attempt and self.buffered_bytes > self.connection.read_ahead_bytes():
+            self.attempt.pause(True)
+
+    def end(self, whole: bool) -> None:
+        """End a large value.
+
+        Its last two bytes are written only now, so that a client can tell a value that broke off.
+
+        Args:
+            whole: Whether all of it has come, in good order.
+        """
+        self.attempt = None
+        if whole:
+            self.take(b"\r\n")
+        elif self.has_started_writing:
+            self.connection.close_truncated()
+        else:
+            self.set_reply(b"-ERR failed\r\n")
--- a/quota_gateway/net/resp.py
+++ b/quota_gateway/net/resp.py
@@ -1,8 +1,7 @@
-"""RESP2 as the protocol has it here, read strictly and within bounds: commands, and answers of servers.
+"""RESP2 as the protocol has it here, read strictly and within bounds: commands, and upstream replies.
 
-Guards against what a general parser takes in good faith: hiredis makes room for all elements that an array's
-header names (one header of 2e9 cost 5.7 s of CPU when it was dropped again), and gathers a value of any
-length. Here a header that promises more than the protocol allows is an error as soon as it is read.
+A header that promises more than the protocol allows is an error as soon as it is read; see
+docs/decisions/client-commands.md for what a general parser would take in good faith.
 """
 
 from __future__ import annotations
@@ -14,41 +13,54 @@
 
 from quota_gateway.errors import ProtocolError
 
-LONGEST_BODY = 4 * 1024 * 1024  # bytes: 64 KiB by the protocol, but values reach this
-LONGEST_VALUE = 9_999_999  # bytes of an answer's value, which takes no more memory than a short one
-PASSED_FROM = 64 * 1024  # bytes above which a value is passed on as it comes
-LONGEST_HEADER = 16  # bytes of a header with its end: a type, up to seven digits, CR LF, some to spare
-LONGEST_LINE = 512  # bytes of an error line: some words, the figures on use, a load report
-LONGEST_FIGURES = 256  # bytes of the figures on use, and of a load report
-ARRAY = re.compile(rb"\*([0-9]{1,7})\r\n")
-BULK = re.compile(rb"\$([0-9]{1,7}|-1)\r\n")
+MAX_BODY_BYTES = 4 * 1024 * 1024  # of a command: 64 KiB by the protocol, but values reach this
+MAX_VALUE_BYTES = 9_999_999  # of a reply; it is streamed, so a long one takes no more memory than a short one
+STREAMED_MIN_BYTES = 64 * 1024  # a value longer than this is passed on as it comes
+MAX_HEADER_BYTES = 16  # of a header with its end: a type, up to seven digits, CR LF, some to spare
+MAX_LINE_BYTES = 512  # of an error line: some words, the figures on use, a load report
+MAX_FIGURES_BYTES = 256  # of the figures on use, and of a load report
+COMMAND_ARGUMENT_MAX_BYTES = (64, 64, 128, 512, MAX_BODY_BYTES)  # name, customer, id, list of fields, body
+ARRAY_HEADER = re.compile(rb"\*([0-9]{1,7})\r\n")
+BULK_HEADER = re.compile(rb"\$([0-9]{1,7}|-1)\r\n")
 
 
 class BulkArrayReader:
-    """Reads arrays of bulk strings, each at most as long as ``longest`` says for its place."""
+    """Reads arrays of bulk strings from bytes that come in pieces of any length.
+
+    Where the first element may be streamed and is long, it is not gathered: ``next`` returns None and
+    ``left`` says how many of its bytes are still to be taken by ``piece``; it stands in the array as empty.
+
+    Args:
+        max_lengths: The most bytes that each element may have, by its index; an array has no more elements.
+        min_count: The fewest elements.
+        nullable_from: The index of the first element that may be null.
+        streamed_min_bytes: The first element is streamed where it has more bytes than this.
+    """
 
     def __init__(
         self,
-        longest: Sequence[int],
-        least: int,
+        max_lengths: Sequence[int],
+        min_count: int,
         nullable_from: int,
-        passed_from: float = inf,
+        streamed_min_bytes: float = inf,
     ) -> None:
-        self.longest, self.least, self.nullable_from = longest, least, nullable_from
-        self.passed_from = passed_from  # bytes from which the first element is not gathered, see ``piece``
-        self.left: int | None = None  # bytes of such an element that have not been taken yet
         self.buffer = bytearray()
-        self.place = 0  # of the next byte to be read; what lies before it is done with
-        self.count = 0  # elements of the array that is being read, 0 before its header
-        self.length: int | None = None  # of the element whose header has been read
-        self.words: list[bytes | None] = []
+        self.left: int | None = None  # bytes of a streamed element that have not been taken yet
+        self.length: int | None = None  # bytes of the element whose header has been read
+        self.words: list[bytes | None] = []  # the elements that are complete
+        self._max_lengths = max_lengths
+        self._min_count = min_count
+        self._nullable_from = nullable_from
+        self._streamed_min_bytes = streamed_min_bytes
+        self._position = 0  # of the next byte to be read; what lies before it is done with
+        self._count = 0  # elements of the array that is being read, 0 before its header
 
     def feed(self, data: bytes) -> None:
         """Take in what has come."""
         self.buffer += data
 
     def piece(self) -> bytes:
-        """Take what has come of an element that is not gathered."""
+        """Take what has come of a streamed element; empty where nothing has."""
         assert self.left is not None
         taken = bytes(memoryview(self.buffer)[: self.left])
         del self.buffer[: len(taken)]
@@ -58,73 +70,103 @@
         return taken
 
     def next(self) -> list[bytes | None] | None:
-        """The next array, or None until it is whole; raises ProtocolError."""
-        if not self.count:
-            head = ARRAY.match(self.buffer)
-            if head is None:
-                self._refuse_if_wrong(b"*")
-                return None
-            self.count, self.place, self.words = int(head[1]), head.end(), []
-            if not self.least <= self.count <= len(self.longest):
-                raise ProtocolError("bad number of elements")
-        if not self._elements():
+        """Read the next array.
+
+        Returns:
+            Its elements, or None while it is not complete.
+
+        Raises:
+            ProtocolError: What has come can't become an array within the bounds.
+        """
+        if not self._count and not self._read_array_header():
             return None
-        del self.buffer[: self.place]
-        self.place, self.count, self.left = 0, 0, None
+        if not self._read_elements():
+            return None
+        del self.buffer[: self._position]
+        self._position = 0
+        self._count = 0
+        self.left = None
         return self.words
 
-    def _elements(self) -> bool:
+    def _read_array_header(self) -> bool:
+        """Read the header of the next array; whether it is complete."""
+        header = ARRAY_HEADER.match(self.buffer)
+        if header is None:
+            self._check_partial_header(b"*")
+            return False
+        self._count = int(header[1])
+        self._position = header.end()
+        self.words = []
+        if not self._min_count <= self._count <= len(self._max_lengths):
+            raise ProtocolError("bad number of elements")
+        return True
+
+    def _read_elements(self) -> bool:
         """Read elements as far as they are there; whether that is all of them."""
-        buffer, words = self.buffer, self.words
-        while len(words) < self.count:
-            if self.length is None and not self._header():
+        buffer = self.buffer
+        words = self.words
+        while len(words) < self._count:
+            if self.length is None and not self._read_bulk_header():
                 return False
             if self.left:
                 return False  # all of it is to be taken first
-            length, place = cast(int, self.length), self.place
+            length = cast(int, self.length)
             if length < 0:
                 words.append(None)
             else:
-                end = place + length
+                start = self._position
+                end = start + length
                 if len(buffer) < end + 2:
                     return False
                 if not buffer.startswith(b"\r\n", end):
                     raise ProtocolError("longer than it says")
-                words.append(bytes(memoryview(buffer)[place:end]))
-                self.place = end + 2
+                words.append(bytes(memoryview(buffer)[start:end]))
+                self._position = end + 2
             self.length = None
         return True
 
-    def _header(self) -> bool:
-        """Read the header of the next element, if it is there."""
-        head = BULK.match(self.buffer, self.place)
-        if head is None:
-            self._refuse_if_wrong(b"$")
+    def _read_bulk_header(self) -> bool:
+        """Read the header of the next element; whether it is complete."""
+        header = BULK_HEADER.match(self.buffer, self._position)
+        if header is None:
+            self._check_partial_header(b"$")
             return False
-        length, place = int(head[1]), len(self.words)
-        self.length, self.place = length, head.end()
-        if length > self.longest[place] or (length < 0 and place < self.nullable_from):
+        length = int(header[1])
+        index = len(self.words)
+        self.length = length
+        self._position = header.end()
+        if length > self._max_lengths[index] or (length < 0 and index < self._nullable_from):
             raise ProtocolError("too long, or null")
-        if length > self.passed_from and not place:
-            del self.buffer[: self.place]
-            self.place, self.left = 0, length
+        if length > self._streamed_min_bytes and not index:
+            del self.buffer[: self._position]
+            self._position = 0
+            self.left = length
         return True
 
-    def _refuse_if_wrong(self, kind: bytes) -> None:
-        """No header stands here: whether one may still come of it."""
-        rest = self.buffer[self.place : self.place + LONGEST_HEADER]
-        if rest and (rest[:1] != kind or len(rest) == LONGEST_HEADER or b"\n" in rest):
+    def _check_partial_header(self, kind: bytes) -> None:
+        """Raise ProtocolError where the bytes at hand can't become a header of this kind any more."""
+        rest = self.buffer[self._position : self._position + MAX_HEADER_BYTES]
+        if rest and (rest[:1] != kind or len(rest) == MAX_HEADER_BYTES or b"\n" in rest):
             raise ProtocolError("bad header")
 
 
 class CommandReader(BulkArrayReader):
-    """Commands of clients: name, customer, id, list of names and values, body."""
+    """Reads the commands of clients: name, customer, id, list of fields, body."""
 
     def __init__(self) -> None:
-        super().__init__((64, 64, 128, 512, LONGEST_BODY), least=1, nullable_from=5)
+        super().__init__(
+            COMMAND_ARGUMENT_MAX_BYTES, min_count=1, nullable_from=len(COMMAND_ARGUMENT_MAX_BYTES)
+        )
 
     def command(self) -> list[bytes] | None:
-        """The next command, or None until it is whole."""
+        """Read the next command.
+
+        Returns:
+            Its name and arguments, or None while it is not complete.
+
+        Raises:
+            ProtocolError: What has come can't become a command.
+        """
         return cast("list[bytes] | None", self.next())  # nothing may be null
 
 
@@ -132,23 +174,30 @@
 
 
 class ReplyReader(BulkArrayReader):
-    """Answers of a server: an array of value, figures on use and load report, or an error line."""
+    """Reads the replies of an upstream server: value, figures on use and load report, or an error line."""
 
     def __init__(self) -> None:
         super().__init__(
-            (LONGEST_VALUE, LONGEST_FIGURES, LONGEST_FIGURES),
-            least=3,
+            (MAX_VALUE_BYTES, MAX_FIGURES_BYTES, MAX_FIGURES_BYTES),
+            min_count=3,
             nullable_from=1,
-            passed_from=PASSED_FROM,
+            streamed_min_bytes=STREAMED_MIN_BYTES,
         )
 
     def answer(self) -> Answer | None:
-        """The next answer, or None until it is whole."""
-        if self.count or not self.buffer.startswith(b"-"):
+        """Read the next reply.
+
+        Returns:
+            The reply, or None while it is not complete.
+
+        Raises:
+            ProtocolError: What has come can't become a reply.
+        """
+        if self._count or not self.buffer.startswith(b"-"):
             return self.next()
-        end = self.buffer.find(b"\r\n", 0, LONGEST_LINE)
+        end = self.buffer.find(b"\r\n", 0, MAX_LINE_BYTES)
         if end < 0:
-            if len(self.buffer) >= LONGEST_LINE:
+            if len(self.buffer) >= MAX_LINE_BYTES:
                 raise ProtocolError("a line without end")
             return None
         line = bytes(memoryview(self.buffer)[1:end])
--- a/tests/net/test_client_disconnect.py
+++ b/tests/net/test_client_disconnect.py
@@ -13,7 +13,7 @@
 import pytest
 
 from quota_gateway import Endpoint, GatewayLimits, Idempotency, Plan, RequestClass, TimerFired
-from quota_gateway.net import client_listener as clients_module
+from quota_gateway.net import client_connection, client_listener
 from quota_gateway.net import upstream_pool as servers_module
 from quota_gateway.net.upstream_pool import Attempt, UpstreamConnection
 from tests.support.fakes import FakeServer, Peer, array, call, node, run, until
@@ -175,7 +175,7 @@
     leaver.client.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     await other(gateway, leaver, "two")
     leaver.socket.sendall(b"".join(ask(number) for number in LONG) + ask(FIRST, "two"))
-    await until(lambda: leaver.client.stuck and leaver.client.paused)
+    await until(lambda: leaver.client.is_write_blocked and leaver.client.is_read_paused)
     await waiting(gateway, FIRST)
     return lambda: answer(*out(gateway, OTHER), array(b"v"))
 
@@ -230,8 +230,8 @@
 @pytest.mark.parametrize("case", CASES)
 def test_attempt_that_falls_due_once_its_client_has_left_does_not_begin(case, how, monkeypatch):
     monkeypatch.setattr(servers_module, "REST_S", 0.0)
-    monkeypatch.setattr(clients_module, "SWEEP_S", 3600.0)
-    monkeypatch.setattr(clients_module, "STALLED_S", 3600.0)
+    monkeypatch.setattr(client_listener, "SWEEP_INTERVAL_S", 3600.0)
+    monkeypatch.setattr(client_connection, "WRITE_STALL_TIMEOUT_S", 3600.0)
     silent = set()
 
     def reply(words):
@@ -279,8 +279,8 @@
 def test_of_a_client_that_left_while_it_was_not_read_nothing_is_sent_on_before_that_is_noticed(
     how, monkeypatch
 ):
-    monkeypatch.setattr(clients_module, "SWEEP_S", 3600.0)
-    monkeypatch.setattr(clients_module, "MOST_PIPELINED", 8)
+    monkeypatch.setattr(client_listener, "SWEEP_INTERVAL_S", 3600.0)
+    monkeypatch.setattr(client_connection, "MAX_PIPELINED_COMMANDS", 8)
 
     async def test():
         server = FakeServer()
@@ -288,11 +288,11 @@
             await server.start()
             leaver = await Leaver(how, server).open(gateway)
             leaver.socket.sendall(b"".join(map(ask, range(10, 22))))
-            await until(lambda: leaver.client.paused)
+            await until(lambda: leaver.client.is_read_paused)
             leaver.go()
             gateway.told(server.entry(1))
             await nothing_more(gateway, leaver, [])
-            assert leaver.client.asked == 8  # and nothing is read on
+            assert leaver.client.request_count == 8  # and nothing is read on
 
     run(test())
 
@@ -307,7 +307,7 @@
     leaver.socket.setblocking(False)
     await loop.sock_sendall(leaver.socket, ask(FIRST, kind="buy", body=b"x" * 4_000_000))
     accepted, _ = await loop.sock_accept(listener)
-    await until(lambda: leaver.client.paused and bool(gateway.driver.active_requests))
+    await until(lambda: leaver.client.is_read_paused and bool(gateway.driver.active_requests))
     (connection,) = out(gateway, FIRST)
     await until(lambda: connection.transport and connection.transport.get_write_buffer_size() > 0)
     return accepted
@@ -317,7 +317,7 @@
 def test_last_byte_of_a_command_that_its_server_is_slow_to_take_is_not_written_once_the_client_has_left(
     how, monkeypatch
 ):
-    monkeypatch.setattr(clients_module, "SWEEP_S", 3600.0)
+    monkeypatch.setattr(client_listener, "SWEEP_INTERVAL_S", 3600.0)
 
     async def test():
         async with node(classes=CLASSES, plans=PLANS) as gateway:
--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -8,8 +8,8 @@
 import pytest
 
 from quota_gateway import Plan
-from quota_gateway.net import client_listener as module
-from quota_gateway.net.client_listener import MOST_PIPELINED
+from quota_gateway.net import client_connection, idle_connections
+from quota_gateway.net.client_connection import MAX_PIPELINED_COMMANDS
 from quota_gateway.net.driver import Driver
 from quota_gateway.net.upstream_pool import UpstreamConnection
 from tests.support.fakes import FakeServer, array, call, node, resp, run, slow_reader, until
@@ -235,7 +235,7 @@
 
 
 @pytest.mark.parametrize("how", ["end", "reset"])
-@pytest.mark.parametrize("many, body", [(MOST_PIPELINED + 6, b""), (4, b"x" * 200_000)])
+@pytest.mark.parametrize("many, body", [(MAX_PIPELINED_COMMANDS + 6, b""), (4, b"x" * 200_000)])
 def test_client_that_left_while_it_was_not_read_is_noticed(many, body, how, monkeypatch):
     answered: list[str] = []
     monkeypatch.setattr(Driver, "_answer", lambda self, call, answer: answered.append(call.request_id))
@@ -245,7 +245,7 @@
         async with node() as gateway:
             peer = await gateway.peer()
             peer.send(*(call(number, "post", body=body) for number in range(many)))
-            await until(lambda: any(client.paused for client in gateway.client_listener.connections))
+            await until(lambda: any(client.is_read_paused for client in gateway.client_listener.connections))
             await peer.writer.drain()
             go(peer, how)
             await until(lambda: not gateway.driver.active_requests or bool(answered))
@@ -272,8 +272,10 @@
         server = FakeServer(lambda words: array(b"v" * 65_000) if words[2].endswith(b"0") else None)
         async with node(server) as gateway:
             peer, client = await slow_reader(gateway)
-            peer.send(*(call(16 * number, wait=60_000) for number in range(MOST_PIPELINED - 1)), call(1))
-            await until(lambda: client.stuck)
+            peer.send(
+                *(call(16 * number, wait=60_000) for number in range(MAX_PIPELINED_COMMANDS - 1)), call(1)
+            )
+            await until(lambda: client.is_write_blocked)
             peer.writer.write_eof()
             await until(lambda: not gateway.driver.active_requests)
             assert "0000000000000001" not in answered
@@ -282,7 +284,7 @@
 
 
 def test_client_that_left_while_its_connection_waited_for_room_asks_nothing(monkeypatch):
-    monkeypatch.setattr(module, "IDLE_S", 0.0)
+    monkeypatch.setattr(idle_connections, "IDLE_GRACE_S", 0.0)
 
     async def test():
         server = FakeServer(lambda words: None if words[2].endswith(b"1") else array(words[2]))
@@ -314,9 +316,11 @@
             peer.reader._limit = 1  # the stream stops reading at once
             peer.send(*(call(number, wait=60_000) for number in range(many)))
             (client,) = gateway.client_listener.connections
-            await until(lambda: client.stuck)
-            assert client.paused and len(client.slots) <= MOST_PIPELINED
-            assert client.transport.get_write_buffer_size() <= (MOST_PIPELINED + 2) * (len(value) + 100)
+            await until(lambda: client.is_write_blocked)
+            assert client.is_read_paused and len(client.pending_replies) <= MAX_PIPELINED_COMMANDS
+            assert client.transport.get_write_buffer_size() <= (MAX_PIPELINED_COMMANDS + 2) * (
+                len(value) + 100
+            )
             for number in range(many):
                 assert await peer.reply() == b"%016x" % number + value
 
@@ -336,7 +340,7 @@
 
 
 def test_connections_beyond_the_limit_push_out_who_is_idle_long_and_else_wait(monkeypatch):
-    monkeypatch.setattr(module, "IDLE_S", 0.0)
+    monkeypatch.setattr(idle_connections, "IDLE_GRACE_S", 0.0)
 
     async def test():
         server = FakeServer(lambda words: None)
@@ -351,7 +355,7 @@
             await server.until(lambda: len(server.commands) == 2)
             fourth = await gateway.peer()
             fourth.send(call(3))
-            await until(lambda: not gateway.client_listener.accepting)
+            await until(lambda: not gateway.client_listener.is_accepting)
             server.writers[0].write(array(b"value"))
             assert await busy.reply() == b"value"  # and it is idle now, and makes room
             await server.until(lambda: len(server.commands) == 3)
@@ -361,17 +365,17 @@
 
 
 def test_who_says_nothing_makes_room_before_who_is_idle_and_none_within_a_command_does(monkeypatch):
-    monkeypatch.setattr(module, "FRESH_S", 0.0)
-    monkeypatch.setattr(module, "IDLE_S", 0.0)
-    monkeypatch.setattr(module, "ROOM", 1)
-    monkeypatch.setattr(module, "COMMAND_S", 3600.0)
+    monkeypatch.setattr(idle_connections, "SILENT_GRACE_S", 0.0)
+    monkeypatch.setattr(idle_connections, "IDLE_GRACE_S", 0.0)
+    monkeypatch.setattr(idle_connections, "MAX_CLOSED_FOR_ROOM", 1)
+    monkeypatch.setattr(idle_connections, "COMMAND_TIMEOUT_S", 3600.0)
 
     async def test():
         async with node(FakeServer(), max_connections=3) as gateway:
             idle, within, silent = await gateway.peer(), await gateway.peer(), await gateway.peer()
             assert await idle.ask(resp("PING")) == b"PONG"
             within.send(call(1)[:-3])
-            await until(lambda: any(client.held for client in gateway.client_listener.connections))
+            await until(lambda: any(client.buffered_bytes for client in gateway.client_listener.connections))
             assert await (await gateway.peer()).ask(resp("PING")) == b"PONG"
             assert await silent.reply() is None
             within.send(call(1)[-3:])
@@ -382,8 +386,8 @@
 
 
 def test_who_has_asked_once_makes_room_before_who_comes_again_though_idle_for_longer(monkeypatch):
-    monkeypatch.setattr(module, "IDLE_S", 0.0)
-    monkeypatch.setattr(module, "ROOM", 1)
+    monkeypatch.setattr(idle_connections, "IDLE_GRACE_S", 0.0)
+    monkeypatch.setattr(idle_connections, "MAX_CLOSED_FOR_ROOM", 1)
 
     async def test():
         async with node(FakeServer(), max_connections=2) as gateway:
@@ -406,9 +410,9 @@
             assert await peer.ask(resp("PING")) == b"PONG"
             (client,) = gateway.client_listener.connections
             os.write(peer.writer.get_extra_info("socket").fileno(), call(1))  # before the loop could read it
-            assert not client.drop()
+            assert not client.close_to_make_room()
             assert await peer.reply() == b"0000000000000001"
-            assert client.drop()
+            assert client.close_to_make_room()
             assert await peer.reply() is None
 
     run(test())
@@ -423,7 +427,7 @@
     ],
 )
 def test_silence_before_or_within_a_command_gets_an_error_and_a_close(sent, first, monkeypatch):
-    monkeypatch.setattr(module, "COMMAND_S", 0.05)
+    monkeypatch.setattr(idle_connections, "COMMAND_TIMEOUT_S", 0.05)
 
     async def test():
         server = FakeServer(lambda words: None)
@@ -437,15 +441,15 @@
             await until(lambda: not gateway.client_listener.connections)
             assert (
                 not gateway.driver.active_requests
-                and not gateway.client_listener.held
-                and not gateway.client_listener.owing
+                and not gateway.client_listener.buffered_bytes
+                and not gateway.client_listener.idle_connections.awaiting_command
             )
 
     run(test())
 
 
 def test_commands_that_come_one_after_the_other_in_parts_are_not_silence(monkeypatch):
-    monkeypatch.setattr(module, "COMMAND_S", 2.0)
+    monkeypatch.setattr(idle_connections, "COMMAND_TIMEOUT_S", 2.0)
 
     async def test():
         async with node(FakeServer()) as gateway:
@@ -477,7 +481,7 @@
     ],
 )
 def test_header_that_promises_more_than_may_come_is_an_error_at_once(head, monkeypatch):
-    monkeypatch.setattr(module, "COMMAND_S", 3600.0)
+    monkeypatch.setattr(idle_connections, "COMMAND_TIMEOUT_S", 3600.0)
 
     async def test():
         async with node(FakeServer()) as gateway:
@@ -503,12 +507,12 @@
     async def test():
         async with node(FakeServer()) as gateway:
             peer = await gateway.peer()
-            for number in range(3 * module.MOST_ERRORS):
+            for number in range(3 * client_connection.MAX_CONSECUTIVE_ERRORS):
                 assert (await peer.ask(resp("NONSENSE"))).startswith("-ERR ")
                 if number % 8 == 7:
                     assert await peer.ask(call(number)) == b"%016x" % number
-            peer.send(resp("NONSENSE") * 10 * module.MOST_ERRORS)
-            for _ in range(module.MOST_ERRORS):
+            peer.send(resp("NONSENSE") * 10 * client_connection.MAX_CONSECUTIVE_ERRORS)
+            for _ in range(client_connection.MAX_CONSECUTIVE_ERRORS):
                 assert (await peer.reply()).startswith("-ERR ")
             assert await peer.reply() is None
 
@@ -530,7 +534,7 @@
             for writer in server.writers:
                 writer.write(array(b"v"))
             assert await first.reply() == await second.reply() == b"v"
-            await until(lambda: gateway.client_listener.held == 0)
+            await until(lambda: gateway.client_listener.buffered_bytes == 0)
 
     run(test())
 
@@ -607,11 +611,13 @@
 def test_commands_read_but_not_taken_yet_are_served_when_the_gateway_leaves():
     async def test():
         held = []
-        server = FakeServer(lambda words: held.append(words) if len(held) < MOST_PIPELINED else array(b"v"))
+        server = FakeServer(
+            lambda words: held.append(words) if len(held) < MAX_PIPELINED_COMMANDS else array(b"v")
+        )
         async with node(server) as gateway:
             peer, more = await gateway.peer(), 6
-            peer.send(*(call(number) for number in range(MOST_PIPELINED + more)))
-            await server.until(lambda: len(held) == MOST_PIPELINED)
+            peer.send(*(call(number) for number in range(MAX_PIPELINED_COMMANDS + more)))
+            await server.until(lambda: len(held) == MAX_PIPELINED_COMMANDS)
             gateway.client_listener.stop_listening()
             first = next(
                 n for n, words in zip(server.by, server.commands, strict=True) if int(words[2], 16) == 0
@@ -621,7 +627,7 @@
                     writer.write(array(b"v"))
             await until(lambda: len(gateway.driver.active_requests) == 1)
             server.writers[first].write(array(b"v"))  # all that are in hand are written at once
-            for _ in range(MOST_PIPELINED + more):
+            for _ in range(MAX_PIPELINED_COMMANDS + more):
                 assert await peer.reply() == b"v"
             assert await peer.reply() is None
 
--- a/tests/net/test_idle_connections.py
+++ b/tests/net/test_idle_connections.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from quota_gateway.net import client_listener as module
+from quota_gateway.net import client_connection, idle_connections
 from tests.support.fakes import FakeServer, array, call, node, resp, run
 
 PLACES = 8
@@ -22,8 +22,8 @@
 
 @pytest.mark.parametrize("said", [b"", resp("PING"), call(1)[:50], resp("NONSENSE")])
 def test_crowd_that_asks_nothing_keeps_nobody_out(said, monkeypatch):
-    monkeypatch.setattr(module, "COMMAND_S", 50.0)  # nobody's time is up
-    monkeypatch.setattr(module, "IDLE_S", 50.0)
+    monkeypatch.setattr(idle_connections, "COMMAND_TIMEOUT_S", 50.0)  # nobody's time is up
+    monkeypatch.setattr(idle_connections, "IDLE_GRACE_S", 50.0)
 
     async def test():
         async with node(FakeServer(), max_connections=PLACES) as gateway:
@@ -38,8 +38,8 @@
 
 
 def test_command_that_comes_slowly_is_let_be_among_a_crowd(monkeypatch):
-    monkeypatch.setattr(module, "COMMAND_S", 50.0)
-    monkeypatch.setattr(module, "IDLE_S", 50.0)
+    monkeypatch.setattr(idle_connections, "COMMAND_TIMEOUT_S", 50.0)
+    monkeypatch.setattr(idle_connections, "IDLE_GRACE_S", 50.0)
 
     async def test():
         async with node(FakeServer(), max_connections=PLACES) as gateway:
@@ -49,7 +49,7 @@
                 slow.send(command[at : at + 4])
                 peers.append(await gateway.peer())
                 peers[-1].send(call(1)[:50])
-                await asyncio.sleep(module.STOPPED_S / 8.0)
+                await asyncio.sleep(idle_connections.STOPPED_GRACE_S / 8.0)
             assert await slow.reply() == b"0000000000000007"
             assert len(peers) > 2 * PLACES
 
@@ -57,8 +57,8 @@
 
 
 def test_body_may_take_longer_than_a_head_as_long_as_it_comes(monkeypatch):
-    monkeypatch.setattr(module, "COMMAND_S", 0.3)
-    monkeypatch.setattr(module, "BODY_S", 2.0)
+    monkeypatch.setattr(idle_connections, "COMMAND_TIMEOUT_S", 0.3)
+    monkeypatch.setattr(client_connection, "BODY_GAP_TIMEOUT_S", 2.0)
 
     async def test():
         server = FakeServer(lambda words: array(words[4]))
--- a/tests/process/test_process.py
+++ b/tests/process/test_process.py
@@ -14,7 +14,7 @@
 import pytest
 
 from quota_gateway import __main__ as program_module
-from quota_gateway.net.client_listener import MOST_PIPELINED
+from quota_gateway.net.client_connection import MAX_PIPELINED_COMMANDS
 from tests.support.fakes import SETTINGS as FAKE_SETTINGS
 from tests.support.fakes import (
     FakeDiscovery,
@@ -187,13 +187,15 @@
 
 def test_answers_that_a_client_has_not_taken_at_the_end_still_reach_it(soon):
     async def test():
-        value, many = b"v" * 65_000, MOST_PIPELINED
+        value, many = b"v" * 65_000, MAX_PIPELINED_COMMANDS
         async with node(FakeServer(lambda words: array(value))) as gateway:
             peer, client = await slow_reader(gateway)
             peer.send(*(call(number) for number in range(many)))
-            await until(lambda: client.stuck and all(slot.answer for slot in client.slots))
+            await until(
+                lambda: client.is_write_blocked and all(reply.reply for reply in client.pending_replies)
+            )
             leaving = leave(gateway)
-            await until(lambda: client.ending or not gateway.client_listener.connections)
+            await until(lambda: client.is_closing or not gateway.client_listener.connections)
             for _ in range(many):
                 assert await peer.reply() == value
             assert await peer.reply() is None
@@ -219,8 +221,8 @@
             monkeypatch.setattr(gateway.client_listener, "finish", last)
             monkeypatch.setattr(
                 client,
-                "_leave_if_done",
-                lambda plain=client._leave_if_done: plain() if client.ending else None,
+                "close_if_done",
+                lambda plain=client.close_if_done: plain() if client.is_closing else None,
             )  # as if it sent on and on
             leaving = leave(gateway)
             assert await peer.reply() == "-BUSY"
--- a/tests/process/test_upgrade.py
+++ b/tests/process/test_upgrade.py
@@ -176,7 +176,7 @@
             await until(lambda: len(old.driver.active_requests) == 2 or len(server.commands) == 2)
             estate = await request_handover(new.handover.path)
             new.client_listener.stop_listening()
-            new.client_listener.leaving = False
+            new.client_listener.is_stopping = False
             new.client_listener.adopt(estate.listener)
             new.handover.took_over(estate, 0)
             half.send(command[70_000:])
