--- a/quota_gateway/net/client_listener.py
+++ b/quota_gateway/net/client_listener.py
@@ -7,6 +7,7 @@
 import socket
 
 from quota_gateway import model as api
+from quota_gateway.net.buffer_budget import BufferBudget
 from quota_gateway.net.client_connection import NEW_CONNECTION, ClientConnection, ResumedConnection
 from quota_gateway.net.commands import RequestParser
 from quota_gateway.net.driver import Driver
@@ -16,9 +17,6 @@
 
 log = logging.getLogger(__name__)
 
-READ_AHEAD_SHARE = (
-    0.5  # of the memory for clients: large values beyond it are read as their clients take them
-)
 SWEEP_INTERVAL_S = 0.1  # between two looks at who is overdue: short against the shortest time-out
 LISTEN_BACKLOG = 1024  # connections that wait in the kernel: all that come while there is no room
 MAX_ACCEPTS_PER_TURN = 32  # connections accepted before the others have their turn
@@ -33,8 +31,7 @@
         self.driver = driver
         self.request_parser = RequestParser(settings)
         self.max_connections = max_connections
-        self.max_buffered_bytes = max_buffered_bytes
-        self.buffered_bytes = 0  # of commands and replies
+        self.budget = BufferBudget(max_buffered_bytes)  # of commands and replies
         self.connections: dict[ClientConnection, None] = {}  # in the order in which they were accepted
         self.idle_connections = IdleConnections()
         self.descriptors_in_use = 0  # from accepting until the loop has closed them
@@ -48,6 +45,15 @@
         self._admission_tasks: set[asyncio.Task[None]] = set()
         self._sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
+    @property
+    def max_buffered_bytes(self) -> int:
+        """How many bytes of commands and replies may be held; two processes share them at a handover."""
+        return self.budget.max_buffered_bytes
+
+    @max_buffered_bytes.setter
+    def max_buffered_bytes(self, size_bytes: int) -> None:
+        self.budget.max_buffered_bytes = size_bytes
+
     # ---- Listening and accepting
 
     def listen(self, host: str, port: int) -> tuple[str, int]:
@@ -131,10 +137,6 @@
 
     # ---- What connections ask of their listener
 
-    def read_ahead_bytes(self) -> int:
-        """How far one large value may be ahead of its client: less as less of the memory is left."""
-        return max(0, int(self.max_buffered_bytes * READ_AHEAD_SHARE) - self.buffered_bytes)
-
     def ping_reply(self) -> bytes:
         """The reply to PING: PONG, on which traffic comes, only once there are endpoints to forward it to."""
         return b"+PONG\r\n" if self.is_ready else b"-LOADING the list of servers is not known yet\r\n"
@@ -153,7 +155,7 @@
         """Count a connection no more; its descriptor is free."""
         self.connections.pop(connection, None)
         self.idle_connections.discard(connection)
-        self.buffered_bytes -= connection.buffered_bytes
+        connection.buffers.release_all()
         self._release_descriptor()
 
     # ---- The sweep
@@ -161,7 +163,7 @@
     def _sweep(self) -> None:
         """Look after connections that nothing else wakes: overdue, disconnected, or in others' place."""
         self.idle_connections.time_out_overdue()
-        for connection in [item for item in self.connections if item.is_read_paused and item.pending_replies]:
+        for connection in [item for item in self.connections if item.is_owed_while_unread()]:
             connection.close_if_disconnected()
         if self._free_places() > 0:
             self._start_accepting()
@@ -176,14 +178,14 @@
         self.is_suspended = True
         self._stop_accepting()
         for connection in list(self.connections):
-            connection.update_read_pause()
+            connection.intake.update_read_pause()
 
     def resume(self) -> None:
         """Go on as before, as there is no other process after all."""
         self.is_suspended = False
         self._start_accepting()
         for connection in list(self.connections):
-            connection.read_commands()
+            connection.intake.read_commands()
 
     def stop_listening(self) -> None:
         """Accept no more, and close each connection once nothing is owed on it.
--- a/quota_gateway/net/idle_connections.py
+++ b/quota_gateway/net/idle_connections.py
@@ -15,24 +15,33 @@
 MAX_CLOSED_FOR_ROOM = 16  # connections closed at once when there is no room for another
 
 
-class TrackedConnection(Protocol):
-    """What the tracking needs of a connection."""
+class CommandProgress(Protocol):
+    """What has come on a connection so far."""
 
     has_sent_command: bool
-    is_closing: bool
     last_received_s: float
     request_count: int
 
-    @property
-    def pending_replies(self) -> Sized:
-        """The replies that are still owed."""
-
     def has_partial_command(self) -> bool:
-        """Whether a part of a command has been read."""
+        """Whether a part of a command has come."""
 
     def is_receiving_body(self) -> bool:
         """Whether a body, and only that, is still arriving."""
 
+
+class TrackedConnection(Protocol):
+    """What the tracking needs of a connection."""
+
+    is_closing: bool
+
+    @property
+    def intake(self) -> CommandProgress:
+        """What has come on it."""
+
+    @property
+    def pending_replies(self) -> Sized:
+        """The replies that are still owed."""
+
     def time_out(self) -> None:
         """End the connection, as its command is overdue."""
 
@@ -93,7 +102,7 @@
             self._leave_idle(connection)
             if connection not in self.awaiting_body:
                 self.awaiting_command.setdefault(connection, self._loop.time())
-        elif connection.has_sent_command:
+        elif connection.intake.has_sent_command:
             self.awaiting_command.pop(connection, None)
             if connection.pending_replies:
                 self._leave_idle(connection)
@@ -102,12 +111,12 @@
 
     def mark_idle(self, connection: TrackedConnection) -> None:
         """Note that all that came on a connection has been answered."""
-        if not connection.has_sent_command or connection in self.awaiting_command:
+        if not connection.intake.has_sent_command or connection in self.awaiting_command:
             return
         self._leave_idle(connection)
-        if connection.request_count > 1:
+        if connection.intake.request_count > 1:
             state = self.idle_after_requests
-        elif connection.request_count:
+        elif connection.intake.request_count:
             state = self.idle_after_one_request
         else:
             state = self.idle_without_request
@@ -132,7 +141,7 @@
                 break
             del self.awaiting_command[connection]
             self.awaiting_body[connection] = None
-        for connection in [item for item in self.awaiting_body if not item.is_receiving_body()]:
+        for connection in [item for item in self.awaiting_body if not item.intake.is_receiving_body()]:
             del self.awaiting_body[connection]
             connection.time_out()
 
@@ -156,10 +165,10 @@
                 if connection.is_closing
                 or (
                     not connection.pending_replies
-                    and connection.last_received_s < now_s - _grace_s(connection)
+                    and connection.intake.last_received_s < now_s - _grace_s(connection)
                 )
             ),
-            key=lambda connection: connection.last_received_s,
+            key=lambda connection: connection.intake.last_received_s,
         )
 
     def _close_idle(
@@ -179,4 +188,4 @@
 
 
 def _grace_s(connection: TrackedConnection) -> float:
-    return STOPPED_GRACE_S if connection.has_partial_command() else SILENT_GRACE_S
+    return STOPPED_GRACE_S if connection.intake.has_partial_command() else SILENT_GRACE_S
--- a/quota_gateway/net/pending_reply.py
+++ b/quota_gateway/net/pending_reply.py
@@ -5,21 +5,20 @@
 from collections import deque
 from typing import Protocol
 
+from quota_gateway.net.buffer_budget import BufferUsage
 from quota_gateway.net.upstream_pool import Attempt
 
 
 class ReplyChannel(Protocol):
     """What a pending reply needs of its connection."""
 
-    def count_buffered(self, size_bytes: int, in_hand: bool = True) -> None:
-        """Count bytes that are held for this connection, or fewer of them."""
+    @property
+    def buffers(self) -> BufferUsage:
+        """The bytes that the connection holds."""
 
     def flush(self) -> None:
         """Write the replies that are due."""
 
-    def read_ahead_bytes(self) -> int:
-        """How far one large value may be ahead of its client."""
-
     def close_truncated(self) -> None:
         """Close within a value that can't be completed."""
 
@@ -59,7 +58,7 @@
     def set_reply(self, reply: bytes) -> None:
         """Give the command's one reply."""
         self.reply = reply
-        self.connection.count_buffered(len(reply) - self.buffered_bytes)
+        self.connection.buffers.count(len(reply) - self.buffered_bytes)
         self.buffered_bytes = len(reply)
         self.connection.flush()
 
@@ -76,7 +75,7 @@
         self.attempt = attempt
         self.pieces = deque()
         self.reply = b""
-        self.connection.count_buffered(-self.buffered_bytes)
+        self.connection.buffers.count(-self.buffered_bytes)
         self.buffered_bytes = 0
         self.take(b"$%d\r\n" % length)
         return self
@@ -85,10 +84,10 @@
         """Take the next bytes of a large value; they are read ahead of the client while there is memory."""
         assert self.pieces is not None
         self.pieces.append(piece)
-        self.connection.count_buffered(len(piece))
+        self.connection.buffers.count(len(piece))
         self.buffered_bytes += len(piece)
         self.connection.flush()
-        if self.attempt and self.buffered_bytes > self.connection.read_ahead_bytes():
+        if self.attempt and self.buffered_bytes > self.connection.buffers.budget.read_ahead_bytes():
             self.attempt.pause(True)
 
     def end(self, whole: bool) -> None:
--- a/tests/net/test_client_disconnect.py
+++ b/tests/net/test_client_disconnect.py
@@ -13,7 +13,7 @@
 import pytest
 
 from quota_gateway import Endpoint, GatewayLimits, Idempotency, Plan, RequestClass, TimerFired
-from quota_gateway.net import client_connection, client_listener
+from quota_gateway.net import client_connection, client_listener, command_intake
 from quota_gateway.net import upstream_pool as servers_module
 from quota_gateway.net.upstream_pool import Attempt, UpstreamConnection
 from tests.support.fakes import FakeServer, Peer, array, call, node, run, until
@@ -175,7 +175,7 @@
     leaver.client.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     await other(gateway, leaver, "two")
     leaver.socket.sendall(b"".join(ask(number) for number in LONG) + ask(FIRST, "two"))
-    await until(lambda: leaver.client.is_write_blocked and leaver.client.is_read_paused)
+    await until(lambda: leaver.client.is_write_blocked and leaver.client.intake.is_read_paused)
     await waiting(gateway, FIRST)
     return lambda: answer(*out(gateway, OTHER), array(b"v"))
 
@@ -280,7 +280,7 @@
     how, monkeypatch
 ):
     monkeypatch.setattr(client_listener, "SWEEP_INTERVAL_S", 3600.0)
-    monkeypatch.setattr(client_connection, "MAX_PIPELINED_COMMANDS", 8)
+    monkeypatch.setattr(command_intake, "MAX_PIPELINED_COMMANDS", 8)
 
     async def test():
         server = FakeServer()
@@ -288,11 +288,11 @@
             await server.start()
             leaver = await Leaver(how, server).open(gateway)
             leaver.socket.sendall(b"".join(map(ask, range(10, 22))))
-            await until(lambda: leaver.client.is_read_paused)
+            await until(lambda: leaver.client.intake.is_read_paused)
             leaver.go()
             gateway.told(server.entry(1))
             await nothing_more(gateway, leaver, [])
-            assert leaver.client.request_count == 8  # and nothing is read on
+            assert leaver.client.intake.request_count == 8  # and nothing is read on
 
     run(test())
 
@@ -307,7 +307,7 @@
     leaver.socket.setblocking(False)
     await loop.sock_sendall(leaver.socket, ask(FIRST, kind="buy", body=b"x" * 4_000_000))
     accepted, _ = await loop.sock_accept(listener)
-    await until(lambda: leaver.client.is_read_paused and bool(gateway.driver.active_requests))
+    await until(lambda: leaver.client.intake.is_read_paused and bool(gateway.driver.active_requests))
     (connection,) = out(gateway, FIRST)
     await until(lambda: connection.transport and connection.transport.get_write_buffer_size() > 0)
     return accepted
--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -8,8 +8,8 @@
 import pytest
 
 from quota_gateway import Plan
-from quota_gateway.net import client_connection, idle_connections
-from quota_gateway.net.client_connection import MAX_PIPELINED_COMMANDS
+from quota_gateway.net import command_intake, idle_connections
+from quota_gateway.net.command_intake import MAX_PIPELINED_COMMANDS
 from quota_gateway.net.driver import Driver
 from quota_gateway.net.upstream_pool import UpstreamConnection
 from tests.support.fakes import FakeServer, array, call, node, resp, run, slow_reader, until
@@ -245,7 +245,9 @@
         async with node() as gateway:
             peer = await gateway.peer()
             peer.send(*(call(number, "post", body=body) for number in range(many)))
-            await until(lambda: any(client.is_read_paused for client in gateway.client_listener.connections))
+            await until(
+                lambda: any(client.intake.is_read_paused for client in gateway.client_listener.connections)
+            )
             await peer.writer.drain()
             go(peer, how)
             await until(lambda: not gateway.driver.active_requests or bool(answered))
@@ -317,7 +319,7 @@
             peer.send(*(call(number, wait=60_000) for number in range(many)))
             (client,) = gateway.client_listener.connections
             await until(lambda: client.is_write_blocked)
-            assert client.is_read_paused and len(client.pending_replies) <= MAX_PIPELINED_COMMANDS
+            assert client.intake.is_read_paused and len(client.pending_replies) <= MAX_PIPELINED_COMMANDS
             assert client.transport.get_write_buffer_size() <= (MAX_PIPELINED_COMMANDS + 2) * (
                 len(value) + 100
             )
@@ -375,7 +377,9 @@
             idle, within, silent = await gateway.peer(), await gateway.peer(), await gateway.peer()
             assert await idle.ask(resp("PING")) == b"PONG"
             within.send(call(1)[:-3])
-            await until(lambda: any(client.buffered_bytes for client in gateway.client_listener.connections))
+            await until(
+                lambda: any(client.buffers.buffered_bytes for client in gateway.client_listener.connections)
+            )
             assert await (await gateway.peer()).ask(resp("PING")) == b"PONG"
             assert await silent.reply() is None
             within.send(call(1)[-3:])
@@ -441,7 +445,7 @@
             await until(lambda: not gateway.client_listener.connections)
             assert (
                 not gateway.driver.active_requests
-                and not gateway.client_listener.buffered_bytes
+                and not gateway.client_listener.budget.buffered_bytes
                 and not gateway.client_listener.idle_connections.awaiting_command
             )
 
@@ -507,12 +511,12 @@
     async def test():
         async with node(FakeServer()) as gateway:
             peer = await gateway.peer()
-            for number in range(3 * client_connection.MAX_CONSECUTIVE_ERRORS):
+            for number in range(3 * command_intake.MAX_CONSECUTIVE_ERRORS):
                 assert (await peer.ask(resp("NONSENSE"))).startswith("-ERR ")
                 if number % 8 == 7:
                     assert await peer.ask(call(number)) == b"%016x" % number
-            peer.send(resp("NONSENSE") * 10 * client_connection.MAX_CONSECUTIVE_ERRORS)
-            for _ in range(client_connection.MAX_CONSECUTIVE_ERRORS):
+            peer.send(resp("NONSENSE") * 10 * command_intake.MAX_CONSECUTIVE_ERRORS)
+            for _ in range(command_intake.MAX_CONSECUTIVE_ERRORS):
                 assert (await peer.reply()).startswith("-ERR ")
             assert await peer.reply() is None
 
@@ -534,7 +538,7 @@
             for writer in server.writers:
                 writer.write(array(b"v"))
             assert await first.reply() == await second.reply() == b"v"
-            await until(lambda: gateway.client_listener.buffered_bytes == 0)
+            await until(lambda: gateway.client_listener.budget.buffered_bytes == 0)
 
     run(test())
 
--- a/tests/net/test_idle_connections.py
+++ b/tests/net/test_idle_connections.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from quota_gateway.net import client_connection, idle_connections
+from quota_gateway.net import command_intake, idle_connections
 from tests.support.fakes import FakeServer, array, call, node, resp, run
 
 PLACES = 8
@@ -58,7 +58,7 @@
 
 def test_body_may_take_longer_than_a_head_as_long_as_it_comes(monkeypatch):
     monkeypatch.setattr(idle_connections, "COMMAND_TIMEOUT_S", 0.3)
-    monkeypatch.setattr(client_connection, "BODY_GAP_TIMEOUT_S", 2.0)
+    monkeypatch.setattr(command_intake, "BODY_GAP_TIMEOUT_S", 2.0)
 
     async def test():
         server = FakeServer(lambda words: array(words[4]))
--- a/tests/net/test_large_replies.py
+++ b/tests/net/test_large_replies.py
@@ -59,7 +59,7 @@
             assert await peer.reader.readexactly(len(LARGE) - 8) == LARGE[10:] + b"\r\n"
             assert await peer.ask(call(2)) == b"0000000000000002"
             await until(lambda: not gateway.driver.active_requests)
-            assert gateway.client_listener.buffered_bytes == gateway.upstream_pool.held == 0
+            assert gateway.client_listener.budget.buffered_bytes == gateway.upstream_pool.held == 0
 
     run(test())
 
@@ -74,10 +74,10 @@
             await server.until(lambda: server.commands)
             server.writers[0].write(b"*3\r\n$%d\r\n" % (2 * len(LARGE)) + LARGE + LARGE + TAIL)
             await until(lambda: not gateway.driver.active_requests)
-            assert gateway.client_listener.buffered_bytes > 100_000
+            assert gateway.client_listener.budget.buffered_bytes > 100_000
             peer.writer.transport.resume_reading()
             assert await peer.reply() == LARGE + LARGE
-            await until(lambda: not gateway.client_listener.buffered_bytes)
+            await until(lambda: not gateway.client_listener.budget.buffered_bytes)
 
     run(test())
 
@@ -95,7 +95,10 @@
             server.writers[0].write(b"*3\r\n$%d\r\n" % (len(many) // 2) + many[: len(many) // 2] + TAIL)
             (connection,) = gateway.upstream_pool.connections
             await until(lambda: connection.paused)
-            assert gateway.client_listener.buffered_bytes < 300_000 and gateway.upstream_pool.held < 100_000
+            assert (
+                gateway.client_listener.budget.buffered_bytes < 300_000
+                and gateway.upstream_pool.held < 100_000
+            )
             peer.writer.transport.resume_reading()
             assert await peer.reply() == many[: len(many) // 2]
 
@@ -116,7 +119,7 @@
             )
             second.write(HEAD + LARGE + TAIL)
             await until(lambda: any(connection.paused for connection in gateway.upstream_pool.connections))
-            assert gateway.client_listener.buffered_bytes < 300_000
+            assert gateway.client_listener.budget.buffered_bytes < 300_000
             first.write(array(b"first"))
             assert await peer.reply() == b"first"
             assert await peer.reply() == LARGE
@@ -139,7 +142,7 @@
             await until(
                 lambda: not gateway.driver.active_requests and not gateway.client_listener.connections
             )
-            assert gateway.client_listener.buffered_bytes == gateway.upstream_pool.held == 0
+            assert gateway.client_listener.budget.buffered_bytes == gateway.upstream_pool.held == 0
 
     run(test())
 
--- a/tests/process/test_process.py
+++ b/tests/process/test_process.py
@@ -14,7 +14,7 @@
 import pytest
 
 from quota_gateway import __main__ as program_module
-from quota_gateway.net.client_connection import MAX_PIPELINED_COMMANDS
+from quota_gateway.net.command_intake import MAX_PIPELINED_COMMANDS
 from tests.support.fakes import SETTINGS as FAKE_SETTINGS
 from tests.support.fakes import (
     FakeDiscovery,
--- a/tests/process/test_upgrade.py
+++ b/tests/process/test_upgrade.py
@@ -170,7 +170,9 @@
             command = call(1, "post", body=b"x" * 100_000)
             half.send(command[:70_000])
             await until(
-                lambda: any(len(client.reader.buffer) > 60_000 for client in old.client_listener.connections)
+                lambda: any(
+                    len(client.intake.reader.buffer) > 60_000 for client in old.client_listener.connections
+                )
             )
             busy.send(call(7), call(8))
             await until(lambda: len(old.driver.active_requests) == 2 or len(server.commands) == 2)
