--- a/quota_gateway/net/client_connection.py
+++ b/quota_gateway/net/client_connection.py
@@ -24,10 +24,10 @@
 class ResumedConnection:
     """What went before on a connection that another process has served until now."""
 
-    spoke: bool = False  # whether a command has come
-    asked: int = 0  # requests so far
-    owing_s: float = 0.0  # for how long a command has been due
-    read: bytes = b""  # of a command that is not complete yet
+    has_sent_command: bool = False
+    request_count: int = 0  # so far
+    command_due_for_s: float = 0.0  # for how long a command has been due
+    partial_command: bytes = b""  # what was read of a command that is not complete yet
 
 
 NEW_CONNECTION = ResumedConnection()
@@ -57,7 +57,7 @@
         self.is_closing = False  # no more commands are taken
         self.must_linger = False  # what still comes is not read, and would turn a close into a reset
         self.is_write_blocked = False
-        self.intake = CommandIntake(self, owner, resumed.spoke, resumed.asked)
+        self.intake = CommandIntake(self, owner, resumed.has_sent_command, resumed.request_count)
         self._owner = owner
         self._resumed = resumed
         self._unsent_bytes = 0  # what the client had not taken when it stopped to
@@ -69,11 +69,11 @@
         """Begin to serve, and go on with the command that another process has read a part of."""
         # uvloop's transports are not asyncio.Transport by class: no isinstance here
         self.transport = cast(asyncio.Transport, transport)
-        self._owner.connection_opened(self, self._resumed.owing_s)
+        self._owner.connection_opened(self, self._resumed.command_due_for_s)
         if self._has_disconnected():  # nothing is forwarded for a client that left while it waited for room
             self._disconnect()
             return
-        partial_command, self._resumed = self._resumed.read, NEW_CONNECTION
+        partial_command, self._resumed = self._resumed.partial_command, NEW_CONNECTION
         if partial_command:
             self.data_received(partial_command)
         elif self.intake.has_sent_command:
@@ -284,10 +284,10 @@
         transport.pause_reading()
         descriptor = os.dup(self.socket.fileno())
         resumed = ResumedConnection(
-            spoke=self.intake.has_sent_command,
-            asked=self.intake.request_count,
-            owing_s=self._owner.idle_connections.command_due_for_s(self),
-            read=bytes(self.intake.reader.buffer),
+            has_sent_command=self.intake.has_sent_command,
+            request_count=self.intake.request_count,
+            command_due_for_s=self._owner.idle_connections.command_due_for_s(self),
+            partial_command=bytes(self.intake.reader.buffer),
         )
         self.is_closing = True
         transport.abort()
--- a/quota_gateway/net/handover.py
+++ b/quota_gateway/net/handover.py
@@ -307,11 +307,11 @@
                 self.peers.next.send(
                     {
                         "kind": "connection",
-                        "spoke": before.spoke,
-                        "asked": before.asked,
-                        "owing_s": before.owing_s,
+                        "spoke": before.has_sent_command,
+                        "asked": before.request_count,
+                        "owing_s": before.command_due_for_s,
                     },
-                    before.read,
+                    before.partial_command,
                     descriptor,
                 )
         self._tell_holds()
