--- a/tests/net/test_client_disconnect.py
+++ b/tests/net/test_client_disconnect.py
@@ -16,7 +16,7 @@
 from quota_gateway.net import client_connection, client_listener, command_intake
 from quota_gateway.net import upstream_pool as servers_module
 from quota_gateway.net.upstream_pool import Attempt, UpstreamConnection
-from tests.support.fakes import FakeServer, Peer, array, call, node, run, until
+from tests.support.fakes import FakeServer, Peer, array, call, node, until
 
 CLASSES = (
     RequestClass("read", 200_000.0, 600_000.0, Idempotency.IDEMPOTENT),  # nothing falls due by itself
@@ -228,7 +228,7 @@
 
 @pytest.mark.parametrize("how", ["end", "reset"])
 @pytest.mark.parametrize("case", CASES)
-def test_attempt_that_falls_due_once_its_client_has_left_does_not_begin(case, how, monkeypatch):
+async def test_attempt_that_falls_due_once_its_client_has_left_does_not_begin(case, how, monkeypatch):
     monkeypatch.setattr(servers_module, "REST_S", 0.0)
     monkeypatch.setattr(client_listener, "SWEEP_INTERVAL_S", 3600.0)
     monkeypatch.setattr(client_connection, "WRITE_STALL_TIMEOUT_S", 3600.0)
@@ -238,23 +238,22 @@
         long = b"v" * 60_000 if int(words[2], 16) in LONG else words[2]
         return None if words[2] in silent else array(long)
 
-    async def test():
-        servers = [FakeServer(reply) for _ in range(3)]
-        async with node(*servers, classes=CLASSES, plans=PLANS, limits=LIMITS) as gateway:
-            await warm(gateway, len(servers))
-            silent.update(map(name, (FIRST, SECOND, OTHER)))
-            leaver = await Leaver(how, *servers).open(gateway)
-            due = await case(gateway, leaver)
-            before = leaver.began()
-            leaver.go()
-            due()
-            await nothing_more(gateway, leaver, before)
-
-    run(test())
+    servers = [FakeServer(reply) for _ in range(3)]
+    async with node(*servers, classes=CLASSES, plans=PLANS, limits=LIMITS) as gateway:
+        await warm(gateway, len(servers))
+        silent.update(map(name, (FIRST, SECOND, OTHER)))
+        leaver = await Leaver(how, *servers).open(gateway)
+        due = await case(gateway, leaver)
+        before = leaver.began()
+        leaver.go()
+        due()
+        await nothing_more(gateway, leaver, before)
 
 
 @pytest.mark.parametrize("how", ["end", "reset"])
-def test_connection_that_comes_up_once_the_client_has_left_brings_nothing_to_the_server(how, monkeypatch):
+async def test_connection_that_comes_up_once_the_client_has_left_brings_nothing_to_the_server(
+    how, monkeypatch
+):
     made, leavers = UpstreamConnection.connection_made, []
 
     def leave_first(self, transport):
@@ -262,39 +261,32 @@
             leavers.pop().go()
         made(self, transport)
 
-    async def test():
-        server = FakeServer()
-        async with node(server, classes=CLASSES, plans=PLANS) as gateway:
-            leaver = await Leaver(how, server).open(gateway)
-            leaver.socket.sendall(ask(FIRST))
-            leavers.append(leaver)
-            await until(lambda: not leavers)
-            await nothing_more(gateway, leaver, [])
-
     monkeypatch.setattr(UpstreamConnection, "connection_made", leave_first)
-    run(test())
+    server = FakeServer()
+    async with node(server, classes=CLASSES, plans=PLANS) as gateway:
+        leaver = await Leaver(how, server).open(gateway)
+        leaver.socket.sendall(ask(FIRST))
+        leavers.append(leaver)
+        await until(lambda: not leavers)
+        await nothing_more(gateway, leaver, [])
 
 
 @pytest.mark.parametrize("how", ["end", "reset"])
-def test_of_a_client_that_left_while_it_was_not_read_nothing_is_sent_on_before_that_is_noticed(
+async def test_of_a_client_that_left_while_it_was_not_read_nothing_is_sent_on_before_that_is_noticed(
     how, monkeypatch
 ):
     monkeypatch.setattr(client_listener, "SWEEP_INTERVAL_S", 3600.0)
     monkeypatch.setattr(command_intake, "MAX_PIPELINED_COMMANDS", 8)
-
-    async def test():
-        server = FakeServer()
-        async with node(classes=CLASSES, plans=PLANS) as gateway:
-            await server.start()
-            leaver = await Leaver(how, server).open(gateway)
-            leaver.socket.sendall(b"".join(map(ask, range(10, 22))))
-            await until(lambda: leaver.client.intake.is_read_paused)
-            leaver.go()
-            gateway.told(server.entry(1))
-            await nothing_more(gateway, leaver, [])
-            assert leaver.client.intake.request_count == 8  # and nothing is read on
-
-    run(test())
+    server = FakeServer()
+    async with node(classes=CLASSES, plans=PLANS) as gateway:
+        await server.start()
+        leaver = await Leaver(how, server).open(gateway)
+        leaver.socket.sendall(b"".join(map(ask, range(10, 22))))
+        await until(lambda: leaver.client.intake.is_read_paused)
+        leaver.go()
+        gateway.told(server.entry(1))
+        await nothing_more(gateway, leaver, [])
+        assert leaver.client.intake.request_count == 8  # and nothing is read on
 
 
 async def half_written(gateway, listener, leaver) -> socket.socket:
@@ -314,40 +306,33 @@
 
 
 @pytest.mark.parametrize("how", ["end", "reset"])
-def test_last_byte_of_a_command_that_its_server_is_slow_to_take_is_not_written_once_the_client_has_left(
+async def test_last_byte_of_a_command_that_its_server_is_slow_to_take_is_not_written_once_the_client_has_left(
     how, monkeypatch
 ):
     monkeypatch.setattr(client_listener, "SWEEP_INTERVAL_S", 3600.0)
-
-    async def test():
-        async with node(classes=CLASSES, plans=PLANS) as gateway:
-            with socket.create_server(("127.0.0.1", 0)) as listener:
-                leaver, reader = Leaver(how), hiredis.Reader()
-                accepted = await half_written(gateway, listener, leaver)
-                leaver.go()
-                command = False
-                while command is False and (data := await received(accepted)):
-                    reader.feed(data)
-                    command = reader.gets()
-                assert command is False
-                await until(lambda: not gateway.driver.active_requests)
-                accepted.close()
-
-    run(test())
-
-
-def test_connection_on_which_an_answer_came_before_the_command_was_written_whole_is_not_used_again():
-    async def test():
-        async with node(classes=CLASSES, plans=PLANS) as gateway:
-            with socket.create_server(("127.0.0.1", 0)) as listener:
-                leaver = Leaver("end")
-                accepted = await half_written(gateway, listener, leaver)
-                accepted.send(b"-ERR\r\n")
-                await until(lambda: not gateway.driver.active_requests)
-                assert not gateway.upstream_pool.hosts[1].idle and not gateway.upstream_pool.connections
-                accepted.close()
-
-    run(test())
+    async with node(classes=CLASSES, plans=PLANS) as gateway:
+        with socket.create_server(("127.0.0.1", 0)) as listener:
+            leaver, reader = Leaver(how), hiredis.Reader()
+            accepted = await half_written(gateway, listener, leaver)
+            leaver.go()
+            command = False
+            while command is False and (data := await received(accepted)):
+                reader.feed(data)
+                command = reader.gets()
+            assert command is False
+            await until(lambda: not gateway.driver.active_requests)
+            accepted.close()
+
+
+async def test_connection_on_which_an_answer_came_before_the_command_was_written_whole_is_not_used_again():
+    async with node(classes=CLASSES, plans=PLANS) as gateway:
+        with socket.create_server(("127.0.0.1", 0)) as listener:
+            leaver = Leaver("end")
+            accepted = await half_written(gateway, listener, leaver)
+            accepted.send(b"-ERR\r\n")
+            await until(lambda: not gateway.driver.active_requests)
+            assert not gateway.upstream_pool.hosts[1].idle and not gateway.upstream_pool.connections
+            accepted.close()
 
 
 async def received(sock: socket.socket) -> bytes:
