--- a/tests/net/test_client_disconnect.py
+++ b/tests/net/test_client_disconnect.py
@@ -1,7 +1,7 @@
-"""A client that has closed or reset its connection is gone: no attempt, first or further, begins any more.
+"""No attempt, first or retry, begins for a client that has closed or reset its connection.
 
-In each case here its end is in the kernel and the loop has had no turn since, as where it is busy or reads
-nothing of the connection, when an attempt falls due.
+In each case here the client's end is in the kernel and the loop has had no turn since, as where it is busy or
+reads nothing of the connection, when an attempt falls due.
 """
 
 import asyncio
@@ -25,210 +25,214 @@
 PLANS = (Plan("free"), Plan("held", rate=0.2, burst=2.0), Plan("two", max_in_flight=2))  # one of two here
 LIMITS = GatewayLimits(max_attempts=3, may_duplicate=True, can_cancel=True, connect_timeout_ms=2000.0)
 LIMIT_MS = 10_000  # generous: what a loopback end takes to arrive
-FIRST, SECOND = 1, 2  # requests of the client that leaves
+FIRST, SECOND = 1, 2  # requests of the client that disconnects
 OTHER, LAST = 50, 99  # of another client
-LONG = range(100, 108)  # with a long answer
+LONG = range(100, 108)  # with a long reply
 
 
-def ask(number: int, plan: str = "free", **more) -> bytes:
+def encode_request(number: int, plan: str = "free", **more) -> bytes:
     return call(number, plan=plan, wait=600_000, **more)
 
 
-def name(number: int) -> bytes:
+def request_id(number: int) -> bytes:
     return b"%016x" % number
 
 
-class Leaver:
-    """A client that leaves by an orderly end or by a reset, its connection at the gateway, the servers."""
+class DisconnectingClient:
+    """A client that ends its connection in order or by a reset, seen from both sides."""
 
     def __init__(self, how: str, *servers: FakeServer) -> None:
         self.how, self.servers = how, servers
-        self.others: list[Peer] = []  # clients that stay
+        self.others: list[Peer] = []  # clients that stay connected
 
-    async def open(self, gateway) -> "Leaver":
+    async def open(self, gateway) -> "DisconnectingClient":
+        """Connect, and find the gateway's end of the connection."""
         address = gateway.client_listener.listening_socket.getsockname()
         known = set(gateway.client_listener.connections)
         self.socket = socket.create_connection(address)
         await until(lambda: len(gateway.client_listener.connections) > len(known))
-        (self.client,) = set(gateway.client_listener.connections) - known
+        (self.connection,) = set(gateway.client_listener.connections) - known
         return self
 
-    def go(self) -> None:
-        """Leave; on return the end has come to the gateway's kernel, and its loop has had no turn."""
+    def disconnect(self) -> None:
+        """Disconnect; on return the end has come to the gateway's kernel, and its loop has had no turn."""
         if self.how == "reset":
             self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             self.socket.close()
         else:
             self.socket.shutdown(socket.SHUT_WR)
         arrived = select.poll()
-        arrived.register(self.client.socket.fileno(), select.POLLRDHUP)
+        arrived.register(self.connection.socket.fileno(), select.POLLRDHUP)
         assert arrived.poll(LIMIT_MS)
 
-    def began(self, *numbers: int) -> list[bytes]:
-        """The attempts that have come to servers whole, of these requests or of all that are its own."""
+    def forwarded(self, *numbers: int) -> list[bytes]:
+        """The ids of requests that servers have received: of these, or of all of this client."""
         came = [words[2] for server in self.servers for words in server.commands]
-        wanted = [name(number) for number in numbers or (FIRST, SECOND, *range(10, 30))]
+        wanted = [request_id(number) for number in numbers or (FIRST, SECOND, *range(10, 30))]
         return sorted(number for number in came if number in wanted)
 
 
-def fire(gateway, which: str) -> None:
-    """Let a timer of the decisions fall due."""
+def fire_timer(gateway, which: str) -> None:
+    """Let a timer of the policy engine fire."""
     (token,) = [token for token, (call, _) in gateway.driver.engine.timers.items() if call.__name__ == which]
     gateway.driver.post(TimerFired(token))
 
 
-def out(gateway, number: int) -> list[UpstreamConnection]:
-    """The connections that a request is out on."""
-    held = gateway.driver.active_requests[name(number).decode()]
+def upstream_connections(gateway, number: int) -> list[UpstreamConnection]:
+    """The connections with an attempt of this request."""
+    held = gateway.driver.active_requests[request_id(number).decode()]
     return [attempt.connection for attempt in held.out.values()]
 
 
-def answer(connection: UpstreamConnection, reply: bytes) -> None:
-    """A server's answer, which the loop reads before it comes to the client."""
+def deliver_reply(connection: UpstreamConnection, reply: bytes) -> None:
+    """Deliver a server's reply, which the loop reads before it comes to the client."""
     connection.data_received(reply)
 
 
-async def sent(gateway, leaver: Leaver, number: int) -> None:
-    """A request is in hand, and each of its attempts has come to its server."""
-    await until(lambda: len(leaver.began(number)) > 0)
-    await until(lambda: len(leaver.began(number)) == len(out(gateway, number)))
+async def wait_until_sent(gateway, client: DisconnectingClient, number: int) -> None:
+    """Wait until each attempt of a request has been received by its server."""
+    await until(lambda: len(client.forwarded(number)) > 0)
+    await until(lambda: len(client.forwarded(number)) == len(upstream_connections(gateway, number)))
 
 
-async def other(gateway, leaver: Leaver, plan: str) -> None:
-    """Another client has a request out."""
-    leaver.others.append(await gateway.peer())
-    leaver.others[-1].send(ask(OTHER, plan))
-    await sent(gateway, leaver, OTHER)
+async def start_other_request(gateway, client: DisconnectingClient, plan: str) -> None:
+    """Let another client have a request in flight."""
+    client.others.append(await gateway.peer())
+    client.others[-1].send(encode_request(OTHER, plan))
+    await wait_until_sent(gateway, client, OTHER)
 
 
-async def waiting(gateway, number: int) -> None:
-    await until(lambda: name(number).decode() in gateway.driver.active_requests)
-    assert not out(gateway, number)
+async def wait_until_queued(gateway, number: int) -> None:
+    await until(lambda: request_id(number).decode() in gateway.driver.active_requests)
+    assert not upstream_connections(gateway, number)
 
 
-# Each case: what happens before the client leaves, and what makes an attempt fall due once it has.
+# Each case: what happens before the client disconnects; it returns what makes an attempt fall due after that.
 
 
-async def held(gateway, leaver):
+async def delayed_by_the_bucket(gateway, client):
     peer = await gateway.peer()
-    assert await peer.ask(ask(OTHER + 1, "held")) == name(OTHER + 1)
-    leaver.socket.sendall(ask(FIRST, "held"))
-    await waiting(gateway, FIRST)
-    return lambda: fire(gateway, "_end_hold")
+    assert await peer.ask(encode_request(OTHER + 1, "held")) == request_id(OTHER + 1)
+    client.socket.sendall(encode_request(FIRST, "held"))
+    await wait_until_queued(gateway, FIRST)
+    return lambda: fire_timer(gateway, "_end_hold")
 
 
-async def parked_under_a_cap(gateway, leaver, plan="two"):
-    await other(gateway, leaver, plan)
-    leaver.socket.sendall(ask(FIRST, plan=plan))
-    await waiting(gateway, FIRST)
-    return lambda: answer(*out(gateway, OTHER), array(b"v"))
+async def queued_under_an_in_flight_limit(gateway, client, plan="two"):
+    await start_other_request(gateway, client, plan)
+    client.socket.sendall(encode_request(FIRST, plan=plan))
+    await wait_until_queued(gateway, FIRST)
+    return lambda: deliver_reply(*upstream_connections(gateway, OTHER), array(b"v"))
 
 
-async def parked_for_the_pool(gateway, leaver):
+async def queued_under_the_concurrency_limit(gateway, client):
     gateway.driver.engine.pool = 1.0
-    return await parked_under_a_cap(gateway, leaver, "free")
+    return await queued_under_an_in_flight_limit(gateway, client, "free")
 
 
-async def failed(gateway, leaver):
-    leaver.socket.sendall(ask(FIRST))
-    await sent(gateway, leaver, FIRST)
-    return lambda: answer(*out(gateway, FIRST), b"-ERR\r\n")
+async def failed(gateway, client):
+    client.socket.sendall(encode_request(FIRST))
+    await wait_until_sent(gateway, client, FIRST)
+    return lambda: deliver_reply(*upstream_connections(gateway, FIRST), b"-ERR\r\n")
 
 
-async def timed_out(gateway, leaver):
-    leaver.socket.sendall(ask(FIRST))
-    await sent(gateway, leaver, FIRST)
-    (attempt,) = gateway.driver.active_requests[name(FIRST).decode()].out.values()
+async def timed_out(gateway, client):
+    client.socket.sendall(encode_request(FIRST))
+    await wait_until_sent(gateway, client, FIRST)
+    (attempt,) = gateway.driver.active_requests[request_id(FIRST).decode()].out.values()
     return lambda: gateway.driver._time_out(attempt)
 
 
-async def slow(gateway, leaver):
-    leaver.socket.sendall(ask(FIRST))
-    await sent(gateway, leaver, FIRST)
-    return lambda: fire(gateway, "_on_slow")
+async def slow(gateway, client):
+    client.socket.sendall(encode_request(FIRST))
+    await wait_until_sent(gateway, client, FIRST)
+    return lambda: fire_timer(gateway, "_on_slow")
 
 
-async def slow_and_not_read(gateway, leaver):
-    due = await slow(gateway, leaver)
-    leaver.client.pause_writing()  # as the loop does where answers are not taken
-    return due
+async def slow_and_not_read(gateway, client):
+    trigger = await slow(gateway, client)
+    client.connection.pause_writing()  # as the loop does where answers are not taken
+    return trigger
 
 
-async def hedged(gateway, leaver):
-    leaver.socket.sendall(ask(FIRST))
-    await sent(gateway, leaver, FIRST)
-    fire(gateway, "_on_slow")
-    await sent(gateway, leaver, FIRST)
-    first, second = out(gateway, FIRST)  # a third server is left
-    return lambda: (answer(first, b"-ERR\r\n"), answer(second, b"-ERR\r\n"))
+async def hedged(gateway, client):
+    client.socket.sendall(encode_request(FIRST))
+    await wait_until_sent(gateway, client, FIRST)
+    fire_timer(gateway, "_on_slow")
+    await wait_until_sent(gateway, client, FIRST)
+    first, second = upstream_connections(gateway, FIRST)  # a third server is left
+    return lambda: (deliver_reply(first, b"-ERR\r\n"), deliver_reply(second, b"-ERR\r\n"))
 
 
-async def pipelined(gateway, leaver):
-    leaver.socket.sendall(ask(FIRST, "two") + ask(SECOND, "two"))
-    await sent(gateway, leaver, FIRST)
-    await waiting(gateway, SECOND)
-    return lambda: answer(*out(gateway, FIRST), array(b"v"))
+async def pipelined(gateway, client):
+    client.socket.sendall(encode_request(FIRST, "two") + encode_request(SECOND, "two"))
+    await wait_until_sent(gateway, client, FIRST)
+    await wait_until_queued(gateway, SECOND)
+    return lambda: deliver_reply(*upstream_connections(gateway, FIRST), array(b"v"))
 
 
-async def answers_not_taken(gateway, leaver):
-    leaver.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    leaver.client.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-    await other(gateway, leaver, "two")
-    leaver.socket.sendall(b"".join(ask(number) for number in LONG) + ask(FIRST, "two"))
-    await until(lambda: leaver.client.is_write_blocked and leaver.client.intake.is_read_paused)
-    await waiting(gateway, FIRST)
-    return lambda: answer(*out(gateway, OTHER), array(b"v"))
+async def replies_not_taken(gateway, client):
+    client.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+    client.connection.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+    await start_other_request(gateway, client, "two")
+    client.socket.sendall(b"".join(encode_request(number) for number in LONG) + encode_request(FIRST, "two"))
+    await until(lambda: client.connection.is_write_blocked and client.connection.intake.is_read_paused)
+    await wait_until_queued(gateway, FIRST)
+    return lambda: deliver_reply(*upstream_connections(gateway, OTHER), array(b"v"))
 
 
-async def not_read_yet(gateway, leaver):
-    leaver.socket.sendall(ask(FIRST))
+async def not_read_yet(_gateway, client):
+    client.socket.sendall(encode_request(FIRST))
     return lambda: None  # the loop comes to the command first, then to the end
 
 
-async def reset_not_told_yet(gateway, leaver):
-    due = await parked_under_a_cap(gateway, leaver)
-    return lambda: (leaver.client.transport.abort(), due())  # as the loop does once reading has failed
+async def reset_not_noticed_yet(gateway, client):
+    trigger = await queued_under_an_in_flight_limit(gateway, client)
+    # The loop aborts the transport once reading has failed.
+    return lambda: (client.connection.transport.abort(), trigger())
 
 
 CASES = [
-    held,
-    parked_under_a_cap,
-    parked_for_the_pool,
+    delayed_by_the_bucket,
+    queued_under_an_in_flight_limit,
+    queued_under_the_concurrency_limit,
     failed,
     timed_out,
     slow,
     slow_and_not_read,
     hedged,
     pipelined,
-    answers_not_taken,
+    replies_not_taken,
     not_read_yet,
-    reset_not_told_yet,
+    reset_not_noticed_yet,
 ]
 
 
-async def warm(gateway, servers: int) -> None:
-    """Leave an idle connection at each server: what falls due goes out at once."""
+async def open_idle_connections(gateway, servers: int) -> None:
+    """Open an idle connection to each server: an attempt that falls due is sent at once."""
     for number in range(1, servers + 1):
         done = []
-        gateway.upstream_pool.start(number, Attempt(ask(LAST), done.append))
+        gateway.upstream_pool.start(number, Attempt(encode_request(LAST), done.append))
         await until(lambda done=done: bool(done))
 
 
-async def nothing_more(gateway, leaver: Leaver, before: list[bytes]) -> None:
-    """Once another client's request has been served, nothing of who left has come, and nothing is kept."""
+async def expect_nothing_forwarded(gateway, client: DisconnectingClient, before: list[bytes]) -> None:
+    """Expect that no more was forwarded once another request was served, and no state is kept."""
     decisions = gateway.driver.engine
     decisions.pool = 100.0
-    assert await (await gateway.peer()).ask(ask(LAST)) == name(LAST)
-    assert leaver.began() == before
+    assert await (await gateway.peer()).ask(encode_request(LAST)) == request_id(LAST)
+    assert client.forwarded() == before
     await until(lambda: not gateway.driver.active_requests)
-    assert not decisions.flights and not decisions.parked and not decisions.young
+    assert not decisions.flights
+    assert not decisions.parked
+    assert not decisions.young
     assert not any(server.out for server in decisions.servers.values())
     assert not any(customer.out for customer in decisions.customers.values())
 
 
 @pytest.mark.parametrize("how", ["end", "reset"])
 @pytest.mark.parametrize("case", CASES)
-async def test_attempt_that_falls_due_once_its_client_has_left_does_not_begin(case, how, monkeypatch):
+async def test_attempt_due_after_its_client_disconnected_does_not_begin(case, how, monkeypatch):
     monkeypatch.setattr(servers_module, "REST_S", 0.0)
     monkeypatch.setattr(client_listener, "SWEEP_INTERVAL_S", 3600.0)
     monkeypatch.setattr(client_connection, "WRITE_STALL_TIMEOUT_S", 3600.0)
@@ -240,83 +244,79 @@
 
     servers = [FakeServer(reply) for _ in range(3)]
     async with node(*servers, classes=CLASSES, plans=PLANS, limits=LIMITS) as gateway:
-        await warm(gateway, len(servers))
-        silent.update(map(name, (FIRST, SECOND, OTHER)))
-        leaver = await Leaver(how, *servers).open(gateway)
-        due = await case(gateway, leaver)
-        before = leaver.began()
-        leaver.go()
-        due()
-        await nothing_more(gateway, leaver, before)
+        await open_idle_connections(gateway, len(servers))
+        silent.update(map(request_id, (FIRST, SECOND, OTHER)))
+        client = await DisconnectingClient(how, *servers).open(gateway)
+        trigger = await case(gateway, client)
+        before = client.forwarded()
+        client.disconnect()
+        trigger()
+        await expect_nothing_forwarded(gateway, client, before)
 
 
 @pytest.mark.parametrize("how", ["end", "reset"])
-async def test_connection_that_comes_up_once_the_client_has_left_brings_nothing_to_the_server(
-    how, monkeypatch
-):
-    made, leavers = UpstreamConnection.connection_made, []
+async def test_connection_established_after_the_client_disconnected_forwards_nothing(how, monkeypatch):
+    made, clients = UpstreamConnection.connection_made, []
 
-    def leave_first(self, transport):
-        while leavers:
-            leavers.pop().go()
+    def disconnect_first(self, transport):
+        while clients:
+            clients.pop().disconnect()
         made(self, transport)
 
-    monkeypatch.setattr(UpstreamConnection, "connection_made", leave_first)
+    monkeypatch.setattr(UpstreamConnection, "connection_made", disconnect_first)
     server = FakeServer()
     async with node(server, classes=CLASSES, plans=PLANS) as gateway:
-        leaver = await Leaver(how, server).open(gateway)
-        leaver.socket.sendall(ask(FIRST))
-        leavers.append(leaver)
-        await until(lambda: not leavers)
-        await nothing_more(gateway, leaver, [])
+        client = await DisconnectingClient(how, server).open(gateway)
+        client.socket.sendall(encode_request(FIRST))
+        clients.append(client)
+        await until(lambda: not clients)
+        await expect_nothing_forwarded(gateway, client, [])
 
 
 @pytest.mark.parametrize("how", ["end", "reset"])
-async def test_of_a_client_that_left_while_it_was_not_read_nothing_is_sent_on_before_that_is_noticed(
-    how, monkeypatch
-):
+async def test_disconnect_while_reading_is_paused_forwards_nothing_before_it_is_noticed(how, monkeypatch):
     monkeypatch.setattr(client_listener, "SWEEP_INTERVAL_S", 3600.0)
     monkeypatch.setattr(command_intake, "MAX_PIPELINED_COMMANDS", 8)
     server = FakeServer()
     async with node(classes=CLASSES, plans=PLANS) as gateway:
         await server.start()
-        leaver = await Leaver(how, server).open(gateway)
-        leaver.socket.sendall(b"".join(map(ask, range(10, 22))))
-        await until(lambda: leaver.client.intake.is_read_paused)
-        leaver.go()
+        client = await DisconnectingClient(how, server).open(gateway)
+        client.socket.sendall(b"".join(map(encode_request, range(10, 22))))
+        await until(lambda: client.connection.intake.is_read_paused)
+        client.disconnect()
         gateway.told(server.entry(1))
-        await nothing_more(gateway, leaver, [])
-        assert leaver.client.intake.request_count == 8  # and nothing is read on
+        await expect_nothing_forwarded(gateway, client, [])
+        assert client.connection.intake.request_count == 8  # and nothing is read on
 
 
-async def half_written(gateway, listener, leaver) -> socket.socket:
-    """A client has sent a command that its server takes only in part; the server's end of the connection."""
+async def send_half_a_command(gateway, listener, client) -> socket.socket:
+    """Send a command that the server takes only in part; returns the server's end of the connection."""
     loop = asyncio.get_running_loop()
     listener.setblocking(False)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     gateway.told((Endpoint(1, "a"), listener.getsockname()))
-    await leaver.open(gateway)
-    leaver.socket.setblocking(False)
-    await loop.sock_sendall(leaver.socket, ask(FIRST, kind="buy", body=b"x" * 4_000_000))
+    await client.open(gateway)
+    client.socket.setblocking(False)
+    await loop.sock_sendall(client.socket, encode_request(FIRST, kind="buy", body=b"x" * 4_000_000))
     accepted, _ = await loop.sock_accept(listener)
-    await until(lambda: leaver.client.intake.is_read_paused and bool(gateway.driver.active_requests))
-    (connection,) = out(gateway, FIRST)
+    await until(lambda: client.connection.intake.is_read_paused and bool(gateway.driver.active_requests))
+    (connection,) = upstream_connections(gateway, FIRST)
     await until(lambda: connection.transport and connection.transport.get_write_buffer_size() > 0)
     return accepted
 
 
 @pytest.mark.parametrize("how", ["end", "reset"])
-async def test_last_byte_of_a_command_that_its_server_is_slow_to_take_is_not_written_once_the_client_has_left(
+async def test_last_byte_of_a_half_written_command_is_withheld_after_the_client_disconnected(
     how, monkeypatch
 ):
     monkeypatch.setattr(client_listener, "SWEEP_INTERVAL_S", 3600.0)
     async with node(classes=CLASSES, plans=PLANS) as gateway:
         with socket.create_server(("127.0.0.1", 0)) as listener:
-            leaver, reader = Leaver(how), hiredis.Reader()
-            accepted = await half_written(gateway, listener, leaver)
-            leaver.go()
+            client, reader = DisconnectingClient(how), hiredis.Reader()
+            accepted = await send_half_a_command(gateway, listener, client)
+            client.disconnect()
             command = False
-            while command is False and (data := await received(accepted)):
+            while command is False and (data := await receive(accepted)):
                 reader.feed(data)
                 command = reader.gets()
             assert command is False
@@ -324,19 +324,20 @@
             accepted.close()
 
 
-async def test_connection_on_which_an_answer_came_before_the_command_was_written_whole_is_not_used_again():
+async def test_connection_with_a_reply_before_the_whole_command_was_written_is_not_reused():
     async with node(classes=CLASSES, plans=PLANS) as gateway:
         with socket.create_server(("127.0.0.1", 0)) as listener:
-            leaver = Leaver("end")
-            accepted = await half_written(gateway, listener, leaver)
+            client = DisconnectingClient("end")
+            accepted = await send_half_a_command(gateway, listener, client)
             accepted.send(b"-ERR\r\n")
             await until(lambda: not gateway.driver.active_requests)
-            assert not gateway.upstream_pool.hosts[1].idle and not gateway.upstream_pool.connections
+            assert not gateway.upstream_pool.hosts[1].idle
+            assert not gateway.upstream_pool.connections
             accepted.close()
 
 
-async def received(sock: socket.socket) -> bytes:
-    """The next bytes, or none once the connection has ended in whatever way."""
+async def receive(sock: socket.socket) -> bytes:
+    """Receive the next bytes, or none once the connection has ended in whatever way."""
     try:
         return await asyncio.get_running_loop().sock_recv(sock, 1 << 20)
     except OSError:
--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -1,4 +1,4 @@
-"""What clients see: replies in order, bad input, clients that leave or do not read."""
+"""What clients see: replies in order, malformed input, disconnects, slow readers, limits on connections."""
 
 import asyncio
 import os
@@ -14,19 +14,19 @@
 from quota_gateway.net.upstream_pool import UpstreamConnection
 from tests.support.fakes import FakeServer, array, call, node, resp, slow_reader, until
 
-GOOD = "c=read,t=free,d=4000,units=1,spread=2,first=0"
-WHO, ID = "00000000b4d65521", "00000000000000aa"
+VALID_FIELDS = "c=read,t=free,d=4000,units=1,spread=2,first=0"
+CUSTOMER, REQUEST_ID = "00000000b4d65521", "00000000000000aa"
 
 
-async def test_request_goes_on_unchanged_but_for_the_wait():
-    server = FakeServer(lambda words: array(b"val\r\nue"))
+async def test_request_is_forwarded_unchanged_but_for_the_timeout():
+    server = FakeServer(lambda _words: array(b"val\r\nue"))
     async with node(server) as gateway:
         peer = await gateway.peer()
         assert await peer.ask(call(1, "post", body=b"\x00\r\nx")) == b"val\r\nue"
         name, customer, request_id, fields, body = server.commands[0]
         assert (name, customer, request_id, body) == (
             b"CALL.POST",
-            WHO.encode(),
+            CUSTOMER.encode(),
             b"0000000000000001",
             b"\x00\r\nx",
         )
@@ -42,7 +42,7 @@
         }
 
 
-async def test_command_in_single_bytes_and_a_large_body():
+async def test_command_in_single_bytes_and_one_with_a_large_body_are_forwarded():
     server = FakeServer(lambda words: array(words[4]))
     async with node(server) as gateway:
         peer, body = await gateway.peer(), bytes(range(256)) * 1600
@@ -77,32 +77,32 @@
         ["NONSENSE"],
         ["HELLO", "3"],
         ["CALL.GET"],
-        ["CALL.GET", WHO, ID],
-        ["CALL.GET", WHO, ID, GOOD, "body"],
-        ["CALL.POST", WHO, ID, GOOD.replace("read", "buy")],
-        ["CALL.GET", "zz", ID, GOOD],
-        ["CALL.GET", "00000003b4d65521", ID, GOOD],
-        ["CALL.GET", WHO, "", GOOD],
-        ["CALL.GET", WHO, "a" * 65, GOOD],
-        ["CALL.GET", WHO, b"\xff\x00", GOOD],
-        ["CALL.GET", WHO, ID, ""],
-        ["CALL.GET", WHO, ID, "c"],
-        ["CALL.GET", WHO, ID, GOOD + ",c=read"],
-        ["CALL.GET", WHO, ID, GOOD.replace("read", "none")],
-        ["CALL.GET", WHO, ID, GOOD.replace("free", "none")],
-        ["CALL.GET", WHO, ID, GOOD.replace("d=4000", "d=x")],
-        ["CALL.GET", WHO, ID, GOOD.replace("d=4000", "d=nan")],
-        ["CALL.GET", WHO, ID, GOOD.replace("d=4000", "d=-1")],
-        ["CALL.GET", WHO, ID, GOOD.replace("d=4000,", "")],
-        ["CALL.GET", WHO, ID, GOOD.replace("units=1", "units=inf")],
-        ["CALL.GET", WHO, ID, GOOD.replace("spread=2", "spread=0")],
-        ["CALL.GET", WHO, ID, GOOD.replace("read", "buy")],
-        ["CALL.POST", WHO, ID, GOOD, "body"],
-        ["CALL.POST", WHO, ID, GOOD.replace("read", "post"), "body"],
-        ["CALL.GET", WHO, ID, b"\xff" + GOOD.encode() + b"\xff=\xff"],
+        ["CALL.GET", CUSTOMER, REQUEST_ID],
+        ["CALL.GET", CUSTOMER, REQUEST_ID, VALID_FIELDS, "body"],
+        ["CALL.POST", CUSTOMER, REQUEST_ID, VALID_FIELDS.replace("read", "buy")],
+        ["CALL.GET", "zz", REQUEST_ID, VALID_FIELDS],
+        ["CALL.GET", "00000003b4d65521", REQUEST_ID, VALID_FIELDS],
+        ["CALL.GET", CUSTOMER, "", VALID_FIELDS],
+        ["CALL.GET", CUSTOMER, "a" * 65, VALID_FIELDS],
+        ["CALL.GET", CUSTOMER, b"\xff\x00", VALID_FIELDS],
+        ["CALL.GET", CUSTOMER, REQUEST_ID, ""],
+        ["CALL.GET", CUSTOMER, REQUEST_ID, "c"],
+        ["CALL.GET", CUSTOMER, REQUEST_ID, VALID_FIELDS + ",c=read"],
+        ["CALL.GET", CUSTOMER, REQUEST_ID, VALID_FIELDS.replace("read", "none")],
+        ["CALL.GET", CUSTOMER, REQUEST_ID, VALID_FIELDS.replace("free", "none")],
+        ["CALL.GET", CUSTOMER, REQUEST_ID, VALID_FIELDS.replace("d=4000", "d=x")],
+        ["CALL.GET", CUSTOMER, REQUEST_ID, VALID_FIELDS.replace("d=4000", "d=nan")],
+        ["CALL.GET", CUSTOMER, REQUEST_ID, VALID_FIELDS.replace("d=4000", "d=-1")],
+        ["CALL.GET", CUSTOMER, REQUEST_ID, VALID_FIELDS.replace("d=4000,", "")],
+        ["CALL.GET", CUSTOMER, REQUEST_ID, VALID_FIELDS.replace("units=1", "units=inf")],
+        ["CALL.GET", CUSTOMER, REQUEST_ID, VALID_FIELDS.replace("spread=2", "spread=0")],
+        ["CALL.GET", CUSTOMER, REQUEST_ID, VALID_FIELDS.replace("read", "buy")],
+        ["CALL.POST", CUSTOMER, REQUEST_ID, VALID_FIELDS, "body"],
+        ["CALL.POST", CUSTOMER, REQUEST_ID, VALID_FIELDS.replace("read", "post"), "body"],
+        ["CALL.GET", CUSTOMER, REQUEST_ID, b"\xff" + VALID_FIELDS.encode() + b"\xff=\xff"],
     ],
 )
-async def test_bad_command_gets_an_error_and_the_connection_lives(words):
+async def test_malformed_command_gets_an_error_and_the_connection_stays_open(words):
     server = FakeServer()
     async with node(server) as gateway:
         peer = await gateway.peer()
@@ -127,8 +127,8 @@
         b"*1\r\n*1\r\n$4\r\nPING\r\n",
     ],
 )
-async def test_broken_resp_gets_an_error_and_a_close_after_what_was_taken(junk):
-    server = FakeServer(lambda words: None)
+async def test_protocol_error_is_answered_after_the_replies_owed_and_closes_the_connection(junk):
+    server = FakeServer(lambda _words: None)
     async with node(server) as gateway:
         peer, other = await gateway.peer(), await gateway.peer()
         peer.send(call(1), junk)
@@ -140,8 +140,8 @@
         assert await other.ask(resp("PING")) == b"PONG"
 
 
-async def test_second_request_of_an_id_in_hand_is_an_error_and_the_first_is_served():
-    server = FakeServer(lambda words: None)
+async def test_second_request_with_an_id_in_hand_is_an_error_and_the_first_is_served():
+    server = FakeServer(lambda _words: None)
     async with node(server) as gateway:
         peer, other = await gateway.peer(), await gateway.peer()
         peer.send(call(1))
@@ -151,19 +151,20 @@
         assert await peer.reply() == b"value"
 
 
-async def test_client_that_leaves_ends_its_attempts_and_leaves_nothing_behind():
-    server = FakeServer(lambda words: None)
+async def test_client_that_disconnects_ends_its_attempts_and_leaves_no_state():
+    server = FakeServer(lambda _words: None)
     async with node(server) as gateway:
         peer = await gateway.peer()
         peer.send(call(1), call(2))
         await server.until(lambda: len(server.commands) == 2)
         peer.writer.close()
         await until(lambda: not gateway.client_listener.connections)
-        assert not gateway.driver.active_requests and not gateway.upstream_pool.connections
+        assert not gateway.driver.active_requests
+        assert not gateway.upstream_pool.connections
         await server.until(lambda: server.ended == 2)
 
 
-def go(peer, how: str) -> None:
+def disconnect(peer, how: str) -> None:
     """Leave by an orderly end, or by a reset."""
     if how == "reset":
         sock = peer.writer.get_extra_info("socket")
@@ -171,12 +172,12 @@
     peer.writer.transport.abort()
 
 
-SLOW = (Plan("free"), Plan("tiny", rate=0.001, burst=2.0), Plan("held", rate=2.0, burst=2.0))
+PLANS_WITH_DELAY = (Plan("free"), Plan("tiny", rate=0.001, burst=2.0), Plan("held", rate=2.0, burst=2.0))
 
 
 @pytest.mark.parametrize("how", ["end", "reset"])
-@pytest.mark.parametrize("wait", ["held by the bucket", "parked", "for a connection"])
-async def test_what_a_client_waited_for_when_it_left_is_not_sent_on_and_its_units_come_back(
+@pytest.mark.parametrize("wait", ["delayed by the bucket", "queued", "for a connection"])
+async def test_request_that_waits_when_its_client_disconnects_is_not_forwarded_and_its_units_return(
     wait, how, monkeypatch
 ):
     up, plain = asyncio.Event(), UpstreamConnection.open
@@ -186,12 +187,12 @@
         await plain(self)
 
     server = FakeServer()
-    async with node(plans=SLOW) as gateway:
+    async with node(plans=PLANS_WITH_DELAY) as gateway:
         await server.start()
         peer, last = await gateway.peer(), 1
-        if wait != "parked":
+        if wait != "queued":
             gateway.told(server.entry(1))
-        if wait == "held by the bucket":
+        if wait == "delayed by the bucket":
             up.set()
             assert await peer.ask(call(0, plan="held")) == b"0000000000000000"
         elif wait == "for a connection":
@@ -200,9 +201,10 @@
         await until(lambda: len(gateway.driver.active_requests) == 1)
         (flight,) = gateway.driver.engine.flights.values()
         customer = flight.customer
-        assert flight.waiting == (wait == "held by the bucket") and customer.excess >= 1000.0
+        assert flight.waiting == (wait == "delayed by the bucket")
+        assert customer.excess >= 1000.0
         before = customer.excess
-        go(peer, how)
+        disconnect(peer, how)
         await until(lambda: not gateway.driver.active_requests)
         assert customer.excess == before - 1000.0
         gateway.told(server.entry(1))
@@ -213,10 +215,10 @@
 
 
 @pytest.mark.parametrize("how", ["end", "reset"])
-@pytest.mark.parametrize("many, body", [(MAX_PIPELINED_COMMANDS + 6, b""), (4, b"x" * 200_000)])
-async def test_client_that_left_while_it_was_not_read_is_noticed(many, body, how, monkeypatch):
+@pytest.mark.parametrize(("many", "body"), [(MAX_PIPELINED_COMMANDS + 6, b""), (4, b"x" * 200_000)])
+async def test_disconnect_is_noticed_while_reading_is_paused(many, body, how, monkeypatch):
     answered: list[str] = []
-    monkeypatch.setattr(Driver, "_answer", lambda self, call, answer: answered.append(call.request_id))
+    monkeypatch.setattr(Driver, "_answer", lambda _self, call, _answer: answered.append(call.request_id))
     server = FakeServer()
     async with node() as gateway:
         peer = await gateway.peer()
@@ -225,7 +227,7 @@
             lambda: any(client.intake.is_read_paused for client in gateway.client_listener.connections)
         )
         await peer.writer.drain()
-        go(peer, how)
+        disconnect(peer, how)
         await until(lambda: not gateway.driver.active_requests or bool(answered))
         assert not answered  # they have ended before their time was up
         await server.start()
@@ -236,7 +238,7 @@
         assert [words[2] for words in server.commands] == [b"%016x" % 99]
 
 
-async def test_client_that_left_with_its_answers_unread_waits_for_nothing_more(monkeypatch):
+async def test_disconnect_with_unread_replies_ends_the_requests_in_hand(monkeypatch):
     answered, plain = [], Driver._answer
     monkeypatch.setattr(
         Driver,
@@ -253,7 +255,7 @@
         assert "0000000000000001" not in answered
 
 
-async def test_client_that_left_while_its_connection_waited_for_room_asks_nothing(monkeypatch):
+async def test_client_that_disconnects_before_its_connection_is_accepted_is_not_served(monkeypatch):
     monkeypatch.setattr(idle_connections, "IDLE_GRACE_S", 0.0)
     server = FakeServer(lambda words: None if words[2].endswith(b"1") else array(words[2]))
     async with node(server, max_connections=1) as gateway:
@@ -273,7 +275,7 @@
         assert [words[2][-1:] for words in server.commands] == [b"1", b"3"]
 
 
-async def test_slow_reader_is_read_no_further_and_loses_nothing():
+async def test_reading_is_paused_for_a_slow_reader_which_loses_no_reply():
     value = b"v" * 65000
     server = FakeServer(lambda words: array(words[2] + value))
     async with node(server) as gateway:
@@ -282,24 +284,26 @@
         peer.send(*(call(number, wait=60_000) for number in range(many)))
         (client,) = gateway.client_listener.connections
         await until(lambda: client.is_write_blocked)
-        assert client.intake.is_read_paused and len(client.pending_replies) <= MAX_PIPELINED_COMMANDS
+        assert client.intake.is_read_paused
+        assert len(client.pending_replies) <= MAX_PIPELINED_COMMANDS
         assert client.transport.get_write_buffer_size() <= (MAX_PIPELINED_COMMANDS + 2) * (len(value) + 100)
         for number in range(many):
             assert await peer.reply() == b"%016x" % number + value
 
 
-async def test_beyond_the_quota_is_refused_at_once_and_not_sent():
+async def test_request_beyond_the_quota_is_rejected_at_once_and_not_forwarded():
     server = FakeServer()
     async with node(server) as gateway:
         peer = await gateway.peer()
         answers = [await peer.ask(call(number, plan="tiny")) for number in range(4)]
-        assert answers[0] == b"0000000000000000" and set(answers[1:]) == {"-BUSY"}
+        assert answers[0] == b"0000000000000000"
+        assert set(answers[1:]) == {"-BUSY"}
         assert len(server.commands) == 1
 
 
-async def test_connections_beyond_the_limit_push_out_who_is_idle_long_and_else_wait(monkeypatch):
+async def test_connection_beyond_the_limit_evicts_an_idle_one_or_else_waits(monkeypatch):
     monkeypatch.setattr(idle_connections, "IDLE_GRACE_S", 0.0)
-    server = FakeServer(lambda words: None)
+    server = FakeServer(lambda _words: None)
     async with node(server, max_connections=2) as gateway:
         idle, busy = await gateway.peer(), await gateway.peer()
         assert await idle.ask(resp("PING")) == b"PONG"
@@ -318,7 +322,7 @@
         assert gateway.client_listener.descriptors_in_use == 2 == len(gateway.client_listener.connections)
 
 
-async def test_who_says_nothing_makes_room_before_who_is_idle_and_none_within_a_command_does(monkeypatch):
+async def test_silent_connection_is_evicted_before_an_idle_one_and_none_within_a_command(monkeypatch):
     monkeypatch.setattr(idle_connections, "SILENT_GRACE_S", 0.0)
     monkeypatch.setattr(idle_connections, "IDLE_GRACE_S", 0.0)
     monkeypatch.setattr(idle_connections, "MAX_CLOSED_FOR_ROOM", 1)
@@ -337,7 +341,9 @@
         assert await idle.ask(resp("PING")) == b"PONG"
 
 
-async def test_who_has_asked_once_makes_room_before_who_comes_again_though_idle_for_longer(monkeypatch):
+async def test_connection_with_one_request_is_evicted_before_one_with_more_that_is_idle_for_longer(
+    monkeypatch,
+):
     monkeypatch.setattr(idle_connections, "IDLE_GRACE_S", 0.0)
     monkeypatch.setattr(idle_connections, "MAX_CLOSED_FOR_ROOM", 1)
     async with node(FakeServer(), max_connections=2) as gateway:
@@ -351,7 +357,7 @@
         assert await usual.ask(call(5)) == b"0000000000000005"
 
 
-async def test_idle_connection_with_a_command_to_be_read_is_not_closed_for_room(monkeypatch):
+async def test_idle_connection_with_an_unread_command_is_not_evicted():
     async with node(FakeServer()) as gateway:
         peer = await gateway.peer()
         assert await peer.ask(resp("PING")) == b"PONG"
@@ -364,16 +370,18 @@
 
 
 @pytest.mark.parametrize(
-    "sent, first",
+    ("sent", "first"),
     [
         (b"", None),
         (b"*4\r\n$8\r\nCALL", None),
         (call(1) + b"*4\r", "-ERR failed"),
     ],
 )
-async def test_silence_before_or_within_a_command_gets_an_error_and_a_close(sent, first, monkeypatch):
+async def test_silence_before_or_within_a_command_times_out_with_an_error_and_a_close(
+    sent, first, monkeypatch
+):
     monkeypatch.setattr(idle_connections, "COMMAND_TIMEOUT_S", 0.05)
-    server = FakeServer(lambda words: None)
+    server = FakeServer(lambda _words: None)
     async with node(server) as gateway:
         peer = await gateway.peer()
         peer.send(sent)
@@ -382,14 +390,12 @@
         assert await peer.reply() == "-ERR timeout"
         assert await peer.reply() is None
         await until(lambda: not gateway.client_listener.connections)
-        assert (
-            not gateway.driver.active_requests
-            and not gateway.client_listener.budget.buffered_bytes
-            and not gateway.client_listener.idle_connections.awaiting_command
-        )
+        assert not gateway.driver.active_requests
+        assert not gateway.client_listener.budget.buffered_bytes
+        assert not gateway.client_listener.idle_connections.awaiting_command
 
 
-async def test_commands_that_come_one_after_the_other_in_parts_are_not_silence(monkeypatch):
+async def test_commands_that_keep_arriving_in_parts_do_not_time_out(monkeypatch):
     monkeypatch.setattr(idle_connections, "COMMAND_TIMEOUT_S", 2.0)
     async with node(FakeServer()) as gateway:
         peer, rest = await gateway.peer(), b""
@@ -417,7 +423,7 @@
         b"*1\r\n$+4\r\n",
     ],
 )
-async def test_header_that_promises_more_than_may_come_is_an_error_at_once(head, monkeypatch):
+async def test_header_beyond_the_bounds_is_a_protocol_error_at_once(head, monkeypatch):
     monkeypatch.setattr(idle_connections, "COMMAND_TIMEOUT_S", 3600.0)
     async with node(FakeServer()) as gateway:
         peer = await gateway.peer()
@@ -426,14 +432,14 @@
         assert await peer.reply() is None
 
 
-async def test_error_is_read_by_who_goes_on_sending(monkeypatch):
+async def test_client_that_goes_on_sending_still_reads_its_error():
     async with node(FakeServer()) as gateway:
         peer = await gateway.peer()
         peer.send(b"*5\r\n$60000000\r\n", b"x" * 4_000_000)
         assert (await peer.reply()).startswith("-ERR ")
 
 
-async def test_many_bad_commands_in_a_row_end_the_connection_and_good_ones_between_do_not():
+async def test_consecutive_errors_close_the_connection_and_a_good_command_resets_their_count():
     async with node(FakeServer()) as gateway:
         peer = await gateway.peer()
         for number in range(3 * command_intake.MAX_CONSECUTIVE_ERRORS):
@@ -446,8 +452,8 @@
         assert await peer.reply() is None
 
 
-async def test_what_clients_hold_together_is_bounded():
-    server = FakeServer(lambda words: None)
+async def test_bytes_buffered_for_all_clients_are_bounded():
+    server = FakeServer(lambda _words: None)
     async with node(server) as gateway:
         gateway.client_listener.max_buffered_bytes = 150_000
         first, second, third = [await gateway.peer() for _ in range(3)]
@@ -464,7 +470,7 @@
 
 
 @pytest.mark.parametrize(
-    "old, new",
+    ("old", "new"),
     [
         ("units=1", "units=2"),
         ("units=1", "units=1e0"),
@@ -484,16 +490,19 @@
         ("d=4000", "d= 4000"),
     ],
 )
-async def test_figures_out_of_range_are_an_error_and_charge_nobody(old, new):
+async def test_field_out_of_range_is_an_error_and_charges_nobody(old, new):
     server = FakeServer()
     async with node(server) as gateway:
         peer = await gateway.peer()
-        fields = GOOD.replace("free", "tiny")
-        assert (await peer.ask(resp("CALL.GET", WHO, ID, fields.replace(old, new)))).startswith("-ERR ")
-        assert not gateway.driver.engine.customers and not server.commands
+        fields = VALID_FIELDS.replace("free", "tiny")
+        assert (await peer.ask(resp("CALL.GET", CUSTOMER, REQUEST_ID, fields.replace(old, new)))).startswith(
+            "-ERR "
+        )
+        assert not gateway.driver.engine.customers
+        assert not server.commands
 
 
-async def test_wait_is_bounded_by_the_deadline_of_the_class():
+async def test_timeout_is_bounded_by_the_deadline_of_the_class():
     server = FakeServer()
     async with node(server) as gateway:
         peer = await gateway.peer()
@@ -503,7 +512,7 @@
         assert all(due <= gateway.driver.clock() + 4000.0 for due, *_ in gateway.driver.timers)
 
 
-async def test_no_pong_before_the_list_is_known():
+async def test_ping_is_answered_with_loading_until_the_listener_is_ready():
     async with node() as gateway:
         gateway.client_listener.is_ready = False
         peer = await gateway.peer()
@@ -512,7 +521,7 @@
         assert await peer.ask(resp("PING")) == b"PONG"
 
 
-async def test_command_without_end_is_broken():
+async def test_command_beyond_the_bounds_closes_its_own_connection_alone():
     async with node(FakeServer()) as gateway:
         peer = await gateway.peer()
         peer.send(b"*4\r\n$500000000\r\n", b"x" * 2_000_000)
@@ -520,7 +529,7 @@
         assert await (await gateway.peer()).ask(resp("PING")) == b"PONG"
 
 
-async def test_commands_read_but_not_taken_yet_are_served_when_the_gateway_leaves():
+async def test_commands_read_but_not_taken_yet_are_served_when_the_gateway_stops():
     held = []
     server = FakeServer(
         lambda words: held.append(words) if len(held) < MAX_PIPELINED_COMMANDS else array(b"v")
--- a/tests/net/test_idle_connections.py
+++ b/tests/net/test_idle_connections.py
@@ -1,4 +1,4 @@
-"""Crowds of connections that ask nothing, and those that ask slowly among them."""
+"""Many connections without a request, and slowly arriving commands among them."""
 
 import asyncio
 
@@ -7,13 +7,13 @@
 from quota_gateway.net import command_intake, idle_connections
 from tests.support.fakes import FakeServer, array, call, node, resp
 
-PLACES = 8
+MAX_CONNECTIONS = 8
 
 
-async def crowd(gateway, said: bytes) -> list:
-    """Three times as many connections as there are places, each of which has said this and no more."""
+async def connect_many(gateway, said: bytes) -> list:
+    """Open three times as many connections as there may be; each sends these bytes and no more."""
     peers = []
-    for _ in range(3 * PLACES):
+    for _ in range(3 * MAX_CONNECTIONS):
         peers.append(await gateway.peer())
         peers[-1].send(said)
         await asyncio.sleep(0)
@@ -21,22 +21,22 @@
 
 
 @pytest.mark.parametrize("said", [b"", resp("PING"), call(1)[:50], resp("NONSENSE")])
-async def test_crowd_that_asks_nothing_keeps_nobody_out(said, monkeypatch):
+async def test_connections_without_requests_do_not_keep_others_out(said, monkeypatch):
     monkeypatch.setattr(idle_connections, "COMMAND_TIMEOUT_S", 50.0)  # nobody's time is up
     monkeypatch.setattr(idle_connections, "IDLE_GRACE_S", 50.0)
-    async with node(FakeServer(), max_connections=PLACES) as gateway:
-        peers = await crowd(gateway, said)
+    async with node(FakeServer(), max_connections=MAX_CONNECTIONS) as gateway:
+        peers = await connect_many(gateway, said)
         for number in range(10, 14):
             peer = await gateway.peer()
             assert await peer.ask(call(number)) == b"%016x" % number
-        assert gateway.client_listener.descriptors_in_use <= PLACES
+        assert gateway.client_listener.descriptors_in_use <= MAX_CONNECTIONS
         del peers
 
 
-async def test_command_that_comes_slowly_is_let_be_among_a_crowd(monkeypatch):
+async def test_slowly_arriving_command_is_not_evicted_among_many_connections(monkeypatch):
     monkeypatch.setattr(idle_connections, "COMMAND_TIMEOUT_S", 50.0)
     monkeypatch.setattr(idle_connections, "IDLE_GRACE_S", 50.0)
-    async with node(FakeServer(), max_connections=PLACES) as gateway:
+    async with node(FakeServer(), max_connections=MAX_CONNECTIONS) as gateway:
         slow, command = await gateway.peer(), call(7)
         peers = []
         for at in range(0, len(command), 4):
@@ -45,10 +45,10 @@
             peers[-1].send(call(1)[:50])
             await asyncio.sleep(idle_connections.STOPPED_GRACE_S / 8.0)
         assert await slow.reply() == b"0000000000000007"
-        assert len(peers) > 2 * PLACES
+        assert len(peers) > 2 * MAX_CONNECTIONS
 
 
-async def test_body_may_take_longer_than_a_head_as_long_as_it_comes(monkeypatch):
+async def test_body_may_exceed_the_command_timeout_while_it_keeps_arriving(monkeypatch):
     monkeypatch.setattr(idle_connections, "COMMAND_TIMEOUT_S", 0.3)
     monkeypatch.setattr(command_intake, "BODY_GAP_TIMEOUT_S", 2.0)
     server = FakeServer(lambda words: array(words[4]))
@@ -61,4 +61,5 @@
         assert await peer.reply() == body
         stopped = await gateway.peer()
         stopped.send(command[:1000])
-        assert await stopped.reply() == "-ERR timeout" and await stopped.reply() is None
+        assert await stopped.reply() == "-ERR timeout"
+        assert await stopped.reply() is None
--- a/tests/net/test_large_replies.py
+++ b/tests/net/test_large_replies.py
@@ -1,4 +1,4 @@
-"""Values that are passed on as they come: pieces, pressure both ways, what breaks within one."""
+"""Large values that are streamed: pieces, backpressure both ways, values that break off."""
 
 import asyncio
 
@@ -9,12 +9,12 @@
 from quota_gateway.net.resp import ReplyReader
 from tests.support.fakes import FakeServer, array, call, node, until
 
-LARGE = bytes(range(256)) * 16_384  # 4 MiB
-HEAD = b"*3\r\n$%d\r\n" % len(LARGE)
-TAIL = b"\r\n$6\r\nused=1\r\n$-1\r\n"
+LARGE_VALUE = bytes(range(256)) * 16_384  # 4 MiB
+VALUE_HEADER = b"*3\r\n$%d\r\n" % len(LARGE_VALUE)
+VALUE_END = b"\r\n$6\r\nused=1\r\n$-1\r\n"
 
 
-def in_pieces(answer: bytes, size: int) -> tuple[bytes, list]:
+def read_in_pieces(answer: bytes, size: int) -> tuple[bytes, list]:
     """What a reader of answers makes of bytes that come in pieces: the large value, and all answers."""
     reader, value, answers = ReplyReader(), b"", []
     for at in range(0, len(answer), size):
@@ -30,9 +30,9 @@
 
 
 @pytest.mark.parametrize("size", [1, 7, 65_536, 10_000_000])
-def test_reader_gathers_short_values_and_gives_large_ones_piece_by_piece(size):
-    large = LARGE[:70_000]
-    value, answers = in_pieces(b"*3\r\n$70000\r\n" + large + TAIL + array(b"short") * 2, size)
+def test_reader_gathers_short_values_and_streams_large_ones(size):
+    large = LARGE_VALUE[:70_000]
+    value, answers = read_in_pieces(b"*3\r\n$70000\r\n" + large + VALUE_END + array(b"short") * 2, size)
     assert value == large
     first, *rest = answers
     assert first == [b"", b"used=1", None]
@@ -40,63 +40,64 @@
         assert rest == [[b"short", None, None]] * 2
 
 
-def test_reader_refuses_a_large_value_that_is_longer_than_it_says():
+def test_large_value_longer_than_its_header_says_is_a_protocol_error():
     with pytest.raises(ProtocolError):
-        in_pieces(b"*3\r\n$70000\r\n" + LARGE[:70_001] + TAIL, 1000)
+        read_in_pieces(b"*3\r\n$70000\r\n" + LARGE_VALUE[:70_001] + VALUE_END, 1000)
 
 
-async def test_large_value_reaches_the_client_as_it_comes_and_the_connection_serves_on():
+async def test_large_value_is_streamed_to_the_client_and_the_connection_is_reused():
     server = FakeServer(lambda words: None if words[2].endswith(b"1") else array(words[2]))
     async with node(server) as gateway:
         peer = await gateway.peer()
         peer.send(call(1))
         await server.until(lambda: server.commands)
-        server.writers[0].write(HEAD + LARGE[:10])
-        head = b"$%d\r\n" % len(LARGE)
-        assert await peer.reader.readexactly(len(head) + 10) == head + LARGE[:10]
-        server.writers[0].write(LARGE[10:] + TAIL)
-        assert await peer.reader.readexactly(len(LARGE) - 8) == LARGE[10:] + b"\r\n"
+        server.writers[0].write(VALUE_HEADER + LARGE_VALUE[:10])
+        head = b"$%d\r\n" % len(LARGE_VALUE)
+        assert await peer.reader.readexactly(len(head) + 10) == head + LARGE_VALUE[:10]
+        server.writers[0].write(LARGE_VALUE[10:] + VALUE_END)
+        assert await peer.reader.readexactly(len(LARGE_VALUE) - 8) == LARGE_VALUE[10:] + b"\r\n"
         assert await peer.ask(call(2)) == b"0000000000000002"
         await until(lambda: not gateway.driver.active_requests)
         assert gateway.client_listener.budget.buffered_bytes == gateway.upstream_pool.held == 0
 
 
-async def test_value_is_read_ahead_of_a_slow_client_and_frees_its_place():
-    server = FakeServer(lambda words: None)
+async def test_large_value_is_read_ahead_of_a_slow_client_and_ends_its_request():
+    server = FakeServer(lambda _words: None)
     async with node(server) as gateway:
         peer = await gateway.peer()
         peer.writer.transport.pause_reading()
         peer.send(call(1))
         await server.until(lambda: server.commands)
-        server.writers[0].write(b"*3\r\n$%d\r\n" % (2 * len(LARGE)) + LARGE + LARGE + TAIL)
+        server.writers[0].write(
+            b"*3\r\n$%d\r\n" % (2 * len(LARGE_VALUE)) + LARGE_VALUE + LARGE_VALUE + VALUE_END
+        )
         await until(lambda: not gateway.driver.active_requests)
         assert gateway.client_listener.budget.buffered_bytes > 100_000
         peer.writer.transport.resume_reading()
-        assert await peer.reply() == LARGE + LARGE
+        assert await peer.reply() == LARGE_VALUE + LARGE_VALUE
         await until(lambda: not gateway.client_listener.budget.buffered_bytes)
 
 
-async def test_client_that_is_slower_than_its_server_holds_it_up_where_memory_is_short():
-    server = FakeServer(lambda words: None)
+async def test_slow_client_pauses_its_server_where_the_buffer_budget_is_short():
+    server = FakeServer(lambda _words: None)
     async with node(server) as gateway:
         gateway.client_listener.max_buffered_bytes = 200_000
         peer = await gateway.peer()
         peer.writer.transport.pause_reading()
-        many = 4 * LARGE
+        many = 4 * LARGE_VALUE
         peer.send(call(1))
         await server.until(lambda: server.commands)
-        server.writers[0].write(b"*3\r\n$%d\r\n" % (len(many) // 2) + many[: len(many) // 2] + TAIL)
+        server.writers[0].write(b"*3\r\n$%d\r\n" % (len(many) // 2) + many[: len(many) // 2] + VALUE_END)
         (connection,) = gateway.upstream_pool.connections
         await until(lambda: connection.paused)
-        assert (
-            gateway.client_listener.budget.buffered_bytes < 300_000 and gateway.upstream_pool.held < 100_000
-        )
+        assert gateway.client_listener.budget.buffered_bytes < 300_000
+        assert gateway.upstream_pool.held < 100_000
         peer.writer.transport.resume_reading()
         assert await peer.reply() == many[: len(many) // 2]
 
 
 async def test_large_value_behind_another_reply_waits_for_its_turn():
-    server = FakeServer(lambda words: None)
+    server = FakeServer(lambda _words: None)
     async with node(server) as gateway:
         gateway.client_listener.max_buffered_bytes = 200_000
         peer = await gateway.peer()
@@ -106,22 +107,24 @@
             server.writers[server.by[server.commands.index(words)]]
             for words in sorted(server.commands, key=lambda words: words[2])
         )
-        second.write(HEAD + LARGE + TAIL)
+        second.write(VALUE_HEADER + LARGE_VALUE + VALUE_END)
         await until(lambda: any(connection.paused for connection in gateway.upstream_pool.connections))
         assert gateway.client_listener.budget.buffered_bytes < 300_000
         first.write(array(b"first"))
         assert await peer.reply() == b"first"
-        assert await peer.reply() == LARGE
+        assert await peer.reply() == LARGE_VALUE
 
 
-@pytest.mark.parametrize("rest", [None, LARGE[10:] + b"xx$-1\r\n$-1\r\n", LARGE[10:] + b"\r\n$9999\r\n"])
-async def test_value_that_breaks_is_cut_so_that_the_client_can_tell(rest):
-    server = FakeServer(lambda words: None)
+@pytest.mark.parametrize(
+    "rest", [None, LARGE_VALUE[10:] + b"xx$-1\r\n$-1\r\n", LARGE_VALUE[10:] + b"\r\n$9999\r\n"]
+)
+async def test_large_value_that_breaks_off_closes_the_client_connection(rest):
+    server = FakeServer(lambda _words: None)
     async with node(server) as gateway:
         peer = await gateway.peer()
         peer.send(call(1))
         await server.until(lambda: server.commands)
-        server.writers[0].write(HEAD + LARGE[:10])
+        server.writers[0].write(VALUE_HEADER + LARGE_VALUE[:10])
         await until(lambda: any(call.value for call in gateway.driver.active_requests.values()))
         server.writers[0].write(rest) if rest else server.writers[0].close()
         assert await peer.reply() is None
@@ -129,8 +132,8 @@
         assert gateway.client_listener.budget.buffered_bytes == gateway.upstream_pool.held == 0
 
 
-async def test_value_that_breaks_before_its_turn_harms_none_before_it():
-    server = FakeServer(lambda words: None)
+async def test_large_value_that_breaks_off_before_its_turn_spares_the_replies_before_it():
+    server = FakeServer(lambda _words: None)
     async with node(server) as gateway:
         peer = await gateway.peer()
         peer.send(call(1), call(2))
@@ -139,53 +142,53 @@
             server.writers[server.by[server.commands.index(words)]]
             for words in sorted(server.commands, key=lambda words: words[2])
         )
-        second.write(HEAD + LARGE[:10])
+        second.write(VALUE_HEADER + LARGE_VALUE[:10])
         await until(lambda: any(call.value for call in gateway.driver.active_requests.values()))
         second.close()
         first.write(array(b"first"))
         assert [await peer.reply(), await peer.reply()] == [b"first", None]
 
 
-async def test_server_that_stalls_within_a_value_is_given_up(monkeypatch):
+async def test_server_that_stalls_within_a_large_value_times_out(monkeypatch):
     monkeypatch.setattr(servers_module, "STALLED_S", 0.2)
     monkeypatch.setattr(servers_module, "SWEEP_S", 0.05)
-    server = FakeServer(lambda words: None)
+    server = FakeServer(lambda _words: None)
     async with node(server) as gateway:
         peer = await gateway.peer()
         peer.send(call(1))
         await server.until(lambda: server.commands)
-        server.writers[0].write(HEAD + LARGE[:10])
+        server.writers[0].write(VALUE_HEADER + LARGE_VALUE[:10])
         assert await peer.reply() is None
         await server.until(lambda: server.ended)
 
 
-async def test_value_that_has_begun_outlasts_the_clients_wait():
-    server = FakeServer(lambda words: None)
+async def test_large_value_that_has_begun_may_exceed_the_request_timeout():
+    server = FakeServer(lambda _words: None)
     async with node(server) as gateway:
         peer = await gateway.peer()
         peer.send(call(1, wait=300))
         await server.until(lambda: server.commands)
-        server.writers[0].write(HEAD + LARGE[:10])
+        server.writers[0].write(VALUE_HEADER + LARGE_VALUE[:10])
         await asyncio.sleep(0.5)
-        server.writers[0].write(LARGE[10:] + TAIL)
-        assert await peer.reply() == LARGE
+        server.writers[0].write(LARGE_VALUE[10:] + VALUE_END)
+        assert await peer.reply() == LARGE_VALUE
 
 
-async def test_client_that_leaves_within_a_value_ends_the_attempt():
-    server = FakeServer(lambda words: None)
+async def test_client_that_disconnects_within_a_large_value_ends_the_attempt():
+    server = FakeServer(lambda _words: None)
     async with node(server) as gateway:
         peer = await gateway.peer()
         peer.send(call(1))
         await server.until(lambda: server.commands)
-        server.writers[0].write(HEAD + LARGE[:10])
+        server.writers[0].write(VALUE_HEADER + LARGE_VALUE[:10])
         await until(lambda: any(call.value for call in gateway.driver.active_requests.values()))
         peer.writer.transport.abort()
         await server.until(lambda: server.ended)
         await until(lambda: not gateway.driver.active_requests)
 
 
-async def test_of_two_copies_the_one_whose_large_value_begins_is_the_answer():
-    server, other = FakeServer(lambda words: None), FakeServer(lambda words: None)
+async def test_hedged_request_is_answered_by_the_attempt_whose_large_value_begins_first():
+    server, other = FakeServer(lambda _words: None), FakeServer(lambda _words: None)
     async with node(server, other) as gateway:
         peer = await gateway.peer()
         peer.send(call(1))
@@ -203,7 +206,7 @@
         fakes = {1: server, 2: other}
         quick = fakes.pop(at)
         (slow,) = fakes.values()
-        quick.writers[0].write(HEAD + LARGE + TAIL)
-        assert await peer.reply() == LARGE
+        quick.writers[0].write(VALUE_HEADER + LARGE_VALUE + VALUE_END)
+        assert await peer.reply() == LARGE_VALUE
         await slow.until(lambda: slow.ended)
         assert first.done is None
