--- a/quota_gateway/model/actions.py
+++ b/quota_gateway/model/actions.py
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
-    """Start an attempt. ``timeout_ms`` of 0: as long as the client waits. Attempts count from 0."""
+    """Start an attempt at a server. A ``timeout_ms`` of 0 means as long as the client waits."""
 
     request_id: str
     server: int
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: failed, and nothing is promised about the effect."""
+    """Final answer: the request failed, and nothing is promised about its effect."""
 
     request_id: str
 
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Deliver ``TimerFired(token)`` after this time; timers are not taken back."""
+    """Deliver ``TimerFired(token)`` after ``delay_ms``; timers are not taken back."""
 
     token: int
     delay_ms: float
@@ -54,26 +54,26 @@
 
 @dataclass(frozen=True, slots=True)
 class LogMessage:
-    """A line for the people on call."""
+    """A line for the log."""
 
     text: str
 
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Ask discovery for changes from now on, or for none."""
+    """Open a watch on discovery, or close it."""
 
     active: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class PollEndpoints:
-    """Ask discovery for the whole list once."""
+    """Ask discovery for a snapshot once."""
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheck:
-    """Ask a server how it is; costs it work."""
+    """Ask a server for its health, which costs it work."""
 
     server: int
 
@@ -95,14 +95,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StateSnapshot:
-    """All that a process that takes over has to know; plain values that go into JSON."""
+    """The state for a process that takes over; plain values that go into JSON."""
 
     state: dict[str, Any]
 
 
 @dataclass(frozen=True, slots=True)
 class NotifyPeerProcess:
-    """Bring the other process of this gateway an ``PeerProcessUsage``."""
+    """Bring the other process of this gateway a ``PeerProcessUsage``."""
 
     usage: PeerProcessUsage
 
@@ -117,7 +117,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IncrementCounter:
-    """Add to a shared count; a new name is forgotten after ``lifetime_ms``."""
+    """Add to a shared counter; a new name is forgotten after ``lifetime_ms``."""
 
     name: int
     amount: float
--- a/quota_gateway/model/events.py
+++ b/quota_gateway/model/events.py
@@ -13,7 +13,7 @@
 
 
 class EndpointLifecycle(Enum):
-    """What discovery says of a server's process."""
+    """The lifecycle of an endpoint as discovery reports it."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -21,7 +21,7 @@
 
 
 class UpdateKind(Enum):
-    """What a server list holds: changes, everything, everything as last known, or a failed call."""
+    """What an update holds: changes, all endpoints, all as last known, or nothing (a failed call)."""
 
     DELTA = "changes"
     SNAPSHOT = "full"
@@ -30,7 +30,10 @@
 
 
 class AttemptStatus(Enum):
-    """How an attempt, a probe or a counter call ended. FULL, CONNECT_FAILED and NOT_SENT never ran."""
+    """How an attempt, a health check or a counter call ended.
+
+    An attempt that ended OVERLOADED, CONNECT_FAILED or NOT_SENT was never carried out.
+    """
 
     OK = "ok"
     ERROR = "error"
@@ -44,9 +47,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """A server in a list. ``started_ms`` is the clock time of its last start, 0 if long past.
-
-    ``name`` is what all gateways call it; where it is not given, the number is the same for all.
+    """A server as discovery lists it.
+
+    Attributes:
+        server: Number of the server at this gateway.
+        zone: Where it runs.
+        kind: Type of its machine.
+        cell: The group of servers that share idempotency keys, within the zone.
+        state: Its lifecycle.
+        size: Its relative capacity.
+        started_ms: Clock time of its last start, 0 if long past.
+        name: What all gateways call it; where it is empty, the number is the same for all.
     """
 
     server: int
@@ -61,9 +72,15 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointUpdate:
-    """Discovery's news. CHANGES alter the list held; FULL and CACHED replace it; FAILED has no entries.
+    """What discovery says of the endpoints.
 
-    ``listed`` is how many servers discovery names, where the entries are of the nearest of them alone.
+    DELTA alters what is known, SNAPSHOT and CACHED replace it, FAILED holds no endpoints.
+
+    Attributes:
+        kind: What the update holds.
+        endpoints: Those that it tells of.
+        version: Discovery's version of the list.
+        listed: Number of servers that discovery lists, where ``endpoints`` has the nearest alone; else 0.
     """
 
     kind: UpdateKind
@@ -74,7 +91,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A client's request. It may come through ``gateway_set_size`` gateways from ``first_gateway`` on."""
+    """A client's request.
+
+    Attributes:
+        request_id: Unique among the requests in progress.
+        class_name: Name of a ``RequestClass``.
+        plan: Name of a ``Plan``.
+        customer: The customer, unique within the plan.
+        timeout_ms: For how long the client waits.
+        units: Units that the request takes of the quota; a guess where ``Settings.reports_final_units``.
+        gateway_set_size: Number of gateways through which the customer's requests come.
+        first_gateway: Number of the first of them; the others follow in order.
+        is_retry: Whether the client marked it as a retry.
+        is_write: Whether it changes anything.
+    """
 
     request_id: str
     class_name: str
@@ -94,10 +124,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """How an attempt ended; one for each Send. ``closed``: the request has had its final answer.
-
-    ``usage_percent`` is the customer's late metered use by all gateways, in percent of its rate;
-    ``final_units`` replaces a guess; ``load`` has a value for each of ``Settings.load_report_fields``.
+    """How an attempt ended; exactly one for each ``StartAttempt``.
+
+    Attributes:
+        request_id: The request.
+        attempt: Number of the attempt, from 0.
+        server: The server of the attempt.
+        status: How it ended.
+        latency_ms: From its start on.
+        closed: Whether the request has had its final answer.
+        usage_percent: The customer's usage over all gateways, late, in percent of its rate.
+        final_units: The units that the request has really taken.
+        load: The server's load report, a value for each of ``Settings.load_report_fields``.
     """
 
     request_id: str
@@ -113,7 +151,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamStarted:
-    """A streamed answer has begun: the attempt is the client's now and has no deadline."""
+    """A streamed reply has begun: it goes to the client as it comes and has no deadline."""
 
     request_id: str
     attempt: int
@@ -123,7 +161,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client has left; nothing more is owed for this request."""
+    """The client has gone; no answer is owed for this request any more."""
 
     request_id: str
 
@@ -147,40 +185,51 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownStarted:
-    """The gateway will be ended: every request in hand, and any that still comes, is answered within this."""
+    """The process will be ended: every request in progress, and any to come, is answered within this time."""
 
     within_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class DetachServer:
-    """Operators took a server out: nothing more goes there, whatever lists say, until ``AttachServer``."""
+    """Operators took a server out of service: no new attempts there until ``AttachServer``."""
 
     server: int
 
 
 @dataclass(frozen=True, slots=True)
 class AttachServer:
-    """Operators let a server serve again; it was started anew while it was out."""
+    """Operators put a detached server back into service; it was restarted meanwhile."""
 
     server: int
 
 
 @dataclass(frozen=True, slots=True)
 class ExportState:
-    """Another process takes over from this one: it is owed an ``StateSnapshot``, and what changes of it."""
+    """Another process takes over: a ``StateSnapshot`` is owed, and ``NotifyPeerProcess`` on each change."""
 
 
 @dataclass(frozen=True, slots=True)
 class RestoreState:
-    """What the process before has left, as its ``StateSnapshot`` had it. ValueError if it is malformed."""
+    """The state that the previous process exported.
+
+    Raises:
+        StateError: The state is malformed; none of it is taken over.
+    """
 
     state: dict[str, Any]
 
 
 @dataclass(frozen=True, slots=True)
 class PeerProcessUsage:
-    """What the other process of this gateway has out for a customer, and by how much its excess changed."""
+    """What the other process of this gateway has in flight for a customer.
+
+    Attributes:
+        plan: The customer's plan.
+        customer: The customer.
+        in_flight: Attempts in flight from the other process.
+        excess_change: Change of the leaky bucket's excess, in thousandths of a unit.
+    """
 
     plan: str
     customer: str
@@ -190,7 +239,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerProcessExited:
-    """There is no other process of this gateway any more."""
+    """The other process of this gateway has ended."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -203,7 +252,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CounterReply:
-    """The answer to one ``IncrementCounter``; ``total`` counts with OK only."""
+    """The answer to one ``IncrementCounter``; ``total`` is valid with OK only."""
 
     name: int
     status: AttemptStatus
--- a/quota_gateway/model/settings.py
+++ b/quota_gateway/model/settings.py
@@ -7,11 +7,12 @@
 
 from quota_gateway.model.validation import require_not, require_numbers
 
-DEFAULT_IDLE_MS = 30_000.0  # of a connection, where the settings do not tell
+#: After which servers close an idle connection, where the settings do not tell.
+DEFAULT_IDLE_MS = 30_000.0
 
 
 class Idempotency(Enum):
-    """Whether a request may be repeated: freely, within a group that knows its key, or never."""
+    """Whether a request may be repeated: freely, within a group of servers that knows its key, or never."""
 
     IDEMPOTENT = "safe"
     KEYED = "keyed"
@@ -19,7 +20,7 @@
 
 
 class IdempotencyScope(Enum):
-    """Which servers drop repeats of a keyed request."""
+    """Which servers recognize a repeated idempotency key: all, those of a zone, or those of a cell."""
 
     ALL = "all"
     ZONE = "zone"
@@ -27,7 +28,7 @@
 
 
 class DiscoveryMode(Enum):
-    """How server lists come: unasked, or only after ``Subscribe`` or ``PollEndpoints``."""
+    """How endpoint updates arrive: unasked, or only after ``Subscribe`` or ``PollEndpoints``."""
 
     PUSH = "push"
     ASK = "ask"
@@ -35,7 +36,20 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests. ``priority_weight`` is per unit; ``value_after_objective`` of it is kept later."""
+    """A class of requests with the same objective and the same rules for retries.
+
+    Attributes:
+        name: Unique name, as clients send it.
+        latency_objective_ms: Replies later than this earn only ``value_after_objective``.
+        deadline_ms: The longest that any client waits.
+        idempotency: Whether, and where, an attempt may be repeated.
+        priority_weight: Value of one unit that is served within the objective.
+        value_after_objective: Share of ``priority_weight`` earned between objective and deadline.
+        idempotency_scope: The servers among which a key is recognized.
+        idempotency_window_ms: For how long after the first attempt a key is recognized.
+        streamed: Whether replies are streamed.
+        objective_stretch: Growth of the objective with a request's size; kept for the simulator's wire.
+    """
 
     name: str
     latency_objective_ms: float
@@ -66,9 +80,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """A plan's quota per customer over all gateways: units a second, units at once, attempts out.
+    """A plan: the quota of each of its customers, summed over all gateways.
 
     A rate, an in-flight limit or a ceiling rate of 0 means that the plan has none.
+
+    Attributes:
+        name: Unique name, as clients send it.
+        rate: Units a second that drain from the customer's leaky bucket.
+        burst: Units that the bucket holds.
+        max_in_flight: Attempts that a customer may have in flight at once.
+        weight: Factor on ``RequestClass.priority_weight``.
+        excess_value: Value of a unit that was served beyond the quota.
+        excess_cost: Cost of a unit that was served beyond the quota.
+        ceiling_rate: Units a second of the hard ceiling, which may never be passed.
+        ceiling_burst: Units at once of the hard ceiling.
+        ceiling_slack: Units by which the ceiling may be passed by chance.
     """
 
     name: str
@@ -87,13 +113,26 @@
         require_numbers(self, 0.0, "rate", "burst", "max_in_flight", "weight", "excess_value", "excess_cost")
         require_numbers(self, 0.0, "ceiling_rate", "ceiling_burst", "ceiling_slack")
         require_not(self.rate > 0 and self.burst <= 0, self, "burst", "is nothing though there is a rate")
-        nothing = self.ceiling_rate > 0 and self.ceiling_burst <= 0
-        require_not(nothing, self, "ceiling_burst", "is nothing though there is a ceiling")
+        has_no_ceiling_burst = self.ceiling_rate > 0 and self.ceiling_burst <= 0
+        require_not(has_no_ceiling_burst, self, "ceiling_burst", "is nothing though there is a ceiling")
 
 
 @dataclass(frozen=True, slots=True)
 class GatewayLimits:
-    """What the site permits a gateway to do."""
+    """What the site permits a gateway to do.
+
+    Attributes:
+        max_attempts: Attempts for one request, the first included.
+        may_duplicate: Whether two attempts for one request may be in flight (a hedged request).
+        can_cancel: Whether an attempt may be cancelled.
+        can_probe: Whether servers may be asked for their health.
+        can_message_peers: Whether gateways may send each other messages.
+        can_send_retry_after: Whether a rejection may say when to come back.
+        max_open: Connections that may be open at once.
+        connect_timeout_ms: For a connection to a server to come up.
+        max_retry_after_ms: The longest time that a rejection may name.
+        connection_idle_ms: After which servers close an idle connection.
+    """
 
     max_attempts: int = 1
     may_duplicate: bool = False
@@ -113,7 +152,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceRules:
-    """The figures of the rules: answers, drains and cold servers."""
+    """The figures by which draining, slow start and overload are judged.
+
+    Attributes:
+        answer_slack_ms: By which a final answer may be late.
+        drain_grace_ms: After which a draining endpoint gets no new attempts at the latest.
+        initial_capacity_share: Share of its full capacity that a server has when it starts.
+        warm_up_ms: Time in which its capacity rises evenly to the full.
+        overload_factor: Multiple of its present capacity that makes a server that warms up collapse.
+        overload_window_ms: Window over which that load is summed.
+        poll_deadline_ms: Within which discovery has to be polled.
+    """
 
     answer_slack_ms: float = 0.0
     drain_grace_ms: float = 0.0
@@ -133,7 +182,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that a gateway is told at its start."""
+    """All that a gateway is told at its start.
+
+    Attributes:
+        gateways: Number of gateways of the fleet.
+        index: This gateway's number, from 0.
+        zone: This gateway's zone.
+        classes: Every class of requests.
+        plans: Every plan.
+        limits: What the site permits.
+        contract: Draining, slow start and overload.
+        discovery: How endpoint updates arrive.
+        load_report_fields: Names of the figures in a server's load report, in order.
+        usage_period_ms: Period over which a usage report measures.
+        max_request_units: The most units that one request may ask.
+        reports_final_units: Whether a reply tells the units that the request has really taken.
+        has_counter: Whether a counter shared by all gateways is at hand.
+        counter_timeout_ms: For a call of that counter.
+        tick_ms: Resolution of timers.
+        cross_zone_cost: Cost of an attempt in another zone, as a share of a request's value.
+    """
 
     gateways: int
     index: int
