--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -7,6 +7,7 @@
 
 @pytest.fixture
 def rig() -> Rig:
-    made = Rig()
-    made.servers(entry(1), entry(2))
-    return made
+    """A policy engine with two endpoints, on a scripted clock."""
+    engine = Rig()
+    engine.servers(entry(1), entry(2))
+    return engine
--- a/tests/support/__init__.py
+++ b/tests/support/__init__.py
@@ -1,1 +1,1 @@
-"""What several tests share: harnesses, fakes and fixtures."""
+"""Test support: fakes of what surrounds a gateway, harnesses, and the pytest plugin for asyncio tests."""
--- /dev/null
+++ b/tests/support/gateway_node.py
@@ -0,0 +1,136 @@
+"""A gateway on loopback in the test's own process, before fake upstream servers."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from collections.abc import AsyncIterator, Callable
+from contextlib import AsyncExitStack, asynccontextmanager
+from dataclasses import replace
+from typing import Any
+
+from quota_gateway import (
+    Endpoint,
+    EndpointUpdate,
+    GatewayLimits,
+    Idempotency,
+    IdempotencyScope,
+    Plan,
+    PolicyEngine,
+    RequestClass,
+    ServiceRules,
+    Settings,
+    UpdateKind,
+)
+from quota_gateway.net.client_listener import ClientConnection, ClientListener
+from quota_gateway.net.detachments import Detachments
+from quota_gateway.net.driver import Clock, Driver
+from quota_gateway.net.endpoint_registry import EndpointRegistry
+from quota_gateway.net.handover import Handover
+from quota_gateway.net.peer_processes import PeerProcesses
+from quota_gateway.net.upstream_pool import UpstreamPool
+from tests.support.fake_client import FakeClient
+from tests.support.fake_upstream import FakeUpstream
+
+MAX_BUFFERED_BYTES = 32 * 1024 * 1024  # far above what a test sends, unless the test is about it
+SLOW_READER_BUFFER_BYTES = 262_144  # of each socket: next to nothing fits in the kernel
+SETTINGS = Settings(
+    gateways=2,
+    index=0,
+    zone="a",
+    classes=(
+        RequestClass("read", 2000.0, 4000.0, Idempotency.IDEMPOTENT),
+        RequestClass(
+            "post",
+            2000.0,
+            4000.0,
+            Idempotency.KEYED,
+            idempotency_scope=IdempotencyScope.ZONE,
+            idempotency_window_ms=6000.0,
+        ),
+        RequestClass("buy", 2000.0, 8000.0, Idempotency.NON_IDEMPOTENT),
+    ),
+    plans=(Plan("free"), Plan("tiny", rate=0.001, burst=2.0)),
+    limits=GatewayLimits(max_attempts=3, can_cancel=True, connect_timeout_ms=2000.0),
+    contract=ServiceRules(8.0, 1000.0, 0.2, 10_000.0, 3.0, 2000.0, 10_000.0),
+    load_report_fields=("utilisation", "queue"),
+    usage_period_ms=1000.0,
+    tick_ms=2.0,
+)
+
+
+async def wait_until(condition: Callable[[], object]) -> None:
+    """Let the event loop turn until a condition inside the gateway holds."""
+    while not condition():  # noqa: ASYNC110 - the gateway has no event to tell of its inner state
+        await asyncio.sleep(0)
+
+
+class GatewayNode:
+    """The parts of a gateway, joined as the program joins them, but without discovery."""
+
+    def __init__(self, settings: Settings, max_connections: int) -> None:
+        self.upstream_pool = UpstreamPool(settings, max_connections, MAX_BUFFERED_BYTES)
+        self.peers = PeerProcesses()
+        self.driver = Driver(PolicyEngine(settings, 1), self.upstream_pool, Clock(), self.peers.notify_usage)
+        self.client_listener = ClientListener(self.driver, settings, max_connections, MAX_BUFFERED_BYTES)
+        self.client_listener.is_ready = True
+        registry = EndpointRegistry()
+        detachments = Detachments(registry, self.driver, self.peers)
+        self.handover = Handover(
+            None, self.driver, self.client_listener, self.upstream_pool, registry, detachments, self.peers
+        )
+
+    def update_endpoints(
+        self, *endpoints: tuple[Endpoint, tuple[str, int]], kind: UpdateKind = UpdateKind.SNAPSHOT
+    ) -> None:
+        """Take endpoints with their addresses, as from discovery."""
+        update = EndpointUpdate(kind, tuple(endpoint for endpoint, _ in endpoints))
+        self.upstream_pool.update(update, {endpoint.server: address for endpoint, address in endpoints})
+        self.driver.post(update)
+
+    async def connect_client(self) -> FakeClient:
+        """Connect a client."""
+        assert self.client_listener.listening_socket
+        return await FakeClient().open(self.client_listener.listening_socket.getsockname()[1])
+
+    def close(self) -> None:
+        """Stop listening and close all connections."""
+        self.client_listener.stop_listening()
+        self.client_listener.abort()
+        self.upstream_pool.close()
+
+
+@asynccontextmanager
+async def run_gateway(
+    *upstreams: FakeUpstream,
+    max_connections: int = 100,
+    **settings: Any,  # noqa: ANN401 - fields of Settings
+) -> AsyncIterator[GatewayNode]:
+    """Run a gateway before these servers, numbered from 1; those that are not started yet run as long.
+
+    Args:
+        upstreams: the servers that the gateway knows.
+        max_connections: the limit of client connections, and that of upstream connections.
+        settings: fields of ``SETTINGS`` to replace.
+    """
+    async with AsyncExitStack() as stack:
+        for upstream in upstreams:
+            if not upstream.is_started:
+                await stack.enter_async_context(upstream)
+        gateway = GatewayNode(replace(SETTINGS, **settings), max_connections)
+        stack.callback(gateway.close)
+        gateway.update_endpoints(*(upstream.endpoint(number) for number, upstream in enumerate(upstreams, 1)))
+        gateway.client_listener.listen("127.0.0.1", 0)
+        yield gateway
+
+
+async def connect_slow_reader(gateway: GatewayNode) -> tuple[FakeClient, ClientConnection]:
+    """Connect a client that reads nothing for now, with small kernel buffers; give both its sides."""
+    client = await gateway.connect_client()
+    client.reader._limit = 1  # type: ignore[attr-defined] # the stream pauses its transport at once
+    await wait_until(lambda: gateway.client_listener.connections)
+    (connection,) = gateway.client_listener.connections
+    for sock in (client.writer.get_extra_info("socket"), connection.socket):
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SLOW_READER_BUFFER_BYTES)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SLOW_READER_BUFFER_BYTES)
+    return client, connection
