--- /dev/null
+++ b/tests/support/gateway_process.py
@@ -0,0 +1,125 @@
+"""The gateway as a process of its own, started by the command of deploy/balancer.toml."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import os
+import socket
+import sys
+import tomllib
+from asyncio.subprocess import Process
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager
+from pathlib import Path
+from typing import Any, NamedTuple
+
+from tests.support.fake_client import FakeClient
+from tests.support.fake_discovery import FakeDiscovery, make_instance
+from tests.support.fake_upstream import FakeUpstream
+from tests.support.settings_document import SETTINGS_DOCUMENT
+
+ROOT = Path(__file__).parent.parent.parent
+DEPLOYED_PYTHON = ".venv/bin/python"
+DEPLOYED_COMMAND: str = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
+CONNECT_INTERVAL_S = 0.01
+# One class and one plan without limits, under the names that encode_call gives by default.
+PROCESS_SETTINGS: dict[str, Any] = {
+    **SETTINGS_DOCUMENT,
+    "services": [
+        {**SETTINGS_DOCUMENT["services"][0], "name": "read", "hard_limit_ms": 60_000.0, "slo_ms": 30_000.0}
+    ],
+    "tariffs": [
+        {**SETTINGS_DOCUMENT["tariffs"][0], "name": "free", "refill": 0.0, "most_at_once": 0.0},
+    ],
+}
+
+
+class GatewayProcess(NamedTuple):
+    """A running gateway, the port that clients connect to, and the discovery that it watches."""
+
+    process: Process
+    port: int
+    discovery: FakeDiscovery
+
+
+def command() -> str:
+    """Give the deploy file's command; where its environment is not built, with this interpreter."""
+    if (ROOT / DEPLOYED_PYTHON).exists():
+        return DEPLOYED_COMMAND
+    return DEPLOYED_COMMAND.replace(DEPLOYED_PYTHON, sys.executable)
+
+
+def free_port() -> int:
+    """Find a port of loopback that nobody listens on."""
+    with socket.create_server(("127.0.0.1", 0)) as listener:
+        port: int = listener.getsockname()[1]
+        return port
+
+
+async def connect(port: int) -> FakeClient:
+    """Connect a client as soon as the process listens."""
+    while True:
+        try:
+            return await FakeClient().open(port)
+        except ConnectionRefusedError:
+            await asyncio.sleep(CONNECT_INTERVAL_S)
+
+
+@asynccontextmanager
+async def program(
+    folder: Path,
+    upstream: FakeUpstream,
+    descriptors: int = 1024,
+    known: int = 1,
+    discovery: FakeDiscovery | None = None,
+) -> AsyncIterator[GatewayProcess]:
+    """Run a gateway process, and kill it at the end if it still runs.
+
+    Args:
+        folder: where its ``config.json`` is written.
+        upstream: the server behind every endpoint.
+        descriptors: its limit of open descriptors.
+        known: how many endpoints its configuration lists, all at the address of ``upstream``.
+        discovery: what it watches; one is started and closed at the end if none is given.
+    """
+    if discovery is None:
+        async with (
+            FakeDiscovery() as own_discovery,
+            program(folder, upstream, descriptors, known, own_discovery) as gateway,
+        ):
+            yield gateway
+        return
+    port = free_port()
+    path = folder / "config.json"
+    path.write_text(json.dumps(_config(port, upstream, descriptors, known, discovery)))
+    env = {
+        **os.environ,
+        "EDGE_CONFIG": str(path),
+        "EDGE_NAME": "n0",
+        "EDGE_LISTEN": f"127.0.0.1:{port}",
+        "EDGE_DISCOVERY": f"127.0.0.1:{discovery.port}",
+    }
+    process = await asyncio.create_subprocess_shell(command(), cwd=ROOT, env=env)
+    try:
+        yield GatewayProcess(process, port, discovery)
+    finally:
+        if process.returncode is None:
+            process.kill()
+        await process.wait()
+
+
+def _config(
+    port: int, upstream: FakeUpstream, descriptors: int, known: int, discovery: FakeDiscovery
+) -> dict[str, Any]:
+    """Make the document of ``$EDGE_CONFIG``."""
+    instances = [make_instance(f"s-{number}", upstream.port) for number in range(1, known + 1)]
+    return {
+        "name": "n0",
+        "listen": f"127.0.0.1:{port}",
+        "discovery": f"127.0.0.1:{discovery.port}",
+        "seed": "8c1f30d27a5be964",
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": descriptors},
+        "known": {"generation": 1, "reset": True, "instances": instances},
+        "settings": PROCESS_SETTINGS,
+    }
