--- /dev/null
+++ b/quota_gateway/net/attempt.py
@@ -0,0 +1,117 @@
+"""One attempt at a command: its payload, its callbacks and its outcome. It knows no socket."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Protocol
+
+from quota_gateway.model import AttemptStatus
+
+BodyConsumer = Callable[[bytes], None]  # takes the bytes of a large value, piece by piece
+
+
+@dataclass(slots=True)
+class UpstreamReply:
+    """The outcome of an attempt.
+
+    Attributes:
+        status: How it ended.
+        value: The value of a good answer, empty for one that was passed on in pieces.
+        usage_percent: The customer's metered use over all gateways, in percent of its rate.
+        final_units: The units that the request took.
+        load: A figure for each of ``Settings.load_report_fields``.
+    """
+
+    status: AttemptStatus
+    value: bytes | None = None
+    usage_percent: float | None = None
+    final_units: float | None = None
+    load: tuple[float, ...] | None = None
+
+
+class AttemptConnection(Protocol):
+    """The connection that carries an attempt, as far as those who hold the attempt need it."""
+
+    fully_sent: bool
+
+    @property
+    def is_established(self) -> bool:
+        """Whether the connection has come up."""
+
+    def pause(self, pause: bool) -> None:
+        """Read no more for now, or go on."""
+
+    def close(self, status: AttemptStatus) -> None:
+        """Close at once; the attempt ends with this status."""
+
+
+def discard_piece(piece: bytes) -> None:
+    """Consume a piece of a value that nobody wants."""
+
+
+def _discard_body(length: int) -> BodyConsumer:  # noqa: ARG001 (stands in for ``Attempt.on_body_started``)
+    return discard_piece
+
+
+def _always_wanted() -> bool:
+    return True
+
+
+class Attempt:
+    """A command on its way to a server.
+
+    Args:
+        payload: The command's bytes.
+        on_done: Called once, with the outcome.
+        on_body_started: Called with the length of a large value as its first bytes come; returns the
+            consumer of its pieces. Such a value is not gathered, the outcome's value is empty then.
+        encode_again: Encodes the command anew for a connection that took a while to come up.
+        is_wanted: Whether the client still waits.
+    """
+
+    __slots__ = (
+        "body_consumer",
+        "connection",
+        "encode_again",
+        "is_wanted",
+        "on_body_started",
+        "on_done",
+        "payload",
+    )
+
+    def __init__(
+        self,
+        payload: bytes,
+        on_done: Callable[[UpstreamReply], None],
+        on_body_started: Callable[[int], BodyConsumer] = _discard_body,
+        encode_again: Callable[[], bytes] | None = None,
+        is_wanted: Callable[[], bool] = _always_wanted,
+    ) -> None:
+        self.payload = payload
+        self.on_done: Callable[[UpstreamReply], None] | None = on_done
+        self.on_body_started = on_body_started
+        self.encode_again = encode_again
+        self.is_wanted = is_wanted
+        self.connection: AttemptConnection | None = None
+        self.body_consumer: BodyConsumer | None = None  # once a large value has begun
+
+    def pause(self, pause: bool) -> None:
+        """Read no more of the value for now, or go on."""
+        if self.connection:
+            self.connection.pause(pause)
+
+    def finish(self, reply: UpstreamReply) -> None:
+        """Report the outcome, the first only, and let go of the command and the client.
+
+        The timer of an attempt holds it until it is due; see docs/decisions/upstream-attempts.md.
+        """
+        on_done = self.on_done
+        self.on_done = None
+        self.connection = None
+        self.payload = b""
+        self.encode_again = None
+        self.on_body_started = _discard_body
+        self.is_wanted = _always_wanted
+        if on_done:
+            on_done(reply)
--- a/quota_gateway/net/driver.py
+++ b/quota_gateway/net/driver.py
@@ -1,86 +1,61 @@
-"""Between the sockets and the decisions: events in, actions out, timers, one outcome for each send."""
+"""Between the sockets and the policy engine: events in, actions out, timers, one outcome for each attempt."""
 
 from __future__ import annotations
 
-import asyncio
-import heapq
 import logging
-import time
 from collections import deque
 from collections.abc import Callable
-from itertools import count
-from math import ceil, inf
-from typing import Any, Protocol
-
-from quota_gateway import model as api
+from functools import partial
+from typing import Any
+
+from quota_gateway.model import (
+    Action,
+    AttemptStatus,
+    CancelAttempt,
+    ClientDisconnected,
+    CloseIdle,
+    Event,
+    ExportState,
+    Fail,
+    LogMessage,
+    NotifyPeerProcess,
+    Outcome,
+    Reject,
+    Request,
+    RestoreState,
+    SetServerDetached,
+    SetTimer,
+    StartAttempt,
+    StateSnapshot,
+    StreamStarted,
+    Subscribe,
+    TimerFired,
+)
+from quota_gateway.net.active_request import ActiveAttempt, ActiveRequest, BodyWriter
+from quota_gateway.net.attempt import Attempt, BodyConsumer, UpstreamReply, discard_piece
+from quota_gateway.net.clock import Clock
 from quota_gateway.net.peer_processes import UsageListener
-from quota_gateway.net.upstream_pool import Attempt, BodyConsumer, UpstreamPool, UpstreamReply
+from quota_gateway.net.timer_queue import TimerQueue
+from quota_gateway.net.upstream_pool import UpstreamPool
 from quota_gateway.policy.engine import PolicyEngine
 
+__all__ = ["CLIENT_MARGIN_MS", "ActiveRequest", "BodyWriter", "Clock", "Driver"]
+
 log = logging.getLogger(__name__)
 
-CLIENT_MARGIN_MS = 10.0  # kept of a client's wait: the way here and back, and a loop that is late
+CLIENT_MARGIN_MS = 10.0  # kept of a client's timeout: the way here and back, and a loop that is late
 
 
-class Clock:
-    """Unix time in milliseconds that never goes back.
+class Driver:
+    """Drives one ``PolicyEngine``: hands it events one after the other and carries out its actions.
 
-    Guards against a system clock that is set while the gateway runs: read once, then counted on.
+    Args:
+        engine: Decides on each event.
+        upstream: Carries the attempts.
+        clock: Unix time in milliseconds that never goes back.
+        notify_peer: Passes usage on to the other process of this gateway, if there is one.
     """
 
-    def __init__(self) -> None:
-        self._offset = time.time() - time.monotonic()
-
-    def __call__(self) -> float:
-        return (time.monotonic() + self._offset) * 1000.0
-
-
-class BodyWriter(Protocol):
-    """Where a large value goes, at a client."""
-
-    def take(self, piece: bytes) -> None:
-        """The next bytes."""
-
-    def end(self, whole: bool) -> None:
-        """All has come, or no more will."""
-
-
-class ActiveRequest:
-    """A client's request in hand, until it has been answered and no attempt is out."""
-
-    __slots__ = (
-        "answered",
-        "deadline",
-        "encode",
-        "gone",
-        "on_answer",
-        "on_value",
-        "out",
-        "request_id",
-        "sends",
-        "value",
-        "waits",
-    )
-
-    def __init__(
-        self,
-        request_id: str,
-        encode: Callable[[float], bytes],
-        on_answer: Callable[[bytes], None],
-        on_value: Callable[[int, Attempt], BodyWriter] | None = None,
-        waits: Callable[[], bool] = lambda: True,
-    ) -> None:
-        self.request_id, self.encode, self.on_answer, self.on_value = request_id, encode, on_answer, on_value
-        self.waits = waits  # whether the client is still there
-        self.value: BodyWriter | None = None  # once a large one has begun
-        self.deadline, self.sends, self.answered = 0.0, 0, False
-        self.gone = False  # the client has left
-        self.out: dict[int, Attempt] = {}
-
-
-class Driver:
-    """Drives one ``PolicyEngine``: hands it events one after the other and carries out what it decides."""
-
     def __init__(
         self,
         engine: PolicyEngine,
@@ -92,232 +67,233 @@
         self.upstream = upstream
         self.clock = clock
         self.active_requests: dict[str, ActiveRequest] = {}
-        self.events: deque[api.Event] = deque()
-        self.over: list[ActiveRequest] = []  # calls that may be over once the actions of this event are done
-        self.handling = False
-        self.timers: list[tuple[float, int, Callable[[Any], None], Any]] = []
-        self.order = count()
-        self.alarm: tuple[float, asyncio.TimerHandle] | None = None
-        self.estate: dict[str, Any] = {}  # as the decisions gave it last
-        self.loop = asyncio.get_running_loop()
-        self.actions: dict[type, Callable[[Any], None]] = {
-            api.StartAttempt: self._send,
-            api.Reject: self._refuse,
-            api.Fail: self._fail,
-            api.CancelAttempt: self._cancel,
-            api.SetTimer: self._set_timer,
-            api.LogMessage: lambda action: log.info("%s", action.text),
-            api.CloseIdle: lambda action: upstream.close_idle(action.server),
-            api.SetServerDetached: lambda action: upstream.set_detached(action.server, action.detached),
-            api.Subscribe: lambda action: None,  # the watch, always open, asks
-            api.StateSnapshot: lambda action: setattr(self, "estate", action.state),
-            api.NotifyPeerProcess: lambda action: notify_peer(action.usage),
+        self.timers = TimerQueue(clock)
+        self._notify_peer = notify_peer
+        self._events: deque[Event] = deque()
+        self._is_handling = False
+        self._maybe_over: list[ActiveRequest] = []  # looked at once the actions of the event are carried out
+        self._exported_state: dict[str, Any] = {}  # as the engine gave it last
+        # Any: each method takes the one type of action that it stands beside.
+        self._action_handlers: dict[type, Callable[[Any], None]] = {
+            StartAttempt: self._start_attempt,
+            Reject: self._reject,
+            Fail: self._fail,
+            CancelAttempt: self._cancel_attempt,
+            SetTimer: self._set_timer,
+            LogMessage: self._log_message,
+            CloseIdle: self._close_idle,
+            SetServerDetached: self._set_server_detached,
+            Subscribe: self._subscribe,
+            StateSnapshot: self._keep_snapshot,
+            NotifyPeerProcess: self._notify_peer_process,
         }
 
     # ---- Events in
 
-    def post(self, event: api.Event) -> None:
+    def post(self, event: Event) -> None:
         """Queue an event and handle all that are queued.
 
-        Guards against re-entrance: what an action gives rise to at once (a connection that is refused)
-        waits until the actions before it are carried out.
+        Never re-entrant: what an action gives rise to at once (a connection that is refused) waits until the
+        actions before it are carried out.
         """
-        self.events.append(event)
-        if self.handling:
+        self._events.append(event)
+        if self._is_handling:
             return
-        self.handling = True
+        self._is_handling = True
         try:
-            while self.events:
-                self._handle(self.events.popleft())
+            while self._events:
+                self._handle(self._events.popleft())
         finally:
-            self.handling = False
+            self._is_handling = False
 
-    def _handle(self, event: api.Event) -> None:
+    def _handle(self, event: Event) -> None:
         try:
             for action in self.engine.handle(self.clock(), event):
                 self._perform(action)
-        except Exception:  # one request that the decisions can't cope with must not take the others along
-            log.exception("the decisions failed on %r", event)
+        except Exception:  # one request that the engine fails on must not take the others along
+            log.exception("policy engine failed event=%r", event)
             request_id = getattr(event, "request_id", None)
             if isinstance(request_id, str):
-                self._fail(api.Fail(request_id))
-        while self.over:  # behind the actions, which may cancel an attempt themselves
-            self._end(self.over.pop())
-
-    def _perform(self, action: api.Action) -> None:
-        perform = self.actions.get(type(action))
-        if perform:
-            perform(action)
+                self._fail(Fail(request_id))
+        while self._maybe_over:  # behind the actions, which may cancel an attempt themselves
+            self._end_if_answered(self._maybe_over.pop())
+
+    def _perform(self, action: Action) -> None:
+        handler = self._action_handlers.get(type(action))
+        if handler:
+            handler(action)
         else:
-            log.error("no such action on these sockets: %r", action)
+            log.error("action unsupported action=%r", action)
 
-    def submit(self, call: ActiveRequest, request: api.Request, waits_ms: float) -> None:
-        """Take a client's request; it is answered through ``call.on_answer``, once."""
-        call.deadline = self.clock() + waits_ms
-        self.active_requests[call.request_id] = call
+    def submit(self, active: ActiveRequest, request: Request, timeout_ms: float) -> None:
+        """Take a client's request; it is answered once, through the callbacks of ``active``."""
+        active.deadline_ms = self.clock() + timeout_ms
+        self.active_requests[active.request_id] = active
         self.post(request)
 
     def client_disconnected(self, request_id: str) -> None:
         """The client closed its connection: nothing more is owed."""
-        call = self.active_requests.get(request_id)
-        if call and not call.answered:
-            call.answered = call.gone = True
-            self.over.append(call)
-            self.post(api.ClientDisconnected(request_id))
+        active = self.active_requests.get(request_id)
+        if active and not active.answered:
+            active.answered = True
+            active.client_left = True
+            self._maybe_over.append(active)
+            self.post(ClientDisconnected(request_id))
 
     def export_state(self) -> dict[str, Any]:
-        """The decisions' state for a process that takes over."""
-        self.post(api.ExportState())
-        return self.estate
+        """Return the engine's state for a process that takes over."""
+        self.post(ExportState())
+        return self._exported_state
 
     def restore_state(self, state: dict[str, Any]) -> bool:
-        """Hand the decisions what a process before has left; whether they could take it over."""
-        self.post(api.RestoreState(state))
+        """Hand the engine the state of the process before; return whether it could take it over."""
+        self.post(RestoreState(state))
         return self.engine.has_peer_process
 
-    # ---- Actions out
+    # ---- Attempts
 
-    def _send(self, action: api.StartAttempt) -> None:
-        call = self.active_requests.get(action.request_id)
-        if call is None:
-            log.error("sent after its end: %r", action)
+    def _start_attempt(self, action: StartAttempt) -> None:
+        request = self.active_requests.get(action.request_id)
+        if request is None:
+            log.error("attempt started after request end action=%r", action)
             return
-        number, now = call.sends, self.clock()
-        call.sends += 1
-        wait = call.deadline - now
+        number = request.attempt_count
+        request.attempt_count += 1
+        now_ms = self.clock()
+        timeout_ms = request.deadline_ms - now_ms
         if action.timeout_ms:
-            wait = min(wait, action.timeout_ms)
-        if call.answered or wait <= 0.0:
-            self._outcome(call, number, action.server, now, UpstreamReply(api.AttemptStatus.NOT_SENT))
+            timeout_ms = min(timeout_ms, action.timeout_ms)
+        active = ActiveAttempt(request, number, action.server, now_ms, now_ms + timeout_ms)
+        if request.answered or timeout_ms <= 0.0:
+            self._report_outcome(active, UpstreamReply(AttemptStatus.NOT_SENT))
             return
-
-        first_ms = inf  # until the first bytes of a large value
-
-        def done(reply: UpstreamReply) -> None:
-            call.out.pop(number, None)
-            if attempt.sink and call.value:
-                call.value.end(reply.value is not None)
-            self._outcome(call, number, action.server, now, reply, first_ms)
-
-        def begun(length: int) -> BodyConsumer:
-            nonlocal first_ms
-            if call.answered or call.on_value is None:
-                self.upstream.stop(attempt, api.AttemptStatus.CANCELLED)
-                return lambda piece: None
-            call.answered, first_ms = True, self.clock() - now
-            call.value = value = call.on_value(length, attempt)
-            self.over.append(call)
-            self.post(api.StreamStarted(call.request_id, number, action.server, first_ms))
-            return value.take
-
-        # Guards against a server that works for longer than anybody waits, where connecting took a while.
         attempt = Attempt(
-            call.encode(wait), done, begun, lambda: call.encode(now + wait - self.clock()), call.waits
+            request.encode(timeout_ms),
+            partial(self._on_attempt_done, active),
+            partial(self._on_body_started, active),
+            partial(self._encode_again, active),
+            request.is_client_waiting,
         )
-        call.out[number] = attempt
+        active.attempt = attempt
+        request.attempts[number] = attempt
         self.upstream.start(action.server, attempt)
-        if number in call.out:
-            self._at(now + wait, self._time_out, attempt)
-
-    def _time_out(self, attempt: Attempt) -> None:
-        if attempt.sink is None:  # of a large value only the first bytes are timed
-            self.upstream.stop(attempt, api.AttemptStatus.TIMEOUT)
-
-    def _outcome(
-        self,
-        call: ActiveRequest,
-        number: int,
-        server: int,
-        sent: float,
-        reply: UpstreamReply,
-        first_ms: float = inf,
-    ) -> None:
-        """The outcome of an attempt; a good answer goes to the client first, if it still waits."""
-        if reply.value is not None and not call.answered:
-            self._answer(call, b"$%d\r\n%b\r\n" % (len(reply.value), reply.value))
-        self.over.append(call)
+        if number in request.attempts:
+            self.timers.call_at(active.deadline_ms, self._time_out, attempt)
+
+    def _encode_again(self, active: ActiveAttempt) -> bytes:
+        """Encode the command with what is left of its time, as connecting may have taken a while."""
+        return active.request.encode(active.deadline_ms - self.clock())
+
+    def _on_body_started(self, active: ActiveAttempt, length: int) -> BodyConsumer:
+        """The first bytes of a large value answer the client, if no other answer has."""
+        request = active.request
+        attempt = active.attempt
+        assert attempt is not None
+        if request.answered or request.on_body_started is None:
+            self.upstream.stop(attempt, AttemptStatus.CANCELLED)
+            return discard_piece
+        request.answered = True
+        active.first_byte_latency_ms = self.clock() - active.started_ms
+        body_writer = request.on_body_started(length, attempt)
+        request.body_writer = body_writer
+        self._maybe_over.append(request)
+        self.post(
+            StreamStarted(request.request_id, active.number, active.server, active.first_byte_latency_ms)
+        )
+        return body_writer.take
+
+    def _on_attempt_done(self, active: ActiveAttempt, reply: UpstreamReply) -> None:
+        request = active.request
+        request.attempts.pop(active.number, None)
+        if active.attempt and active.attempt.body_consumer and request.body_writer:
+            request.body_writer.end(reply.value is not None)
+        self._report_outcome(active, reply)
+
+    def _report_outcome(self, active: ActiveAttempt, reply: UpstreamReply) -> None:
+        """Report the outcome of an attempt; a good answer goes to the client first, if it still waits."""
+        request = active.request
+        if reply.value is not None and not request.answered:
+            self._answer(request, b"$%d\r\n%b\r\n" % (len(reply.value), reply.value))
+        self._maybe_over.append(request)
         self.post(
-            api.Outcome(
-                call.request_id,
-                number,
-                server,
+            Outcome(
+                request.request_id,
+                active.number,
+                active.server,
                 reply.status,
-                min(first_ms, self.clock() - sent),
-                call.answered,
-                reply.used,
-                reply.cost,
+                min(active.first_byte_latency_ms, self.clock() - active.started_ms),
+                request.answered,
+                reply.usage_percent,
+                reply.final_units,
                 reply.load,
             )
         )
 
-    def _refuse(self, action: api.Reject) -> None:
-        advice = round(action.retry_after_ms)
-        self._final(action.request_id, b"-BUSY %d\r\n" % advice if advice > 0 else b"-BUSY\r\n")
+    def _time_out(self, attempt: Attempt) -> None:
+        if attempt.body_consumer is None:  # of a large value only the first bytes are timed
+            self.upstream.stop(attempt, AttemptStatus.TIMEOUT)
+
+    def _cancel_attempt(self, action: CancelAttempt) -> None:
+        request = self.active_requests.get(action.request_id)
+        attempt = request.attempts.get(action.attempt) if request else None
+        if request and attempt:
+            if request.client_left:  # that it has not come up yet says nothing of its server
+                self.upstream.cancel_unsent(attempt)
+            self.upstream.stop(attempt, AttemptStatus.CANCELLED)
+
+    # ---- Answers
+
+    def _reject(self, action: Reject) -> None:
+        retry_after_ms = round(action.retry_after_ms)
+        answer = b"-BUSY %d\r\n" % retry_after_ms if retry_after_ms > 0 else b"-BUSY\r\n"
+        self._answer_finally(action.request_id, answer)
 
-    def _fail(self, action: api.Fail) -> None:
-        self._final(action.request_id, b"-ERR failed\r\n")
+    def _fail(self, action: Fail) -> None:
+        self._answer_finally(action.request_id, b"-ERR failed\r\n")
 
-    def _final(self, request_id: str, answer: bytes) -> None:
-        call = self.active_requests.get(request_id)
-        if call and not call.answered:
-            self._answer(call, answer)
-            self.over.append(call)
-            if not call.out:
-                self.active_requests.pop(call.request_id, None)
+    def _answer_finally(self, request_id: str, answer: bytes) -> None:
+        request = self.active_requests.get(request_id)
+        if request and not request.answered:
+            self._answer(request, answer)
+            self._maybe_over.append(request)
+            if not request.attempts:
+                self.active_requests.pop(request_id, None)
 
-    def _answer(self, call: ActiveRequest, answer: bytes) -> None:
-        call.answered = True
-        call.on_answer(answer)
+    def _answer(self, request: ActiveRequest, answer: bytes) -> None:
+        request.answered = True
+        request.on_answer(answer)
 
-    def _end(self, call: ActiveRequest) -> None:
-        """Once a request is over: call off what has not gone out whole, forget the call when nothing is out.
+    def _end_if_answered(self, request: ActiveRequest) -> None:
+        """Once a request is answered, cancel its unsent attempts; forget it when none is in flight.
 
-        Guards against a connection that comes up, or takes the rest of a command, after the answer: what
-        was still to be written would be sent on behind it, for a client that has its answer or has left.
+        An attempt still to be written would go out behind the answer; see docs/decisions/driver.md.
         """
-        if not call.answered:
+        if not request.answered:
             return
-        for attempt in list(call.out.values()):
+        for attempt in list(request.attempts.values()):
             self.upstream.cancel_unsent(attempt)
-        if not call.out:
-            self.active_requests.pop(call.request_id, None)
-
-    def _cancel(self, action: api.CancelAttempt) -> None:
-        call = self.active_requests.get(action.request_id)
-        attempt = call.out.get(action.attempt) if call else None
-        if call and attempt:
-            if call.gone:  # that it has not come up yet says nothing of its server
-                self.upstream.cancel_unsent(attempt)
-            self.upstream.stop(attempt, api.AttemptStatus.CANCELLED)
+        if not request.attempts:
+            self.active_requests.pop(request.request_id, None)
 
-    # ---- Timers
+    # ---- Other actions
 
-    def _set_timer(self, action: api.SetTimer) -> None:
-        self._at(self.clock() + action.delay_ms, self.post, api.TimerFired(action.token))
+    def _set_timer(self, action: SetTimer) -> None:
+        self.timers.call_at(self.clock() + action.delay_ms, self.post, TimerFired(action.token))
 
-    def _at(self, due: float, call: Callable[[Any], None], argument: Any) -> None:
-        heapq.heappush(self.timers, (due, next(self.order), call, argument))
-        self._arm()
+    def _log_message(self, action: LogMessage) -> None:
+        log.info("policy message text=%s", action.text)
 
-    def _arm(self) -> None:
-        """One timer of the loop stands for all of these: it is set for the first that falls due.
+    def _close_idle(self, action: CloseIdle) -> None:
+        self.upstream.close_idle(action.server)
 
-        Whole milliseconds, rounded up. Guards against spinning: the loop rounds a shorter delay down to
-        nothing, and would come back again and again until the timer is due.
-        """
-        due = self.timers[0][0]
-        if self.alarm and self.alarm[0] <= due:
-            return
-        if self.alarm:
-            self.alarm[1].cancel()
-        delay_ms = max(1, ceil(due - self.clock()))
-        self.alarm = (due, self.loop.call_later(delay_ms / 1000.0, self._fire))
-
-    def _fire(self) -> None:
-        self.alarm = None
-        now = self.clock()
-        while self.timers and self.timers[0][0] <= now:
-            _, _, call, argument = heapq.heappop(self.timers)
-            call(argument)
-        if self.timers:
-            self._arm()
+    def _set_server_detached(self, action: SetServerDetached) -> None:
+        self.upstream.set_detached(action.server, action.detached)
+
+    def _subscribe(self, action: Subscribe) -> None:
+        """Do nothing: the watch of discovery is always open here."""
+
+    def _keep_snapshot(self, action: StateSnapshot) -> None:
+        self._exported_state = action.state
+
+    def _notify_peer_process(self, action: NotifyPeerProcess) -> None:
+        self._notify_peer(action.usage)
--- /dev/null
+++ b/quota_gateway/net/reply_parser.py
@@ -0,0 +1,87 @@
+"""Meaning of a server's reply: status, value, figures on use and load reports."""
+
+from __future__ import annotations
+
+import logging
+import re
+from math import inf
+
+from quota_gateway.errors import ProtocolError
+from quota_gateway.model import AttemptStatus
+from quota_gateway.net.attempt import UpstreamReply
+from quota_gateway.net.resp import Answer
+from quota_gateway.settings_format import REPORT_FIELD
+
+log = logging.getLogger(__name__)
+
+MAX_USAGE_PERCENT = 100_000.0  # of a quota: a thousand times the quota is no real use
+MAX_LOAD_FIGURE = 1_000_000.0  # of any figure in a load report, whatever its unit: no server is that loaded
+MAX_UNITS_FACTOR = 10.0  # final units of a request over the largest guess: a guess is not that far out
+FIGURE_PATTERN = re.compile(r"[a-z_0-9]{1,20}=[0-9]{1,9}(\.[0-9]{1,20})?")
+
+ERROR_WORDS = frozenset({"ERR", "BUSY", "NOPERM", "SYNTAX"})  # first words of the protocol's error lines
+OVERLOADED_WORD = "BUSY"  # the server did nothing, a retry elsewhere is harmless
+SYNTAX_WORD = "SYNTAX"  # the server could not read the command
+
+
+def _parse_figures(text: str) -> dict[str, float]:
+    """Parse ``a=1,b=2`` into numbers; empty if any part is of another form, negative or no number."""
+    parts = text.split(",")
+    if not all(FIGURE_PATTERN.fullmatch(part) for part in parts):
+        return {}
+    return {name: float(number) for name, _, number in (part.partition("=") for part in parts)}
+
+
+class ReplyParser:
+    """Parses the replies of servers, with the figures on use and load reports in them.
+
+    Figures that can't be read, or can't be true, are dropped and the good value is served; see
+    docs/decisions/upstream-replies.md.
+
+    Args:
+        load_report_fields: Fields that a load report has to have, in the order wanted.
+        max_request_units: The largest guess of a request's units.
+    """
+
+    def __init__(self, load_report_fields: tuple[str, ...], max_request_units: float) -> None:
+        self.load_report_fields = load_report_fields
+        self.max_final_units = MAX_UNITS_FACTOR * max_request_units
+
+    def parse(self, answer: Answer) -> UpstreamReply:
+        """Return what an answer means by the protocol's table.
+
+        Raises:
+            ProtocolError: It is an error line that no server writes.
+        """
+        if isinstance(answer, str):
+            return self._parse_error(answer)
+        value, *reports = answer
+        reply = UpstreamReply(AttemptStatus.OK, value)
+        for report in reports:
+            if report is not None:
+                self._add_figures(reply, report.decode("latin-1"))
+        return reply
+
+    def _parse_error(self, line: str) -> UpstreamReply:
+        word, *reports = line.split(" ")
+        if word not in ERROR_WORDS:
+            raise ProtocolError("an error line that no server writes")
+        if word == SYNTAX_WORD:
+            log.error("upstream rejected command syntax reply=%.200s", line)
+        overloaded = word == OVERLOADED_WORD
+        reply = UpstreamReply(AttemptStatus.OVERLOADED if overloaded else AttemptStatus.ERROR)
+        for report in reports:
+            self._add_figures(reply, report)
+        return reply
+
+    def _add_figures(self, reply: UpstreamReply, text: str) -> None:
+        figures = _parse_figures(text)
+        if figures.get("used", inf) <= MAX_USAGE_PERCENT:
+            reply.usage_percent = figures["used"]
+        if figures.get("cost", inf) <= self.max_final_units:
+            reply.final_units = figures["cost"]
+        load = {
+            REPORT_FIELD.get(name, name): value for name, value in figures.items() if value <= MAX_LOAD_FIGURE
+        }
+        if self.load_report_fields and all(name in load for name in self.load_report_fields):
+            reply.load = tuple(load[name] for name in self.load_report_fields)
--- a/tests/net/test_client_disconnect.py
+++ b/tests/net/test_client_disconnect.py
@@ -80,7 +80,7 @@
 def out(gateway, number: int) -> list[UpstreamConnection]:
     """The connections that a request is out on."""
     held = gateway.driver.active_requests[name(number).decode()]
-    return [attempt.connection for attempt in held.out.values()]
+    return [attempt.connection for attempt in held.attempts.values()]
 
 
 def answer(connection: UpstreamConnection, reply: bytes) -> None:
@@ -138,7 +138,7 @@
 async def timed_out(gateway, leaver):
     leaver.socket.sendall(ask(FIRST))
     await sent(gateway, leaver, FIRST)
-    (attempt,) = gateway.driver.active_requests[name(FIRST).decode()].out.values()
+    (attempt,) = gateway.driver.active_requests[name(FIRST).decode()].attempts.values()
     return lambda: gateway.driver._time_out(attempt)
 
 
@@ -229,7 +229,7 @@
 @pytest.mark.parametrize("how", ["end", "reset"])
 @pytest.mark.parametrize("case", CASES)
 def test_attempt_that_falls_due_once_its_client_has_left_does_not_begin(case, how, monkeypatch):
-    monkeypatch.setattr(servers_module, "REST_S", 0.0)
+    monkeypatch.setattr(servers_module, "REUSE_DELAY_S", 0.0)
     monkeypatch.setattr(clients_module, "SWEEP_S", 3600.0)
     monkeypatch.setattr(clients_module, "STALLED_S", 3600.0)
     silent = set()
--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -576,7 +576,7 @@
             assert await peer.ask(call(1, wait=999_999_999)) == b"0000000000000001"
             (fields,) = [part for part in server.commands[0][3].split(b",") if part.startswith(b"d=")]
             assert 0 < int(fields[2:]) <= 4000
-            assert all(due <= gateway.driver.clock() + 4000.0 for due, *_ in gateway.driver.timers)
+            assert all(due <= gateway.driver.clock() + 4000.0 for due, *_ in gateway.driver.timers.entries)
 
     run(test())
 
--- a/tests/net/test_descriptors.py
+++ b/tests/net/test_descriptors.py
@@ -12,7 +12,8 @@
 
 from quota_gateway import AttemptStatus, Endpoint, EndpointUpdate, UpdateKind
 from quota_gateway import __main__ as program_module
-from quota_gateway.net.upstream_pool import Attempt, UpstreamPool
+from quota_gateway.net.attempt import Attempt
+from quota_gateway.net.upstream_pool import UpstreamPool
 from tests.process import test_process as process_module
 from tests.support.fakes import (
     MOST_HELD,
@@ -46,7 +47,7 @@
             await until(lambda: made[0].socket is not None)
             number = made[0].socket.fileno()
             if news:
-                servers._renew(made[0].host)
+                made[0].host.start_epoch()
             else:
                 made[0].close(AttemptStatus.CANCELLED)
             await until(lambda: ends and made[0].task.done())
@@ -112,7 +113,7 @@
             servers.start(1, waiting)
             servers.stop(waiting, AttemptStatus.TIMEOUT)
             assert ends == [AttemptStatus.CONNECT_FAILED]  # it never ran
-            assert not servers.waiting and not servers.connections
+            assert not servers.waiting_to_open and not servers.connections
             await until(lambda: servers.descriptors_in_use == 0)
             servers.close()
 
--- a/tests/net/test_driver.py
+++ b/tests/net/test_driver.py
@@ -23,8 +23,11 @@
     TimerFired,
     UpdateKind,
 )
-from quota_gateway.net.driver import ActiveRequest, Clock, Driver
-from quota_gateway.net.upstream_pool import Attempt, UpstreamConnection
+from quota_gateway.net.active_request import ActiveRequest
+from quota_gateway.net.attempt import Attempt
+from quota_gateway.net.clock import Clock
+from quota_gateway.net.timer_queue import TimerQueue
+from quota_gateway.net.upstream_connection import UpstreamConnection
 from tests.support.fakes import FakeServer, array, call, node, run, until
 
 
@@ -62,7 +65,7 @@
             script = Script(
                 Request=lambda e: [StartAttempt("r", 9), StartAttempt("r", 9), LogMessage("after both")],
                 Outcome=lambda e: (
-                    sends.append(gateway.driver.active_requests["r"].sends)
+                    sends.append(gateway.driver.active_requests["r"].attempt_count)
                     or ([Reject("r")] if e.attempt == 1 else [])
                 ),
             )
@@ -171,7 +174,7 @@
         await plain(self)
 
     def first_port(connection):
-        return connection.servers.hosts[1].address[1]
+        return connection.owner.hosts[1].address[1]
 
     monkeypatch.setattr(UpstreamConnection, "open", open_late)
     run(test())
@@ -254,22 +257,22 @@
             assert script.events[1:] == [TimerFired(1), TimerFired(2), TimerFired(3)]
             assert script.times == sorted(script.times)
             assert script.times[3] - script.times[0] >= 30.0
-            assert not gateway.driver.timers
+            assert not gateway.driver.timers.entries
 
     run(test())
 
 
 def test_timer_between_two_milliseconds_does_not_spin_until_it_is_due(monkeypatch):
     fired = []
-    plain = Driver._fire
-    monkeypatch.setattr(Driver, "_fire", lambda self: fired.append(1) or plain(self))
+    plain = TimerQueue._fire
+    monkeypatch.setattr(TimerQueue, "_fire", lambda self: fired.append(1) or plain(self))
 
     async def test():
         async with node() as gateway:
             driver, due = gateway.driver, asyncio.Event()
             for number in range(20):
                 due.clear()
-                driver._at(driver.clock() + 5.0 + number / 20.0, lambda _: due.set(), None)
+                driver.timers.call_at(driver.clock() + 5.0 + number / 20.0, lambda _: due.set(), None)
                 await due.wait()
             assert 20 <= len(fired) <= 100
 
@@ -318,7 +321,9 @@
         async with node(FakeServer()) as gateway:
             peer = await gateway.peer()
             assert await peer.ask(call(1, "buy", body=b"x" * 60_000)) == b"0000000000000001"
-            kept = [argument for *_, argument in gateway.driver.timers if isinstance(argument, Attempt)]
+            kept = [
+                argument for *_, argument in gateway.driver.timers.entries if isinstance(argument, Attempt)
+            ]
             assert len(kept) == 1 and kept[0].payload == b"" and not gateway.driver.active_requests
 
     run(test())
@@ -337,7 +342,7 @@
             monkeypatch.setattr(UpstreamConnection, "open", never)
             peer = await gateway.peer()
             peer.send(call(1))
-            await until(lambda: any(held.out for held in gateway.driver.active_requests.values()))
+            await until(lambda: any(held.attempts for held in gateway.driver.active_requests.values()))
             (peer.writer.close if how == "end" else peer.writer.transport.abort)()
             await until(lambda: not gateway.driver.active_requests)
             decisions = gateway.driver.engine
@@ -357,7 +362,7 @@
                 next(iter(gateway.driver.active_requests.values())).encode
             )  # it has the command
             assert await peer.reply() == b"0000000000000001" and not gateway.driver.active_requests
-            assert any(isinstance(argument, Attempt) for *_, argument in gateway.driver.timers)
+            assert any(isinstance(argument, Attempt) for *_, argument in gateway.driver.timers.entries)
             gc.collect()
             assert encode() is None
 
--- a/tests/net/test_large_replies.py
+++ b/tests/net/test_large_replies.py
@@ -59,7 +59,7 @@
             assert await peer.reader.readexactly(len(LARGE) - 8) == LARGE[10:] + b"\r\n"
             assert await peer.ask(call(2)) == b"0000000000000002"
             await until(lambda: not gateway.driver.active_requests)
-            assert gateway.client_listener.held == gateway.upstream_pool.held == 0
+            assert gateway.client_listener.held == gateway.upstream_pool.buffered_bytes == 0
 
     run(test())
 
@@ -95,7 +95,7 @@
             server.writers[0].write(b"*3\r\n$%d\r\n" % (len(many) // 2) + many[: len(many) // 2] + TAIL)
             (connection,) = gateway.upstream_pool.connections
             await until(lambda: connection.paused)
-            assert gateway.client_listener.held < 300_000 and gateway.upstream_pool.held < 100_000
+            assert gateway.client_listener.held < 300_000 and gateway.upstream_pool.buffered_bytes < 100_000
             peer.writer.transport.resume_reading()
             assert await peer.reply() == many[: len(many) // 2]
 
@@ -133,13 +133,13 @@
             peer.send(call(1))
             await server.until(lambda: server.commands)
             server.writers[0].write(HEAD + LARGE[:10])
-            await until(lambda: any(call.value for call in gateway.driver.active_requests.values()))
+            await until(lambda: any(call.body_writer for call in gateway.driver.active_requests.values()))
             server.writers[0].write(rest) if rest else server.writers[0].close()
             assert await peer.reply() is None
             await until(
                 lambda: not gateway.driver.active_requests and not gateway.client_listener.connections
             )
-            assert gateway.client_listener.held == gateway.upstream_pool.held == 0
+            assert gateway.client_listener.held == gateway.upstream_pool.buffered_bytes == 0
 
     run(test())
 
@@ -156,7 +156,7 @@
                 for words in sorted(server.commands, key=lambda words: words[2])
             )
             second.write(HEAD + LARGE[:10])
-            await until(lambda: any(call.value for call in gateway.driver.active_requests.values()))
+            await until(lambda: any(call.body_writer for call in gateway.driver.active_requests.values()))
             second.close()
             first.write(array(b"first"))
             assert [await peer.reply(), await peer.reply()] == [b"first", None]
@@ -165,8 +165,8 @@
 
 
 def test_server_that_stalls_within_a_value_is_given_up(monkeypatch):
-    monkeypatch.setattr(servers_module, "STALLED_S", 0.2)
-    monkeypatch.setattr(servers_module, "SWEEP_S", 0.05)
+    monkeypatch.setattr(servers_module, "STALL_TIMEOUT_S", 0.2)
+    monkeypatch.setattr(servers_module, "SWEEP_INTERVAL_S", 0.05)
 
     async def test():
         server = FakeServer(lambda words: None)
@@ -204,7 +204,7 @@
             peer.send(call(1))
             await server.until(lambda: server.commands)
             server.writers[0].write(HEAD + LARGE[:10])
-            await until(lambda: any(call.value for call in gateway.driver.active_requests.values()))
+            await until(lambda: any(call.body_writer for call in gateway.driver.active_requests.values()))
             peer.writer.transport.abort()
             await server.until(lambda: server.ended)
             await until(lambda: not gateway.driver.active_requests)
@@ -220,7 +220,7 @@
             peer.send(call(1))
             await until(lambda: gateway.driver.active_requests)
             (held,) = gateway.driver.active_requests.values()
-            (first,) = held.out.values()
+            (first,) = held.attempts.values()
             flight = gateway.driver.engine.flights[held.request_id]
             at = next(number for number in (1, 2) if number not in flight.tried)
             gateway.driver.engine.actions = []
@@ -235,6 +235,6 @@
             quick.writers[0].write(HEAD + LARGE + TAIL)
             assert await peer.reply() == LARGE
             await slow.until(lambda: slow.ended)
-            assert first.done is None
+            assert first.on_done is None
 
     run(test())
--- a/tests/net/test_upstream_pool.py
+++ b/tests/net/test_upstream_pool.py
@@ -7,8 +7,10 @@
 import pytest
 
 from quota_gateway import AttemptStatus, Endpoint, EndpointLifecycle, GatewayLimits, UpdateKind
+from quota_gateway.net import upstream_connection as connection_module
 from quota_gateway.net import upstream_pool as module
-from quota_gateway.net.upstream_pool import Attempt, ReplyParser, UpstreamReply
+from quota_gateway.net.attempt import Attempt, UpstreamReply
+from quota_gateway.net.reply_parser import ReplyParser
 from tests.support.fakes import FakeServer, array, call, node, resp, run, until
 
 COMMAND = resp("CALL.GET", "00000000b4d65521", "00000000000000aa", "c=read,t=free,d=10")
@@ -42,7 +44,7 @@
             for number in (1, 0):
                 server.writers[number].write(array(b"v"))
                 assert await ends.status() is AttemptStatus.OK
-            await asyncio.sleep(4.0 * module.REST_S)
+            await asyncio.sleep(4.0 * module.REUSE_DELAY_S)
             gateway.upstream_pool.start(1, ends.attempt())
             await server.until(lambda: len(server.commands) == 3)
             assert server.by[2] == 0
@@ -82,7 +84,7 @@
 
 
 def test_figures_on_use_and_load_in_answers_and_error_lines():
-    read = ReplyParser(("utilisation", "queue"), 1.0).reply
+    read = ReplyParser(("utilisation", "queue"), 1.0).parse
     assert read([b"v", b"used=37,cost=4", b"inflight=7,queue=2,util=0.61"]) == UpstreamReply(
         AttemptStatus.OK, b"v", 37.0, 4.0, (0.61, 2.0)
     )
@@ -133,7 +135,7 @@
             peer = await gateway.peer()
             first = await peer.ask(call(1, "buy"))
             assert first == b"v" if answer.startswith(array(b"v")) else first == "-ERR failed"
-            await asyncio.sleep(2.0 * module.REST_S)
+            await asyncio.sleep(2.0 * module.REUSE_DELAY_S)
             for number in (2, 3):
                 assert await peer.ask(call(number, "buy")) == b"%016x" % number
             assert server.by[0] == 0 not in server.by[1:]
@@ -142,7 +144,7 @@
 
 
 def test_bytes_that_come_a_little_behind_an_answer_do_not_answer_the_next_request(monkeypatch):
-    monkeypatch.setattr(module, "REST_S", 0.5)
+    monkeypatch.setattr(module, "REUSE_DELAY_S", 0.5)
 
     async def test():
         server = FakeServer(lambda words: array(words[2]))
@@ -337,7 +339,7 @@
 
             ends = Ends()
             with monkeypatch.context() as patch:
-                patch.setattr(module.socket, "socket", none_left)
+                patch.setattr(connection_module.socket, "socket", none_left)
                 gateway.upstream_pool.start(1, ends.attempt())
                 assert await ends.status() is AttemptStatus.CONNECT_FAILED
             gateway.upstream_pool.start(1, ends.attempt())
@@ -368,13 +370,13 @@
 
 
 def test_wait_that_a_server_is_told_is_what_is_left_once_the_connection_is_up(monkeypatch):
-    up, plain = asyncio.Event(), module.UpstreamConnection.open
+    up, plain = asyncio.Event(), connection_module.UpstreamConnection.open
 
     async def open_late(self):
         await up.wait()
         await plain(self)
 
-    monkeypatch.setattr(module.UpstreamConnection, "open", open_late)
+    monkeypatch.setattr(connection_module.UpstreamConnection, "open", open_late)
 
     async def test():
         server = FakeServer()
@@ -408,7 +410,7 @@
                     sock.send(b"x")
                 told.append(reply)
 
-            attempt.done = done
+            attempt.on_done = done
             gateway.upstream_pool.stop(attempt, AttemptStatus.CANCELLED)
             assert [reply.status for reply in told] == [AttemptStatus.CANCELLED]
             await server.until(lambda: server.ended == 1)
@@ -440,6 +442,6 @@
             await server.until(lambda: len(server.commands) == 2)
             server.writers[-1].write(array(b"v" * 60_000)[:-1])
             assert await peer.reply() == "-ERR failed"
-            assert gateway.upstream_pool.held == 0
+            assert gateway.upstream_pool.buffered_bytes == 0
 
     run(test())
