--- a/tests/net/test_descriptors.py
+++ b/tests/net/test_descriptors.py
@@ -15,19 +15,10 @@
 from quota_gateway.net.attempt import Attempt
 from quota_gateway.net.upstream_pool import UpstreamPool
 from tests.process import test_process as process_module
-from tests.support.fakes import (
-    MOST_HELD,
-    SETTINGS,
-    FakeDiscovery,
-    FakeServer,
-    array,
-    call,
-    chunk,
-    listing,
-    resp,
-    row,
-    until,
-)
+from tests.support.fake_discovery import FakeDiscovery, encode_chunk, encode_update, make_instance
+from tests.support.fake_upstream import FakeUpstream
+from tests.support.gateway_node import MAX_BUFFERED_BYTES, SETTINGS, wait_until
+from tests.support.resp_encoding import encode_call, encode_command, encode_reply
 
 
 def told(servers: UpstreamPool, listener: socket.socket) -> None:
@@ -38,17 +29,17 @@
 @pytest.mark.parametrize("news", [True, False])
 async def test_descriptor_of_a_connection_that_ends_as_it_comes_up_is_closed_once(news):
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        servers, ends = UpstreamPool(SETTINGS, 10, MOST_HELD), []
+        servers, ends = UpstreamPool(SETTINGS, 10, MAX_BUFFERED_BYTES), []
         told(servers, listener)
         servers.start(1, Attempt(b"x", lambda reply: ends.append(reply.status)))
         made = list(servers.connections)
-        await until(lambda: made[0].socket is not None)
+        await wait_until(lambda: made[0].socket is not None)
         number = made[0].socket.fileno()
         if news:
             made[0].host.start_epoch()
         else:
             made[0].close(AttemptStatus.CANCELLED)
-        await until(lambda: ends and made[0].task.done())
+        await wait_until(lambda: ends and made[0].task.done())
         with open(os.devnull) as other:
             assert other.fileno() == number  # as its descriptor is closed, the next file has the number
             made.clear()
@@ -65,13 +56,13 @@
 @pytest.mark.parametrize("turns", range(1, 8))
 async def test_connections_reopened_in_one_turn_never_hold_more_descriptors_than_their_share(turns):
     with socket.create_server(("127.0.0.1", 0), backlog=1024) as listener:
-        servers, ends, most, share = UpstreamPool(SETTINGS, 40, MOST_HELD), [], 0, 40
+        servers, ends, most, share = UpstreamPool(SETTINGS, 40, MAX_BUFFERED_BYTES), [], 0, 40
         told(servers, listener)
-        servers.start(1, Attempt(b"x", lambda reply: None))
+        servers.start(1, Attempt(b"x", lambda _: None))
         (first,) = servers.connections
-        await until(lambda: first.transport is not None)  # what the loop opens once is open
+        await wait_until(lambda: first.transport is not None)  # what the loop opens once is open
         first.close(AttemptStatus.CANCELLED)
-        await until(lambda: servers.descriptors_in_use == 0)
+        await wait_until(lambda: servers.descriptors_in_use == 0)
         before = open_now()
         for _ in range(4):
             for _ in range(share):
@@ -89,24 +80,25 @@
         assert most == servers.descriptors_in_use == len(servers.connections) == share
         assert ends == [AttemptStatus.CANCELLED] * 4 * share  # none could not connect for it
         servers.close()
-        await until(lambda: servers.descriptors_in_use == 0)
+        await wait_until(lambda: servers.descriptors_in_use == 0)
         assert open_now() == before
 
 
 async def test_connection_that_waits_for_a_place_can_be_given_up():
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        servers, ends = UpstreamPool(SETTINGS, 1, MOST_HELD), []
+        servers, ends = UpstreamPool(SETTINGS, 1, MAX_BUFFERED_BYTES), []
         told(servers, listener)
-        servers.start(1, Attempt(b"x", lambda reply: None))
+        servers.start(1, Attempt(b"x", lambda _: None))
         (first,) = servers.connections
-        await until(lambda: first.transport is not None)
+        await wait_until(lambda: first.transport is not None)
         first.close(AttemptStatus.CANCELLED)
         waiting = Attempt(b"x", lambda reply: ends.append(reply.status))
         servers.start(1, waiting)
         servers.stop(waiting, AttemptStatus.TIMEOUT)
         assert ends == [AttemptStatus.CONNECT_FAILED]  # it never ran
-        assert not servers.waiting_to_open and not servers.connections
-        await until(lambda: servers.descriptors_in_use == 0)
+        assert not servers.waiting_to_open
+        assert not servers.connections
+        await wait_until(lambda: servers.descriptors_in_use == 0)
         servers.close()
 
 
@@ -155,7 +147,7 @@
 
 LIMIT, CROWD = 128, 200  # descriptors of the process, and clients who ask nothing
 SILENT, OUT = 30, 15  # servers that only answer at the end, and at least so many attempts out to them
-SAID = {"nothing": b"", "half a command": call(1)[:50], "PING": resp("PING")}
+SAID = {"nothing": b"", "half a command": encode_call(1)[:50], "PING": encode_command("PING")}
 
 
 @pytest.mark.parametrize("said", SAID)
@@ -173,21 +165,21 @@
         process_module, "command", lambda plain=process_module.command: f"ulimit -n {LIMIT}; {plain()}"
     )
 
-    silent = await FakeServer(lambda words: None).start()
-    good = await FakeServer(lambda words: array(b"v")).start()
+    silent = await FakeUpstream(lambda _: None).start()
+    good = await FakeUpstream(lambda _: encode_reply(b"v")).start()
     with late_server() as late:
         async with process_module.program(tmp_path, silent, LIMIT, SILENT) as (process, port, discovery):
             path, most = tmp_path / "config.json", 0
-            _, watch = await discovery.watch()
+            _, watch = await discovery.next_watch()
             discovery.server.close()
             rows = json.loads(path.read_text())["known"]["instances"]
-            watch.write(chunk(listing(2, *rows, reset=True)))
+            watch.write(encode_chunk(encode_update(2, *rows, reset=True)))
             early = await process_module.connect(port)
-            while await early.ask(resp("PING")) != b"PONG":
+            while await early.request(encode_command("PING")) != b"PONG":
                 await asyncio.sleep(0.01)
             watch.close()  # from here on it can't be reached
             crowd = Crowd(port, [SAID[said]] * CROWD)
-            early.send(*(call(number, wait=60_000) for number in range(100, 160)))
+            early.send(*(encode_call(number, timeout_ms=60_000) for number in range(100, 160)))
             while crowd.came < CROWD + LIMIT or len(silent.commands) < OUT:
                 await asyncio.sleep(0.01)
                 most = max(most, open_now(process.pid))
@@ -196,16 +188,28 @@
             document = json.loads(path.read_text())
             path.write_text(json.dumps({**document, "discovery": f"127.0.0.1:{moved.port}"}))
             process.send_signal(signal.SIGHUP)
-            (_, old), (_, new) = await discovery.watch(), await moved.watch()
-            old.write(chunk(listing(3, row("s-late", late), row("s-good", good.port), reset=True)))
-            new.write(chunk(listing(9, row("s-late", late), row("s-good", good.port), reset=True)))
-            assert await discovery.ended.get() == "by the gateway"  # as the new one has been heard
+            (_, old), (_, new) = await discovery.next_watch(), await moved.next_watch()
+            old.write(
+                encode_chunk(
+                    encode_update(
+                        3, make_instance("s-late", late), make_instance("s-good", good.port), reset=True
+                    )
+                )
+            )
+            new.write(
+                encode_chunk(
+                    encode_update(
+                        9, make_instance("s-late", late), make_instance("s-good", good.port), reset=True
+                    )
+                )
+            )
+            assert await discovery.closed_watches.get() == "by the gateway"  # as the new one has been heard
             most = max(most, open_now(process.pid))
-            silent.answer = lambda words: array(b"late")
+            silent.respond = lambda _: encode_reply(b"late")
             for writer in silent.writers:
-                writer.write(array(b"late"))
+                writer.write(encode_reply(b"late"))
             peer, number = await process_module.connect(port), 200
-            while await peer.ask(call(number := number + 1)) != b"v":
+            while await peer.request(encode_call(number := number + 1)) != b"v":
                 await asyncio.sleep(0.01)
             most = max(most, open_now(process.pid))
             assert most <= LIMIT
--- a/tests/net/test_driver.py
+++ b/tests/net/test_driver.py
@@ -1,4 +1,4 @@
-"""Events and actions: their order, one outcome for each send, timers, time."""
+"""Events and actions: their order, one outcome for each attempt, timers, time."""
 
 import asyncio
 import gc
@@ -28,67 +28,79 @@
 from quota_gateway.net.clock import Clock
 from quota_gateway.net.timer_queue import TimerQueue
 from quota_gateway.net.upstream_connection import UpstreamConnection
-from tests.support.fakes import FakeServer, array, call, node, until
+from tests.support.fake_upstream import FakeUpstream
+from tests.support.gateway_node import run_gateway, wait_until
+from tests.support.resp_encoding import encode_call, encode_reply
 
 
-class Script:
-    """Decisions by heart: answers each event with what the test says, and keeps the events."""
+class ScriptedEngine:
+    """An engine whose actions the test gives for each type of event; it keeps the events."""
 
     def __init__(self, **answers) -> None:
-        self.answers, self.events, self.times, self.depth = answers, [], [], 0
+        self.answers = answers
+        self.events = []
+        self.times_ms = []
+        self.depth = 0
 
     def handle(self, now_ms, event):
+        """Return the actions for an event."""
         assert self.depth == 0, "events came one inside the other"
         self.events.append(event)
-        self.times.append(now_ms)
+        self.times_ms.append(now_ms)
         self.depth += 1
         actions = self.answers.get(type(event).__name__, lambda _: [])(event)
         self.depth -= 1
         return actions
 
     def outcomes(self):
+        """Return attempt, status and closed of each outcome so far."""
         return [(e.attempt, e.status, e.closed) for e in self.events if isinstance(e, Outcome)]
 
 
-def scripted(gateway, script, wait_ms=60_000.0):
-    """Put a request before a script; the answers its client gets."""
-    gateway.driver.engine, answers = script, []
-    made = ActiveRequest("r", lambda wait: b"*1\r\n$4\r\nWAIT\r\n", answers.append)
-    gateway.driver.submit(made, Request("r", "read", "free", "c", wait_ms), wait_ms)
+def submit_to(gateway, engine, timeout_ms=60_000.0):
+    """Submit a request to a scripted engine; return the list that its client's answers go to."""
+    answers = []
+    gateway.driver.engine = engine
+    request = ActiveRequest("r", lambda _: b"*1\r\n$4\r\nWAIT\r\n", answers.append)
+    gateway.driver.submit(request, Request("r", "read", "free", "c", timeout_ms), timeout_ms)
     return answers
 
 
-async def test_outcome_known_at_once_is_queued_behind_the_actions_before_it():
-    async with node() as gateway:
+async def test_immediate_outcome_is_handled_after_the_actions_before_it():
+    async with run_gateway() as gateway:
         sends = []
-        script = Script(
-            Request=lambda e: [StartAttempt("r", 9), StartAttempt("r", 9), LogMessage("after both")],
+        engine = ScriptedEngine(
+            Request=lambda _: [StartAttempt("r", 9), StartAttempt("r", 9), LogMessage("after both")],
             Outcome=lambda e: (
                 sends.append(gateway.driver.active_requests["r"].attempt_count)
                 or ([Reject("r")] if e.attempt == 1 else [])
             ),
         )
-        answers = scripted(gateway, script)
+        answers = submit_to(gateway, engine)
         assert sends == [2, 2]
-        assert script.outcomes() == [
+        assert engine.outcomes() == [
             (0, AttemptStatus.CONNECT_FAILED, False),
             (1, AttemptStatus.CONNECT_FAILED, False),
         ]
-        assert answers == [b"-BUSY\r\n"] and not gateway.driver.active_requests
+        assert answers == [b"-BUSY\r\n"]
+        assert not gateway.driver.active_requests
 
 
-async def test_only_the_first_final_answer_goes_out_and_advice_is_in_whole_milliseconds():
-    async with node() as gateway:
-        script = Script(Request=lambda e: [Reject("r", 249.6), Fail("r"), Reject("r"), StartAttempt("r", 1)])
-        assert scripted(gateway, script) == [b"-BUSY 250\r\n"]
-        assert script.outcomes() == [] and not gateway.driver.active_requests
+async def test_only_the_first_final_answer_goes_out_and_retry_after_is_in_whole_milliseconds():
+    async with run_gateway() as gateway:
+        engine = ScriptedEngine(
+            Request=lambda _: [Reject("r", 249.6), Fail("r"), Reject("r"), StartAttempt("r", 1)]
+        )
+        assert submit_to(gateway, engine) == [b"-BUSY 250\r\n"]
+        assert engine.outcomes() == []
+        assert not gateway.driver.active_requests
 
 
-async def test_send_after_the_answer_is_not_sent_and_still_has_its_outcome():
-    server = FakeServer(lambda words: None)
-    async with node(server) as gateway:
-        script = Script(
-            Request=lambda e: [
+async def test_attempt_started_after_the_answer_is_not_sent_and_still_has_an_outcome():
+    server = FakeUpstream(lambda _: None)
+    async with run_gateway(server) as gateway:
+        engine = ScriptedEngine(
+            Request=lambda _: [
                 StartAttempt("r", 1),
                 Fail("r"),
                 Reject("r"),
@@ -96,32 +108,33 @@
                 CancelAttempt("r", 0),
             ]
         )
-        assert scripted(gateway, script) == [b"-ERR failed\r\n"]
-        assert sorted(script.outcomes(), key=lambda outcome: outcome[0]) == [
+        assert submit_to(gateway, engine) == [b"-ERR failed\r\n"]
+        assert sorted(engine.outcomes(), key=lambda outcome: outcome[0]) == [
             (0, AttemptStatus.CONNECT_FAILED, True),
             (1, AttemptStatus.NOT_SENT, True),
         ]
-        assert not server.commands and not gateway.driver.active_requests
+        assert not server.commands
+        assert not gateway.driver.active_requests
 
 
-async def test_cancelled_attempt_is_closed_before_the_next_goes_out():
-    server, other = FakeServer(lambda words: None), FakeServer(lambda words: None)
-    async with node(server, other) as gateway:
-        script = Script(
-            Request=lambda e: [StartAttempt("r", 1)],
+async def test_connection_of_a_cancelled_attempt_is_closed_before_the_retry_is_sent():
+    server, other = FakeUpstream(lambda _: None), FakeUpstream(lambda _: None)
+    async with run_gateway(server, other) as gateway:
+        engine = ScriptedEngine(
+            Request=lambda _: [StartAttempt("r", 1)],
             Outcome=lambda e: [StartAttempt("r", 2)] if e.attempt == 0 else [],
         )
-        scripted(gateway, script)
-        await server.until(lambda: len(server.commands) == 1)
+        submit_to(gateway, engine)
+        await server.wait_until(lambda: len(server.commands) == 1)
         gateway.driver._perform(CancelAttempt("r", 0))
         gateway.driver._perform(CancelAttempt("r", 0))
-        await server.until(lambda: server.ended == 1)
-        await other.until(lambda: len(other.commands) == 1)
-        assert script.outcomes() == [(0, AttemptStatus.CANCELLED, False)]
+        await server.wait_until(lambda: server.closed_connections == 1)
+        await other.wait_until(lambda: len(other.commands) == 1)
+        assert engine.outcomes() == [(0, AttemptStatus.CANCELLED, False)]
 
 
 @pytest.mark.parametrize("end", ["answered by another", "refused", "left"])
-async def test_connection_that_comes_up_after_the_end_brings_nothing_to_the_server(end, monkeypatch):
+async def test_connection_that_comes_up_after_the_request_ended_carries_nothing(end, monkeypatch):
     up, plain = asyncio.Event(), UpstreamConnection.open
 
     async def open_late(self):
@@ -133,45 +146,46 @@
         return connection.owner.hosts[1].address[1]
 
     monkeypatch.setattr(UpstreamConnection, "open", open_late)
-    quick, late = FakeServer(lambda words: None), FakeServer()
-    async with node(quick, late) as gateway:
-        script = Script(
-            Request=lambda e: [StartAttempt("r", 1), StartAttempt("r", 2)],
-            TimerFired=lambda e: [Reject("r")],
+    quick, late = FakeUpstream(lambda _: None), FakeUpstream()
+    async with run_gateway(quick, late) as gateway:
+        engine = ScriptedEngine(
+            Request=lambda _: [StartAttempt("r", 1), StartAttempt("r", 2)],
+            TimerFired=lambda _: [Reject("r")],
         )
-        answers = scripted(gateway, script)
-        await quick.until(lambda: len(quick.commands) == 1)  # the second is gated from here on
-        assert answers == [] and script.outcomes() == []
+        answers = submit_to(gateway, engine)
+        await quick.wait_until(lambda: len(quick.commands) == 1)  # the second is gated from here on
+        assert answers == []
+        assert engine.outcomes() == []
         if end == "answered by another":
-            quick.writers[0].write(array(b"v"))
-            await until(lambda: bool(answers))
+            quick.writers[0].write(encode_reply(b"v"))
+            await wait_until(lambda: bool(answers))
         elif end == "refused":
             gateway.driver.post(TimerFired(1))
         else:
             gateway.driver.client_disconnected("r")
         up.set()
-        await until(lambda: any(e[:2] == (1, AttemptStatus.NOT_SENT) for e in script.outcomes()))
+        await wait_until(lambda: any(e[:2] == (1, AttemptStatus.NOT_SENT) for e in engine.outcomes()))
         told = asyncio.Event()
-        gateway.upstream_pool.start(2, Attempt(b"*1\r\n$4\r\nLAST\r\n", lambda reply: told.set()))
+        gateway.upstream_pool.start(2, Attempt(b"*1\r\n$4\r\nLAST\r\n", lambda _: told.set()))
         await told.wait()
         assert [words[0] for words in late.commands] == [b"LAST"]
         if end == "answered by another":
-            assert [status for _, status, _ in script.outcomes()] == [
+            assert [status for _, status, _ in engine.outcomes()] == [
                 AttemptStatus.OK,
                 AttemptStatus.NOT_SENT,
             ]
             assert not gateway.driver.active_requests
 
 
-async def test_command_that_is_half_written_at_the_end_is_not_written_on():
-    async with node() as gateway:
+async def test_half_written_command_is_not_continued_once_the_request_ended():
+    async with run_gateway() as gateway:
         with socket.create_server(("127.0.0.1", 0)) as listener:
             listener.setblocking(False)
-            gateway.told((Endpoint(1, "a"), listener.getsockname()))
-            script, whole = Script(Request=lambda e: [StartAttempt("r", 1)]), 32_000_000
-            gateway.driver.engine = script
+            gateway.update_endpoints((Endpoint(1, "a"), listener.getsockname()))
+            engine, whole = ScriptedEngine(Request=lambda _: [StartAttempt("r", 1)]), 32_000_000
+            gateway.driver.engine = engine
             gateway.driver.submit(
-                ActiveRequest("r", lambda wait: b"x" * whole, lambda answer: None),
+                ActiveRequest("r", lambda _: b"x" * whole, lambda _: None),
                 Request("r", "read", "free", "c", 60_000.0),
                 60_000.0,
             )
@@ -179,7 +193,7 @@
             accepted, _ = await loop.sock_accept(listener)
             got = len(await loop.sock_recv(accepted, 1))  # the rest waits for this reader
             gateway.driver.client_disconnected("r")
-            assert script.outcomes() == [(0, AttemptStatus.NOT_SENT, True)]
+            assert engine.outcomes() == [(0, AttemptStatus.NOT_SENT, True)]
             while piece := await received(loop, accepted):
                 got += len(piece)
             assert 0 < got < whole
@@ -194,38 +208,42 @@
         return b""
 
 
-async def test_attempt_times_out_after_its_time_and_its_connection_is_closed():
-    server = FakeServer(lambda words: None)
-    async with node(server) as gateway:
-        script = Script(Request=lambda e: [StartAttempt("r", 1, 200.0)], Outcome=lambda e: [Fail("r")])
-        answers = scripted(gateway, script)
-        await server.until(lambda: server.ended == 1)
-        assert script.outcomes() == [(0, AttemptStatus.TIMEOUT, False)] and answers == [b"-ERR failed\r\n"]
-
-
-async def test_client_that_left_is_told_once_and_its_late_answer_goes_nowhere():
-    server = FakeServer(lambda words: None)
-    async with node(server) as gateway:
-        script = Script(Request=lambda e: [StartAttempt("r", 1)])
-        answers = scripted(gateway, script)
-        await server.until(lambda: len(server.commands) == 1)
+async def test_attempt_times_out_and_its_connection_is_closed():
+    server = FakeUpstream(lambda _: None)
+    async with run_gateway(server) as gateway:
+        engine = ScriptedEngine(
+            Request=lambda _: [StartAttempt("r", 1, 200.0)], Outcome=lambda _: [Fail("r")]
+        )
+        answers = submit_to(gateway, engine)
+        await server.wait_until(lambda: server.closed_connections == 1)
+        assert engine.outcomes() == [(0, AttemptStatus.TIMEOUT, False)]
+        assert answers == [b"-ERR failed\r\n"]
+
+
+async def test_client_disconnect_is_reported_once_and_a_late_reply_is_dropped():
+    server = FakeUpstream(lambda _: None)
+    async with run_gateway(server) as gateway:
+        engine = ScriptedEngine(Request=lambda _: [StartAttempt("r", 1)])
+        answers = submit_to(gateway, engine)
+        await server.wait_until(lambda: len(server.commands) == 1)
         gateway.driver.client_disconnected("r")
         gateway.driver.client_disconnected("r")
-        server.writers[0].write(array(b"late"))
-        await until(lambda: bool(script.outcomes()))
-        assert script.outcomes() == [(0, AttemptStatus.OK, True)] and answers == []
-        assert [e for e in script.events if isinstance(e, ClientDisconnected)] == [ClientDisconnected("r")]
+        server.writers[0].write(encode_reply(b"late"))
+        await wait_until(lambda: bool(engine.outcomes()))
+        assert engine.outcomes() == [(0, AttemptStatus.OK, True)]
+        assert answers == []
+        assert [e for e in engine.events if isinstance(e, ClientDisconnected)] == [ClientDisconnected("r")]
         assert not gateway.driver.active_requests
 
 
-async def test_timers_fire_once_in_order_of_their_time_and_time_never_goes_back():
-    async with node() as gateway:
-        script = Script(Request=lambda e: [SetTimer(3, 30.0), SetTimer(1, 10.0), SetTimer(2, 10.0)])
-        scripted(gateway, script)
-        await until(lambda: len(script.events) == 4)
-        assert script.events[1:] == [TimerFired(1), TimerFired(2), TimerFired(3)]
-        assert script.times == sorted(script.times)
-        assert script.times[3] - script.times[0] >= 30.0
+async def test_timers_fire_once_in_due_order_and_time_never_goes_back():
+    async with run_gateway() as gateway:
+        engine = ScriptedEngine(Request=lambda _: [SetTimer(3, 30.0), SetTimer(1, 10.0), SetTimer(2, 10.0)])
+        submit_to(gateway, engine)
+        await wait_until(lambda: len(engine.events) == 4)
+        assert engine.events[1:] == [TimerFired(1), TimerFired(2), TimerFired(3)]
+        assert engine.times_ms == sorted(engine.times_ms)
+        assert engine.times_ms[3] - engine.times_ms[0] >= 30.0
         assert not gateway.driver.timers.entries
 
 
@@ -234,7 +252,7 @@
     plain = TimerQueue._fire
     monkeypatch.setattr(TimerQueue, "_fire", lambda self: fired.append(1) or plain(self))
 
-    async with node() as gateway:
+    async with run_gateway() as gateway:
         driver, due = gateway.driver, asyncio.Event()
         for number in range(20):
             due.clear()
@@ -243,7 +261,7 @@
         assert 20 <= len(fired) <= 100
 
 
-def test_clock_is_unix_time_and_not_moved_by_a_clock_that_is_set(monkeypatch):
+def test_clock_is_unix_time_and_unmoved_by_a_change_of_the_system_clock(monkeypatch):
     clock = Clock()
     assert abs(clock() - time.time() * 1000.0) < 60_000.0
     before = clock()
@@ -251,64 +269,67 @@
     assert clock() >= before
 
 
-async def test_decisions_that_fail_on_one_request_leave_the_others_alone():
-    def failing(event):
+async def test_engine_failure_on_one_request_leaves_the_others_alone():
+    def failing(_event):
         raise RuntimeError("no decision")
 
-    async with node(FakeServer()) as gateway:
+    async with run_gateway(FakeUpstream()) as gateway:
         good = gateway.driver.engine
-        assert scripted(gateway, Script(Request=failing)) == [b"-ERR failed\r\n"]
+        assert submit_to(gateway, ScriptedEngine(Request=failing)) == [b"-ERR failed\r\n"]
         gateway.driver.engine = good
-        assert await (await gateway.peer()).ask(call(1)) == b"0000000000000001"
+        assert await (await gateway.connect_client()).request(encode_call(1)) == b"0000000000000001"
 
 
-async def test_restarted_server_is_cold_by_the_clock_that_discovery_uses():
-    server = FakeServer()
-    async with node() as gateway:
+async def test_restarted_server_is_warming_up_by_the_clock_of_discovery():
+    server = FakeUpstream()
+    async with run_gateway() as gateway:
         await server.start()
-        _, address = server.entry(1)
+        _, address = server.endpoint(1)
         started = gateway.driver.clock() - 5_000.0  # half of the warm-up
-        gateway.told((Endpoint(1, "a", started_ms=started), address), kind=UpdateKind.SNAPSHOT)
+        gateway.update_endpoints((Endpoint(1, "a", started_ms=started), address), kind=UpdateKind.SNAPSHOT)
         (known,) = gateway.driver.engine.servers.values()
         assert 0.59 < gateway.driver.engine._warmth(known) < 1.0
         await asyncio.sleep(0)
 
 
-async def test_attempt_that_is_done_lets_its_command_go_though_its_timer_is_not_due():
-    async with node(FakeServer()) as gateway:
-        peer = await gateway.peer()
-        assert await peer.ask(call(1, "buy", body=b"x" * 60_000)) == b"0000000000000001"
+async def test_finished_attempt_releases_its_command_before_its_timer_is_due():
+    async with run_gateway(FakeUpstream()) as gateway:
+        peer = await gateway.connect_client()
+        assert await peer.request(encode_call(1, "buy", body=b"x" * 60_000)) == b"0000000000000001"
         kept = [argument for *_, argument in gateway.driver.timers.entries if isinstance(argument, Attempt)]
-        assert len(kept) == 1 and kept[0].payload == b"" and not gateway.driver.active_requests
+        assert len(kept) == 1
+        assert kept[0].payload == b""
+        assert not gateway.driver.active_requests
 
 
 @pytest.mark.parametrize("how", ["end", "reset"])
-async def test_client_that_leaves_while_its_server_is_connected_to_says_nothing_against_the_server(
-    how, monkeypatch
-):
-    async def never(self):
+async def test_client_disconnect_during_connect_does_not_count_against_the_server(how, monkeypatch):
+    async def never(_connection):
         await asyncio.Event().wait()
 
-    server = FakeServer()
-    async with node(server) as gateway:
+    server = FakeUpstream()
+    async with run_gateway(server) as gateway:
         monkeypatch.setattr(UpstreamConnection, "open", never)
-        peer = await gateway.peer()
-        peer.send(call(1))
-        await until(lambda: any(held.attempts for held in gateway.driver.active_requests.values()))
+        peer = await gateway.connect_client()
+        peer.send(encode_call(1))
+        await wait_until(lambda: any(held.attempts for held in gateway.driver.active_requests.values()))
         (peer.writer.close if how == "end" else peer.writer.transport.abort)()
-        await until(lambda: not gateway.driver.active_requests)
+        await wait_until(lambda: not gateway.driver.active_requests)
         decisions = gateway.driver.engine
-        assert decisions.servers[1].marks == {} == decisions.marks and not decisions.flights
-        assert not gateway.upstream_pool.connections and not server.commands
+        assert decisions.servers[1].marks == {} == decisions.marks
+        assert not decisions.flights
+        assert not gateway.upstream_pool.connections
+        assert not server.commands
 
 
-async def test_request_that_is_over_is_let_go_whole_though_the_timer_of_its_attempt_is_not_due():
-    async with node(FakeServer()) as gateway:
-        peer = await gateway.peer()
-        peer.send(call(1, "buy", body=b"x" * 60_000))
-        await until(lambda: bool(gateway.driver.active_requests))
+async def test_finished_request_is_released_before_the_timer_of_its_attempt_is_due():
+    async with run_gateway(FakeUpstream()) as gateway:
+        peer = await gateway.connect_client()
+        peer.send(encode_call(1, "buy", body=b"x" * 60_000))
+        await wait_until(lambda: bool(gateway.driver.active_requests))
         encode = weakref.ref(next(iter(gateway.driver.active_requests.values())).encode)  # it has the command
-        assert await peer.reply() == b"0000000000000001" and not gateway.driver.active_requests
+        assert await peer.read_reply() == b"0000000000000001"
+        assert not gateway.driver.active_requests
         assert any(isinstance(argument, Attempt) for *_, argument in gateway.driver.timers.entries)
         gc.collect()
         assert encode() is None
--- a/tests/net/test_upstream_pool.py
+++ b/tests/net/test_upstream_pool.py
@@ -1,4 +1,4 @@
-"""Attempts on sockets: outcomes, connections kept and retired, drains, limits."""
+"""Attempts on sockets: outcomes, connections reused and retired, draining, limits."""
 
 import asyncio
 import errno
@@ -11,48 +11,53 @@
 from quota_gateway.net import upstream_pool as module
 from quota_gateway.net.attempt import Attempt, UpstreamReply
 from quota_gateway.net.reply_parser import ReplyParser
-from tests.support.fakes import FakeServer, array, call, node, resp, until
+from tests.support.fake_upstream import FakeUpstream
+from tests.support.gateway_node import run_gateway, wait_until
+from tests.support.resp_encoding import encode_call, encode_command, encode_reply
 
-COMMAND = resp("CALL.GET", "00000000b4d65521", "00000000000000aa", "c=read,t=free,d=10")
+COMMAND = encode_command("CALL.GET", "00000000b4d65521", "00000000000000aa", "c=read,t=free,d=10")
 
 
-class Ends:
-    """Collects what attempts came to."""
+class AttemptRecorder:
+    """Makes attempts and collects their outcomes."""
 
     def __init__(self) -> None:
         self.replies: asyncio.Queue[UpstreamReply] = asyncio.Queue()
 
     def attempt(self, payload: bytes = COMMAND) -> Attempt:
+        """Make an attempt whose outcome is collected."""
         return Attempt(payload, self.replies.put_nowait)
 
     async def status(self) -> AttemptStatus:
+        """Wait for the next outcome; return its status."""
         return (await self.replies.get()).status
 
     def empty(self) -> bool:
+        """Whether no outcome is waiting."""
         return self.replies.empty()
 
 
-async def test_one_attempt_at_a_time_on_a_connection_and_the_last_used_is_used_again():
-    server = FakeServer(lambda words: None)
-    async with node(server) as gateway:
-        ends = Ends()
-        gateway.upstream_pool.start(1, ends.attempt())
-        gateway.upstream_pool.start(1, ends.attempt())
-        await server.until(lambda: len(server.commands) == 2)
-        assert sorted(server.by) == [0, 1]
+async def test_connection_carries_one_attempt_at_a_time_and_the_most_recently_used_is_reused():
+    server = FakeUpstream(lambda _: None)
+    async with run_gateway(server) as gateway:
+        recorder = AttemptRecorder()
+        gateway.upstream_pool.start(1, recorder.attempt())
+        gateway.upstream_pool.start(1, recorder.attempt())
+        await server.wait_until(lambda: len(server.commands) == 2)
+        assert sorted(server.connection_numbers) == [0, 1]
         for number in (1, 0):
-            server.writers[number].write(array(b"v"))
-            assert await ends.status() is AttemptStatus.OK
+            server.writers[number].write(encode_reply(b"v"))
+            assert await recorder.status() is AttemptStatus.OK
         await asyncio.sleep(4.0 * module.REUSE_DELAY_S)
-        gateway.upstream_pool.start(1, ends.attempt())
-        await server.until(lambda: len(server.commands) == 3)
-        assert server.by[2] == 0
+        gateway.upstream_pool.start(1, recorder.attempt())
+        await server.wait_until(lambda: len(server.commands) == 3)
+        assert server.connection_numbers[2] == 0
 
 
 @pytest.mark.parametrize(
-    "answer, status",
+    ("answer", "status"),
     [
-        (array(b"v"), AttemptStatus.OK),
+        (encode_reply(b"v"), AttemptStatus.OK),
         (b"-BUSY\r\n", AttemptStatus.OVERLOADED),
         (b"-ERR failed\r\n", AttemptStatus.ERROR),
         (b"", AttemptStatus.RESET),
@@ -67,17 +72,17 @@
         (b"*1\r\n:5\r\n", AttemptStatus.ERROR),
     ],
 )
-async def test_outcome_by_the_table_and_one_only(answer, status):
-    server = FakeServer(lambda words: answer)
-    async with node(server) as gateway:
-        ends = Ends()
-        gateway.upstream_pool.start(1, ends.attempt())
-        assert await ends.status() is status
+async def test_attempt_has_one_outcome_by_the_protocol_table(answer, status):
+    server = FakeUpstream(lambda _: answer)
+    async with run_gateway(server) as gateway:
+        recorder = AttemptRecorder()
+        gateway.upstream_pool.start(1, recorder.attempt())
+        assert await recorder.status() is status
         gateway.upstream_pool.close()
-        assert ends.empty()
+        assert recorder.empty()
 
 
-def test_figures_on_use_and_load_in_answers_and_error_lines():
+def test_usage_and_load_reports_are_parsed_from_replies_and_error_lines():
     read = ReplyParser(("utilisation", "queue"), 1.0).parse
     assert read([b"v", b"used=37,cost=4", b"inflight=7,queue=2,util=0.61"]) == UpstreamReply(
         AttemptStatus.OK, b"v", 37.0, 4.0, (0.61, 2.0)
@@ -91,11 +96,11 @@
 
 
 @pytest.mark.parametrize("number", ["nan", "inf", "-1", "1e9", "999999999", "0x1", "1_0", " 1", "", "\xff"])
-async def test_figures_that_can_not_be_are_dropped_and_the_value_is_served(number):
+async def test_impossible_figures_are_dropped_and_the_value_is_served(number):
     figures = [f"used={number},cost={number}", f"util=0.1,queue={number}"]
-    server = FakeServer(lambda words: array(words[2], *(text.encode("latin-1") for text in figures)))
-    async with node(server) as gateway:
-        assert await (await gateway.peer()).ask(call(1)) == b"0000000000000001"
+    server = FakeUpstream(lambda words: encode_reply(words[2], *(text.encode("latin-1") for text in figures)))
+    async with run_gateway(server) as gateway:
+        assert await (await gateway.connect_client()).request(encode_call(1)) == b"0000000000000001"
         (customer,) = gateway.driver.engine.customers.values()
         (known,) = gateway.driver.engine.servers.values()
         assert customer.used == customer.excess == known.queue == 0.0
@@ -104,7 +109,7 @@
 @pytest.mark.parametrize(
     "answer",
     [
-        array(b"v") + b"junk",
+        encode_reply(b"v") + b"junk",
         b"*3\r\n$1\r\nvv\r\n$-1\r\n$-1\r\n",
         b"*2000000000\r\n",
         b"*3\r\n$3000000000\r\n",
@@ -119,188 +124,188 @@
         b":5\r\n",
     ],
 )
-async def test_connection_of_a_spoilt_answer_is_never_used_again_though_it_stays_open(answer):
-    server = FakeServer(lambda words: answer if words[2].endswith(b"1") else array(words[2]))
-    async with node(server) as gateway:
-        peer = await gateway.peer()
-        first = await peer.ask(call(1, "buy"))
-        assert first == b"v" if answer.startswith(array(b"v")) else first == "-ERR failed"
+async def test_connection_with_a_malformed_reply_is_never_reused_though_it_stays_open(answer):
+    server = FakeUpstream(lambda words: answer if words[2].endswith(b"1") else encode_reply(words[2]))
+    async with run_gateway(server) as gateway:
+        peer = await gateway.connect_client()
+        first = await peer.request(encode_call(1, "buy"))
+        assert first == b"v" if answer.startswith(encode_reply(b"v")) else first == "-ERR failed"
         await asyncio.sleep(2.0 * module.REUSE_DELAY_S)
         for number in (2, 3):
-            assert await peer.ask(call(number, "buy")) == b"%016x" % number
-        assert server.by[0] == 0 not in server.by[1:]
+            assert await peer.request(encode_call(number, "buy")) == b"%016x" % number
+        assert server.connection_numbers[0] == 0 not in server.connection_numbers[1:]
 
 
-async def test_bytes_that_come_a_little_behind_an_answer_do_not_answer_the_next_request(monkeypatch):
+async def test_bytes_shortly_after_a_reply_do_not_answer_the_next_request(monkeypatch):
     monkeypatch.setattr(module, "REUSE_DELAY_S", 0.5)
 
-    server = FakeServer(lambda words: array(words[2]))
-    async with node(server) as gateway:
-        peer = await gateway.peer()
-        assert await peer.ask(call(1)) == b"0000000000000001"
-        server.answer = lambda words: server.writers[0].write(array(b"old")) or array(words[2])
-        assert await peer.ask(call(2)) == b"0000000000000002"
-        await server.until(lambda: server.ended == 1)
+    server = FakeUpstream(lambda words: encode_reply(words[2]))
+    async with run_gateway(server) as gateway:
+        peer = await gateway.connect_client()
+        assert await peer.request(encode_call(1)) == b"0000000000000001"
+        server.respond = lambda words: server.writers[0].write(encode_reply(b"old")) or encode_reply(words[2])
+        assert await peer.request(encode_call(2)) == b"0000000000000002"
+        await server.wait_until(lambda: server.closed_connections == 1)
 
 
-async def test_refused_connection_never_ran_and_an_unsafe_request_goes_elsewhere():
-    server, gone = FakeServer(), await FakeServer().start()
+async def test_non_idempotent_request_is_retried_after_a_refused_connection():
+    server, gone = FakeUpstream(), await FakeUpstream().start()
     gone.server.close()
     await gone.server.wait_closed()
-    async with node(server) as gateway:
-        gateway.told(gone.entry(1), kind=UpdateKind.SNAPSHOT)
-        peer = await gateway.peer()
-        gateway.told(server.entry(2), kind=UpdateKind.DELTA)
+    async with run_gateway(server) as gateway:
+        gateway.update_endpoints(gone.endpoint(1), kind=UpdateKind.SNAPSHOT)
+        peer = await gateway.connect_client()
+        gateway.update_endpoints(server.endpoint(2), kind=UpdateKind.DELTA)
         for number in range(8):
-            assert await peer.ask(call(number, "buy")) == b"%016x" % number
+            assert await peer.request(encode_call(number, "buy")) == b"%016x" % number
 
 
-async def test_break_after_the_last_byte_may_have_run_and_an_unsafe_request_fails():
-    server, other = FakeServer(lambda words: b""), FakeServer(lambda words: b"")
-    async with node(server, other) as gateway:
-        peer = await gateway.peer()
-        assert (await peer.ask(call(1, "buy"))).startswith("-ERR")
+async def test_non_idempotent_request_fails_when_the_connection_ends_after_the_last_byte():
+    server, other = FakeUpstream(lambda _: b""), FakeUpstream(lambda _: b"")
+    async with run_gateway(server, other) as gateway:
+        peer = await gateway.connect_client()
+        assert (await peer.request(encode_call(1, "buy"))).startswith("-ERR")
         assert len(server.commands) + len(other.commands) == 1
 
 
-async def test_break_before_the_last_byte_never_ran():
-    async with node() as gateway:
+async def test_connection_that_ends_before_the_last_byte_is_connect_failed():
+    async with run_gateway() as gateway:
         listener = socket.create_server(("127.0.0.1", 0))
         listener.setblocking(False)
         port = listener.getsockname()[1]
-        gateway.told((Endpoint(1, "a"), ("127.0.0.1", port)))
-        ends = Ends()
-        gateway.upstream_pool.start(1, ends.attempt(b"x" * 32_000_000))
+        gateway.update_endpoints((Endpoint(1, "a"), ("127.0.0.1", port)))
+        recorder = AttemptRecorder()
+        gateway.upstream_pool.start(1, recorder.attempt(b"x" * 32_000_000))
         loop = asyncio.get_running_loop()
         accepted, _ = await loop.sock_accept(listener)
         await loop.sock_recv(accepted, 1)
         accepted.close()  # with bytes unread: a reset
-        assert await ends.status() is AttemptStatus.CONNECT_FAILED
+        assert await recorder.status() is AttemptStatus.CONNECT_FAILED
         listener.close()
 
 
-async def test_busy_never_ran_and_an_unsafe_request_goes_to_the_other_server():
-    busy, good = [FakeServer(lambda words: b"-BUSY\r\n") for _ in range(3)], FakeServer()
-    async with node(*busy, good) as gateway:
-        peer = await gateway.peer()
+async def test_non_idempotent_request_is_retried_elsewhere_after_busy():
+    busy, good = [FakeUpstream(lambda _: b"-BUSY\r\n") for _ in range(3)], FakeUpstream()
+    async with run_gateway(*busy, good) as gateway:
+        peer = await gateway.connect_client()
         for number in range(8):
-            assert await peer.ask(call(number, "buy")) == b"%016x" % number
+            assert await peer.request(encode_call(number, "buy")) == b"%016x" % number
         assert any(server.commands for server in busy)
 
 
-async def test_connection_that_ended_while_idle_is_not_written_to():
+async def test_connection_that_ended_while_idle_is_not_reused():
     with socket.create_server(("127.0.0.1", 0)) as listener:
         listener.setblocking(False)
         port = listener.getsockname()[1]
-        async with node() as gateway:
-            gateway.told((Endpoint(1, "a"), ("127.0.0.1", port)))
-            ends, loop = Ends(), asyncio.get_running_loop()
-            gateway.upstream_pool.start(1, ends.attempt())
+        async with run_gateway() as gateway:
+            gateway.update_endpoints((Endpoint(1, "a"), ("127.0.0.1", port)))
+            recorder, loop = AttemptRecorder(), asyncio.get_running_loop()
+            gateway.upstream_pool.start(1, recorder.attempt())
             accepted, _ = await loop.sock_accept(listener)
             await loop.sock_recv(accepted, 1000)
-            await loop.sock_sendall(accepted, array(b"v"))
-            assert await ends.status() is AttemptStatus.OK
+            await loop.sock_sendall(accepted, encode_reply(b"v"))
+            assert await recorder.status() is AttemptStatus.OK
             accepted.close()
-            gateway.upstream_pool.start(1, ends.attempt())  # before the loop could see the end
+            gateway.upstream_pool.start(1, recorder.attempt())  # before the loop could see the end
             accepted, _ = await loop.sock_accept(listener)
             await loop.sock_recv(accepted, 1000)
-            await loop.sock_sendall(accepted, array(b"v"))
-            assert await ends.status() is AttemptStatus.OK
+            await loop.sock_sendall(accepted, encode_reply(b"v"))
+            assert await recorder.status() is AttemptStatus.OK
             accepted.close()
 
 
 async def test_idle_connection_is_retired_before_the_server_would_close_it():
-    server = FakeServer()
-    async with node(server, limits=GatewayLimits(connection_idle_ms=1.0)) as gateway:
-        ends = Ends()
-        gateway.upstream_pool.start(1, ends.attempt())
-        assert await ends.status() is AttemptStatus.OK
-        await server.until(lambda: server.ended == 1)
+    server = FakeUpstream()
+    async with run_gateway(server, limits=GatewayLimits(connection_idle_ms=1.0)) as gateway:
+        recorder = AttemptRecorder()
+        gateway.upstream_pool.start(1, recorder.attempt())
+        assert await recorder.status() is AttemptStatus.OK
+        await server.wait_until(lambda: server.closed_connections == 1)
         assert not gateway.upstream_pool.connections
 
 
 @pytest.mark.parametrize("state", [EndpointLifecycle.DRAINING, EndpointLifecycle.GONE])
-async def test_no_first_byte_to_a_server_that_drains_or_goes_while_it_is_connected_to(state):
-    server = FakeServer()
-    async with node(server) as gateway:
-        ends = Ends()
-        gateway.upstream_pool.start(1, ends.attempt())
+async def test_nothing_is_sent_to_a_server_that_drains_or_is_removed_during_connect(state):
+    server = FakeUpstream()
+    async with run_gateway(server) as gateway:
+        recorder = AttemptRecorder()
+        gateway.upstream_pool.start(1, recorder.attempt())
         (connection,) = gateway.upstream_pool.connections
-        gateway.told(server.entry(1, state=state), kind=UpdateKind.DELTA)
-        assert await ends.status() is AttemptStatus.CONNECT_FAILED
-        gateway.upstream_pool.start(1, ends.attempt())
-        assert await ends.status() is AttemptStatus.CONNECT_FAILED
-        await until(connection.task.done)
-        gateway.told(server.entry(2), kind=UpdateKind.SNAPSHOT)
-        gateway.upstream_pool.start(2, ends.attempt())
-        assert await ends.status() is AttemptStatus.OK
+        gateway.update_endpoints(server.endpoint(1, state=state), kind=UpdateKind.DELTA)
+        assert await recorder.status() is AttemptStatus.CONNECT_FAILED
+        gateway.upstream_pool.start(1, recorder.attempt())
+        assert await recorder.status() is AttemptStatus.CONNECT_FAILED
+        await wait_until(connection.task.done)
+        gateway.update_endpoints(server.endpoint(2), kind=UpdateKind.SNAPSHOT)
+        gateway.upstream_pool.start(2, recorder.attempt())
+        assert await recorder.status() is AttemptStatus.OK
         assert len(server.commands) == 1
 
 
 @pytest.mark.parametrize("change", [{"started_ms": 5.0}, {"state": EndpointLifecycle.DRAINING}])
 async def test_old_connections_are_closed_when_a_server_restarts_or_drains(change):
-    server = FakeServer(lambda words: None)
-    async with node(server) as gateway:
-        ends = Ends()
+    server = FakeUpstream(lambda _: None)
+    async with run_gateway(server) as gateway:
+        recorder = AttemptRecorder()
         for _ in range(2):
-            gateway.upstream_pool.start(1, ends.attempt())
-        await server.until(lambda: len(server.commands) == 2)
-        server.writers[0].write(array(b"v"))
-        assert await ends.status() is AttemptStatus.OK
-        gateway.told(server.entry(1, **change), kind=UpdateKind.DELTA)
+            gateway.upstream_pool.start(1, recorder.attempt())
+        await server.wait_until(lambda: len(server.commands) == 2)
+        server.writers[0].write(encode_reply(b"v"))
+        assert await recorder.status() is AttemptStatus.OK
+        gateway.update_endpoints(server.endpoint(1, **change), kind=UpdateKind.DELTA)
         (kept,) = gateway.upstream_pool.connections
         assert kept.attempt
-        await server.until(lambda: server.ended == 1)
-        server.writers[1].write(array(b"v"))  # what is out may finish, its connection is not kept
-        assert await ends.status() is AttemptStatus.OK
+        await server.wait_until(lambda: server.closed_connections == 1)
+        server.writers[1].write(encode_reply(b"v"))  # what is out may finish, its connection is not kept
+        assert await recorder.status() is AttemptStatus.OK
         assert not gateway.upstream_pool.connections
-        await server.until(lambda: server.ended == 2)
+        await server.wait_until(lambda: server.closed_connections == 2)
 
 
 async def test_replaced_address_gets_new_connections():
-    server, other = FakeServer(), await FakeServer().start()
-    async with node(server) as gateway:
-        ends = Ends()
-        gateway.upstream_pool.start(1, ends.attempt())
-        assert await ends.status() is AttemptStatus.OK
-        gateway.told(other.entry(1), kind=UpdateKind.DELTA)
-        gateway.upstream_pool.start(1, ends.attempt())
-        assert await ends.status() is AttemptStatus.OK
+    server, other = FakeUpstream(), await FakeUpstream().start()
+    async with run_gateway(server) as gateway:
+        recorder = AttemptRecorder()
+        gateway.upstream_pool.start(1, recorder.attempt())
+        assert await recorder.status() is AttemptStatus.OK
+        gateway.update_endpoints(other.endpoint(1), kind=UpdateKind.DELTA)
+        gateway.upstream_pool.start(1, recorder.attempt())
+        assert await recorder.status() is AttemptStatus.OK
         assert len(server.commands) == len(other.commands) == 1
 
 
-async def test_connections_are_bounded_and_idle_ones_make_room():
-    server, other = FakeServer(), FakeServer(lambda words: None)
-    async with node(server, other, max_connections=1) as gateway:
-        ends = Ends()
-        gateway.upstream_pool.start(1, ends.attempt())
-        assert await ends.status() is AttemptStatus.OK
-        gateway.upstream_pool.start(2, ends.attempt())
-        await server.until(lambda: server.ended == 1)
-        gateway.upstream_pool.start(1, ends.attempt())
-        assert await ends.status() is AttemptStatus.CONNECT_FAILED
-        await other.until(lambda: len(other.commands) == 1)
-        other.writers[0].write(array(b"v"))
-        assert await ends.status() is AttemptStatus.OK
+async def test_connections_are_bounded_and_idle_ones_are_evicted():
+    server, other = FakeUpstream(), FakeUpstream(lambda _: None)
+    async with run_gateway(server, other, max_connections=1) as gateway:
+        recorder = AttemptRecorder()
+        gateway.upstream_pool.start(1, recorder.attempt())
+        assert await recorder.status() is AttemptStatus.OK
+        gateway.upstream_pool.start(2, recorder.attempt())
+        await server.wait_until(lambda: server.closed_connections == 1)
+        gateway.upstream_pool.start(1, recorder.attempt())
+        assert await recorder.status() is AttemptStatus.CONNECT_FAILED
+        await other.wait_until(lambda: len(other.commands) == 1)
+        other.writers[0].write(encode_reply(b"v"))
+        assert await recorder.status() is AttemptStatus.OK
 
 
-async def test_running_out_of_descriptors_is_an_outcome(monkeypatch):
-    server = FakeServer()
-    async with node(server) as gateway:
+async def test_running_out_of_descriptors_is_connect_failed(monkeypatch):
+    server = FakeUpstream()
+    async with run_gateway(server) as gateway:
 
         def none_left(*_):
             raise OSError(errno.EMFILE, "too many open files")
 
-        ends = Ends()
+        recorder = AttemptRecorder()
         with monkeypatch.context() as patch:
             patch.setattr(connection_module.socket, "socket", none_left)
-            gateway.upstream_pool.start(1, ends.attempt())
-            assert await ends.status() is AttemptStatus.CONNECT_FAILED
-        gateway.upstream_pool.start(1, ends.attempt())
-        assert await ends.status() is AttemptStatus.OK
+            gateway.upstream_pool.start(1, recorder.attempt())
+            assert await recorder.status() is AttemptStatus.CONNECT_FAILED
+        gateway.upstream_pool.start(1, recorder.attempt())
+        assert await recorder.status() is AttemptStatus.OK
 
 
-async def test_connection_that_never_comes_up_ends_after_the_time_out_and_never_ran():
+async def test_connect_timeout_is_connect_failed():
     with socket.create_server(("127.0.0.1", 0), backlog=0) as listener:
         port = listener.getsockname()[1]
         full = []
@@ -308,17 +313,17 @@
             full.append(socket.socket())
             full[-1].setblocking(False)
             full[-1].connect_ex(("127.0.0.1", port))
-        async with node(limits=GatewayLimits(connect_timeout_ms=50.0)) as gateway:
-            gateway.told((Endpoint(1, "a"), ("127.0.0.1", port)))
-            ends = Ends()
-            gateway.upstream_pool.start(1, ends.attempt())
-            assert await ends.status() is AttemptStatus.CONNECT_FAILED
+        async with run_gateway(limits=GatewayLimits(connect_timeout_ms=50.0)) as gateway:
+            gateway.update_endpoints((Endpoint(1, "a"), ("127.0.0.1", port)))
+            recorder = AttemptRecorder()
+            gateway.upstream_pool.start(1, recorder.attempt())
+            assert await recorder.status() is AttemptStatus.CONNECT_FAILED
             assert not gateway.upstream_pool.connections
         for one in full:
             one.close()
 
 
-async def test_wait_that_a_server_is_told_is_what_is_left_once_the_connection_is_up(monkeypatch):
+async def test_server_is_sent_the_timeout_that_remains_once_the_connection_is_up(monkeypatch):
     up, plain = asyncio.Event(), connection_module.UpstreamConnection.open
 
     async def open_late(self):
@@ -327,58 +332,58 @@
 
     monkeypatch.setattr(connection_module.UpstreamConnection, "open", open_late)
 
-    server = FakeServer()
-    async with node(server) as gateway:
-        peer, ahead = await gateway.peer(), 0.0
+    server = FakeUpstream()
+    async with run_gateway(server) as gateway:
+        peer, ahead = await gateway.connect_client(), 0.0
         usual = gateway.driver.clock
         monkeypatch.setattr(gateway.driver, "clock", lambda: usual() + ahead)
-        peer.send(call(1))
-        await until(lambda: bool(gateway.upstream_pool.connections))
+        peer.send(encode_call(1))
+        await wait_until(lambda: bool(gateway.upstream_pool.connections))
         ahead = 1500.0  # as if connecting had taken so long
         up.set()
-        assert await peer.reply() == b"0000000000000001"
+        assert await peer.read_reply() == b"0000000000000001"
         fields = dict(part.split(b"=") for part in server.commands[0][3].split(b","))
         assert 0 < int(fields[b"d"]) <= 4000 - 1500
 
 
-async def test_stopped_attempt_has_its_connection_closed_before_the_outcome_is_told():
-    server = FakeServer(lambda words: None)
-    async with node(server) as gateway:
+async def test_connection_of_a_stopped_attempt_is_shut_down_before_the_outcome_is_reported():
+    server = FakeUpstream(lambda _: None)
+    async with run_gateway(server) as gateway:
         told = []
         attempt = Attempt(COMMAND, told.append)
         gateway.upstream_pool.start(1, attempt)
-        await server.until(lambda: len(server.commands) == 1)
+        await server.wait_until(lambda: len(server.commands) == 1)
         sock = next(iter(gateway.upstream_pool.connections)).socket
 
         def done(reply):
-            with pytest.raises(OSError):
+            with pytest.raises(BrokenPipeError):
                 sock.send(b"x")
             told.append(reply)
 
         attempt.on_done = done
         gateway.upstream_pool.stop(attempt, AttemptStatus.CANCELLED)
         assert [reply.status for reply in told] == [AttemptStatus.CANCELLED]
-        await server.until(lambda: server.ended == 1)
+        await server.wait_until(lambda: server.closed_connections == 1)
 
 
-async def test_bytes_that_answer_nothing_end_the_connection():
-    server = FakeServer(lambda words: array(b"v") + b"+EXTRA\r\n")
-    async with node(server) as gateway:
-        ends = Ends()
-        gateway.upstream_pool.start(1, ends.attempt())
-        assert await ends.status() is AttemptStatus.OK
-        await server.until(lambda: server.ended == 1)
+async def test_unsolicited_bytes_end_the_connection():
+    server = FakeUpstream(lambda _: encode_reply(b"v") + b"+EXTRA\r\n")
+    async with run_gateway(server) as gateway:
+        recorder = AttemptRecorder()
+        gateway.upstream_pool.start(1, recorder.attempt())
+        assert await recorder.status() is AttemptStatus.OK
+        await server.wait_until(lambda: server.closed_connections == 1)
         assert not gateway.upstream_pool.connections
 
 
-async def test_value_is_served_and_what_is_held_of_unfinished_ones_is_bounded():
-    server = FakeServer(lambda words: array(b"v" * 60_000) if words[2].endswith(b"1") else None)
-    async with node(server) as gateway:
-        peer = await gateway.peer()
-        assert await peer.ask(call(1, "buy")) == b"v" * 60_000
+async def test_buffered_bytes_of_incomplete_replies_are_bounded():
+    server = FakeUpstream(lambda words: encode_reply(b"v" * 60_000) if words[2].endswith(b"1") else None)
+    async with run_gateway(server) as gateway:
+        peer = await gateway.connect_client()
+        assert await peer.request(encode_call(1, "buy")) == b"v" * 60_000
         gateway.upstream_pool.max_buffered_bytes = 20_000
-        peer.send(call(2, "buy"))
-        await server.until(lambda: len(server.commands) == 2)
-        server.writers[-1].write(array(b"v" * 60_000)[:-1])
-        assert await peer.reply() == "-ERR failed"
+        peer.send(encode_call(2, "buy"))
+        await server.wait_until(lambda: len(server.commands) == 2)
+        server.writers[-1].write(encode_reply(b"v" * 60_000)[:-1])
+        assert await peer.read_reply() == "-ERR failed"
         assert gateway.upstream_pool.buffered_bytes == 0
