--- a/tests/net/test_descriptors.py
+++ b/tests/net/test_descriptors.py
@@ -6,7 +6,8 @@
 import os
 import signal
 import socket
-from contextlib import contextmanager, suppress
+from contextlib import asynccontextmanager, contextmanager, suppress
+from pathlib import Path
 
 import pytest
 
@@ -14,92 +15,125 @@
 from quota_gateway import __main__ as program_module
 from quota_gateway.net.attempt import Attempt
 from quota_gateway.net.upstream_pool import UpstreamPool
-from tests.process import test_process as process_module
-from tests.support.fake_discovery import FakeDiscovery, encode_chunk, encode_update, make_instance
+from tests.support import gateway_process
+from tests.support.fake_discovery import (
+    CLOSED_BY_GATEWAY,
+    FakeDiscovery,
+    encode_chunk,
+    encode_update,
+    make_instance,
+)
 from tests.support.fake_upstream import FakeUpstream
 from tests.support.gateway_node import MAX_BUFFERED_BYTES, SETTINGS, wait_until
 from tests.support.resp_encoding import encode_call, encode_command, encode_reply
 
+POLL_INTERVAL_S = 0.01  # between two looks at a process
 
-def told(servers: UpstreamPool, listener: socket.socket) -> None:
-    """The servers' list: one, at the address of a listener that never accepts."""
-    servers.update(EndpointUpdate(UpdateKind.SNAPSHOT, (Endpoint(1, "a"),)), {1: listener.getsockname()})
 
+def make_pool(listener: socket.socket, max_connections: int) -> UpstreamPool:
+    """Make a pool with one endpoint, at the address of a listener that never accepts."""
+    pool = UpstreamPool(SETTINGS, max_connections, MAX_BUFFERED_BYTES)
+    pool.update(EndpointUpdate(UpdateKind.SNAPSHOT, (Endpoint(1, "a"),)), {1: listener.getsockname()})
+    return pool
 
-@pytest.mark.parametrize("news", [True, False])
-async def test_descriptor_of_a_connection_that_ends_as_it_comes_up_is_closed_once(news):
+
+def make_attempt(statuses: list[AttemptStatus]) -> Attempt:
+    """Make an attempt that adds the status of its outcome to a list."""
+    return Attempt(b"x", lambda reply: statuses.append(reply.status))
+
+
+def count_descriptors(process: int | str = "self") -> int:
+    """Count the descriptors that a process has open, with the one that lists them if it is this one."""
+    return len(list(Path(f"/proc/{process}/fd").iterdir()))
+
+
+class DescriptorPeak:
+    """The most descriptors that a process had open, above a base, whenever it was looked at."""
+
+    def __init__(self, process: int | str = "self", base: int = 0) -> None:
+        self.process = process
+        self.base = base
+        self.peak = 0
+
+    def sample(self) -> None:
+        """Look at the process once."""
+        self.peak = max(self.peak, count_descriptors(self.process) - self.base)
+
+
+@pytest.mark.parametrize("update", [True, False])
+async def test_descriptor_of_a_connection_that_ends_as_it_comes_up_is_closed_once(update):
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        servers, ends = UpstreamPool(SETTINGS, 10, MAX_BUFFERED_BYTES), []
-        told(servers, listener)
-        servers.start(1, Attempt(b"x", lambda reply: ends.append(reply.status)))
-        made = list(servers.connections)
-        await wait_until(lambda: made[0].socket is not None)
-        number = made[0].socket.fileno()
-        if news:
-            made[0].host.start_epoch()
+        pool = make_pool(listener, max_connections=10)
+        statuses = []
+        pool.start(1, make_attempt(statuses))
+        connections = list(pool.connections)
+        await wait_until(lambda: connections[0].socket is not None)
+        descriptor = connections[0].socket.fileno()
+        if update:
+            connections[0].host.start_epoch()
         else:
-            made[0].close(AttemptStatus.CANCELLED)
-        await wait_until(lambda: ends and made[0].task.done())
-        with open(os.devnull) as other:
-            assert other.fileno() == number  # as its descriptor is closed, the next file has the number
-            made.clear()
-            servers.close()
+            connections[0].close(AttemptStatus.CANCELLED)
+        await wait_until(lambda: statuses and connections[0].task.done())
+        with Path(os.devnull).open() as file:  # noqa: ASYNC230 - no disk is behind it
+            assert file.fileno() == descriptor  # as it is closed, the next file has its number
+            connections.clear()
+            pool.close()
             await asyncio.sleep(0)
             gc.collect()
-            os.fstat(other.fileno())
+            os.fstat(file.fileno())
 
 
-def open_now(process: int | str = "self") -> int:
-    return len(os.listdir(f"/proc/{process}/fd"))
+async def open_the_first_connection(pool: UpstreamPool) -> None:
+    """Open and close a connection: what the loop opens once is open then."""
+    pool.start(1, make_attempt([]))
+    (connection,) = pool.connections
+    await wait_until(lambda: connection.transport is not None)
+    connection.close(AttemptStatus.CANCELLED)
 
 
 @pytest.mark.parametrize("turns", range(1, 8))
-async def test_connections_reopened_in_one_turn_never_hold_more_descriptors_than_their_share(turns):
+async def test_connections_reopened_in_one_turn_never_exceed_the_limit_on_descriptors(turns):
+    limit, rounds = 40, 4
     with socket.create_server(("127.0.0.1", 0), backlog=1024) as listener:
-        servers, ends, most, share = UpstreamPool(SETTINGS, 40, MAX_BUFFERED_BYTES), [], 0, 40
-        told(servers, listener)
-        servers.start(1, Attempt(b"x", lambda _: None))
-        (first,) = servers.connections
-        await wait_until(lambda: first.transport is not None)  # what the loop opens once is open
-        first.close(AttemptStatus.CANCELLED)
-        await wait_until(lambda: servers.descriptors_in_use == 0)
-        before = open_now()
-        for _ in range(4):
-            for _ in range(share):
-                servers.start(1, Attempt(b"x", lambda reply: ends.append(reply.status)))
+        pool = make_pool(listener, max_connections=limit)
+        await open_the_first_connection(pool)
+        await wait_until(lambda: pool.descriptors_in_use == 0)
+        open_before = count_descriptors()
+        descriptors = DescriptorPeak(base=open_before)
+        statuses = []
+        for _ in range(rounds):
+            for _ in range(limit):
+                pool.start(1, make_attempt(statuses))
             for _ in range(turns):
                 await asyncio.sleep(0)
-                most = max(most, open_now() - before)
-            for connection in list(servers.connections):
+                descriptors.sample()
+            for connection in list(pool.connections):
                 connection.close(AttemptStatus.CANCELLED)
-        for _ in range(share):
-            servers.start(1, Attempt(b"x", lambda reply: ends.append(reply.status)))
-        while any(connection.transport is None for connection in servers.connections):
+        for _ in range(limit):
+            pool.start(1, make_attempt(statuses))
+        while any(connection.transport is None for connection in pool.connections):
             await asyncio.sleep(0)
-            most = max(most, open_now() - before)
-        assert most == servers.descriptors_in_use == len(servers.connections) == share
-        assert ends == [AttemptStatus.CANCELLED] * 4 * share  # none could not connect for it
-        servers.close()
-        await wait_until(lambda: servers.descriptors_in_use == 0)
-        assert open_now() == before
+            descriptors.sample()
+        assert descriptors.peak == pool.descriptors_in_use == len(pool.connections) == limit
+        assert statuses == [AttemptStatus.CANCELLED] * rounds * limit  # none failed to connect for it
+        pool.close()
+        await wait_until(lambda: pool.descriptors_in_use == 0)
+        assert count_descriptors() == open_before
 
 
-async def test_connection_that_waits_for_a_place_can_be_given_up():
+async def test_connection_that_waits_for_a_descriptor_can_be_stopped():
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        servers, ends = UpstreamPool(SETTINGS, 1, MAX_BUFFERED_BYTES), []
-        told(servers, listener)
-        servers.start(1, Attempt(b"x", lambda _: None))
-        (first,) = servers.connections
-        await wait_until(lambda: first.transport is not None)
-        first.close(AttemptStatus.CANCELLED)
-        waiting = Attempt(b"x", lambda reply: ends.append(reply.status))
-        servers.start(1, waiting)
-        servers.stop(waiting, AttemptStatus.TIMEOUT)
-        assert ends == [AttemptStatus.CONNECT_FAILED]  # it never ran
-        assert not servers.waiting_to_open
-        assert not servers.connections
-        await wait_until(lambda: servers.descriptors_in_use == 0)
-        servers.close()
+        pool = make_pool(listener, max_connections=1)
+        await open_the_first_connection(pool)
+        statuses = []
+        waiting = make_attempt(statuses)
+        pool.start(1, waiting)
+        pool.stop(waiting, AttemptStatus.TIMEOUT)
+        assert statuses == [AttemptStatus.CONNECT_FAILED]  # it never ran
+        assert not pool.waiting_to_open
+        assert not pool.connections
+        await wait_until(lambda: pool.descriptors_in_use == 0)
+        pool.close()
 
 
 @pytest.mark.parametrize("managed", [False, True])
@@ -109,33 +143,35 @@
     assert sum(program_module.shares(limit, 7, managed)) + 7 + others == limit
 
 
-class Crowd:
-    """Clients that say one thing each and stay; those who are closed come again at once."""
+class ReconnectingClients:
+    """Clients that send one thing each and stay; those that are closed connect again at once."""
 
-    def __init__(self, port: int, said: list[bytes]) -> None:
-        self.port, self.came = port, 0
-        self.tasks = [asyncio.ensure_future(self._stay(words)) for words in said]
+    def __init__(self, port: int, payloads: list[bytes]) -> None:
+        self.port = port
+        self.connects = 0
+        self.tasks = [asyncio.create_task(self._stay(payload)) for payload in payloads]
 
-    async def _stay(self, words: bytes) -> None:
+    async def _stay(self, payload: bytes) -> None:
         while True:
             with suppress(OSError):
                 reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
-                self.came += 1
-                writer.write(words)
+                self.connects += 1
+                writer.write(payload)
                 while await reader.read(1000):
                     pass
                 writer.close()
             await asyncio.sleep(0)
 
     async def end(self) -> None:
+        """Close all clients."""
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
 
 @contextmanager
-def late_server():
-    """The port of a server that never comes up: its queue is full, so that connecting to it just takes."""
+def unaccepting_server():
+    """Give the port of a server that never comes up: its backlog is full, so that connecting just takes."""
     with socket.socket() as listener, socket.socket() as first, socket.socket() as second:
         listener.bind(("127.0.0.1", 0))
         listener.listen(0)
@@ -145,74 +181,87 @@
         yield listener.getsockname()[1]
 
 
-LIMIT, CROWD = 128, 200  # descriptors of the process, and clients who ask nothing
-SILENT, OUT = 30, 15  # servers that only answer at the end, and at least so many attempts out to them
-SAID = {"nothing": b"", "half a command": encode_call(1)[:50], "PING": encode_command("PING")}
+LIMIT = 128  # descriptors of the gateway's process
+CLIENTS = 200  # clients that ask nothing, more than the limit
+SILENT_ENDPOINTS = 30  # endpoints whose server replies only at the end
+MIN_SILENT_ATTEMPTS = 15  # in flight to them
+PAYLOADS = {"nothing": b"", "half a command": encode_call(1)[:50], "PING": encode_command("PING")}
+
+
+def configured_instances(config: Path) -> list[dict]:
+    """Read the instances that a configuration file lists."""
+    return json.loads(config.read_text())["known"]["instances"]
+
+
+def configure_discovery(config: Path, port: int) -> None:
+    """Write a new address of discovery into a configuration file."""
+    document = json.loads(config.read_text())
+    config.write_text(json.dumps({**document, "discovery": f"127.0.0.1:{port}"}))
+
+
+async def drop_discovery(gateway, config: Path, client) -> None:
+    """Let discovery list the endpoints, wait until the gateway is ready, and make discovery unreachable."""
+    _, watch = await gateway.discovery.next_watch()
+    gateway.discovery.server.close()
+    watch.write(encode_chunk(encode_update(2, *configured_instances(config), reset=True)))
+    while await client.request(encode_command("PING")) != b"PONG":  # noqa: ASYNC110 - it is another process
+        await asyncio.sleep(POLL_INTERVAL_S)
+    watch.close()
+
+
+@asynccontextmanager
+async def moved_discovery(gateway, config: Path, *instances):
+    """Run discovery anew at its old address, and at a new one that the gateway is told; both list these."""
+    restarted = await asyncio.start_server(gateway.discovery._serve, "127.0.0.1", gateway.discovery.port)
+    async with restarted, FakeDiscovery() as moved:
+        configure_discovery(config, moved.port)
+        gateway.process.send_signal(signal.SIGHUP)
+        _, old_watch = await gateway.discovery.next_watch()
+        _, new_watch = await moved.next_watch()
+        old_watch.write(encode_chunk(encode_update(3, *instances, reset=True)))
+        new_watch.write(encode_chunk(encode_update(9, *instances, reset=True)))
+        yield
 
 
-@pytest.mark.parametrize("said", SAID)
-async def test_news_is_heard_and_requests_are_served_while_a_crowd_holds_all_there_is_for_clients(
-    said,
-    tmp_path,
-    monkeypatch,
-    capfd,
+@pytest.mark.parametrize("payload", PAYLOADS)
+async def test_updates_and_requests_are_handled_while_clients_hold_all_their_descriptors(
+    payload, tmp_path, monkeypatch, capfd
 ):
     """Discovery is gone, comes back, and moves as it does; servers hold all they may meanwhile.
 
     The kernel itself holds the process to its limit.
     """
-    monkeypatch.setattr(
-        process_module, "command", lambda plain=process_module.command: f"ulimit -n {LIMIT}; {plain()}"
-    )
-
-    silent = await FakeUpstream(lambda _: None).start()
-    good = await FakeUpstream(lambda _: encode_reply(b"v")).start()
-    with late_server() as late:
-        async with process_module.program(tmp_path, silent, LIMIT, SILENT) as (process, port, discovery):
-            path, most = tmp_path / "config.json", 0
-            _, watch = await discovery.next_watch()
-            discovery.server.close()
-            rows = json.loads(path.read_text())["known"]["instances"]
-            watch.write(encode_chunk(encode_update(2, *rows, reset=True)))
-            early = await process_module.connect(port)
-            while await early.request(encode_command("PING")) != b"PONG":
-                await asyncio.sleep(0.01)
-            watch.close()  # from here on it can't be reached
-            crowd = Crowd(port, [SAID[said]] * CROWD)
-            early.send(*(encode_call(number, timeout_ms=60_000) for number in range(100, 160)))
-            while crowd.came < CROWD + LIMIT or len(silent.commands) < OUT:
-                await asyncio.sleep(0.01)
-                most = max(most, open_now(process.pid))
-            back = await asyncio.start_server(discovery._serve, "127.0.0.1", discovery.port)
-            moved = await FakeDiscovery().start()
-            document = json.loads(path.read_text())
-            path.write_text(json.dumps({**document, "discovery": f"127.0.0.1:{moved.port}"}))
-            process.send_signal(signal.SIGHUP)
-            (_, old), (_, new) = await discovery.next_watch(), await moved.next_watch()
-            old.write(
-                encode_chunk(
-                    encode_update(
-                        3, make_instance("s-late", late), make_instance("s-good", good.port), reset=True
-                    )
-                )
-            )
-            new.write(
-                encode_chunk(
-                    encode_update(
-                        9, make_instance("s-late", late), make_instance("s-good", good.port), reset=True
-                    )
-                )
-            )
-            assert await discovery.closed_watches.get() == "by the gateway"  # as the new one has been heard
-            most = max(most, open_now(process.pid))
-            silent.respond = lambda _: encode_reply(b"late")
-            for writer in silent.writers:
-                writer.write(encode_reply(b"late"))
-            peer, number = await process_module.connect(port), 200
-            while await peer.request(encode_call(number := number + 1)) != b"v":
-                await asyncio.sleep(0.01)
-            most = max(most, open_now(process.pid))
-            assert most <= LIMIT
-            await crowd.end()
-            back.close()
+    plain_command = gateway_process.command
+    monkeypatch.setattr(gateway_process, "command", lambda: f"ulimit -n {LIMIT}; {plain_command()}")
+    config = tmp_path / "config.json"
+    with unaccepting_server() as unaccepting_port:
+        async with (
+            FakeUpstream(lambda _: None) as silent,
+            FakeUpstream(lambda _: encode_reply(b"v")) as good,
+            gateway_process.program(tmp_path, silent, LIMIT, SILENT_ENDPOINTS) as gateway,
+        ):
+            descriptors = DescriptorPeak(gateway.process.pid)
+            early_client = await gateway_process.connect(gateway.port)
+            await drop_discovery(gateway, config, early_client)
+            clients = ReconnectingClients(gateway.port, [PAYLOADS[payload]] * CLIENTS)
+            early_client.send(*(encode_call(number, timeout_ms=60_000) for number in range(100, 160)))
+            while clients.connects < CLIENTS + LIMIT or len(silent.commands) < MIN_SILENT_ATTEMPTS:
+                await asyncio.sleep(POLL_INTERVAL_S)
+                descriptors.sample()
+            instances = [make_instance("s-late", unaccepting_port), make_instance("s-good", good.port)]
+            async with moved_discovery(gateway, config, *instances):
+                # It closes the watch at the old address once it has heard from the new one.
+                assert await gateway.discovery.closed_watches.get() == CLOSED_BY_GATEWAY
+                descriptors.sample()
+                silent.respond = lambda _: encode_reply(b"late")
+                for writer in silent.writers:
+                    writer.write(encode_reply(b"late"))
+                late_client = await gateway_process.connect(gateway.port)
+                number = 201
+                while await late_client.request(encode_call(number)) != b"v":
+                    await asyncio.sleep(POLL_INTERVAL_S)
+                    number += 1
+                descriptors.sample()
+                assert descriptors.peak <= LIMIT
+                await clients.end()
     assert "Too many open files" not in capfd.readouterr().err
