--- a/tests/net/test_driver.py
+++ b/tests/net/test_driver.py
@@ -3,7 +3,6 @@
 import asyncio
 import gc
 import socket
-import time
 import weakref
 
 import pytest
@@ -25,8 +24,6 @@
 )
 from quota_gateway.net.active_request import ActiveRequest
 from quota_gateway.net.attempt import Attempt
-from quota_gateway.net.clock import Clock
-from quota_gateway.net.timer_queue import TimerQueue
 from quota_gateway.net.upstream_connection import UpstreamConnection
 from tests.support.fake_upstream import FakeUpstream
 from tests.support.gateway_node import run_gateway, wait_until
@@ -247,28 +244,6 @@
         assert not gateway.driver.timers.entries
 
 
-async def test_timer_between_two_milliseconds_does_not_spin_until_it_is_due(monkeypatch):
-    fired = []
-    plain = TimerQueue._fire
-    monkeypatch.setattr(TimerQueue, "_fire", lambda self: fired.append(1) or plain(self))
-
-    async with run_gateway() as gateway:
-        driver, due = gateway.driver, asyncio.Event()
-        for number in range(20):
-            due.clear()
-            driver.timers.call_at(driver.clock() + 5.0 + number / 20.0, lambda _: due.set(), None)
-            await due.wait()
-        assert 20 <= len(fired) <= 100
-
-
-def test_clock_is_unix_time_and_unmoved_by_a_change_of_the_system_clock(monkeypatch):
-    clock = Clock()
-    assert abs(clock() - time.time() * 1000.0) < 60_000.0
-    before = clock()
-    monkeypatch.setattr(time, "time", lambda: 0.0)
-    assert clock() >= before
-
-
 async def test_engine_failure_on_one_request_leaves_the_others_alone():
     def failing(_event):
         raise RuntimeError("no decision")
--- a/tests/net/test_upstream_pool.py
+++ b/tests/net/test_upstream_pool.py
@@ -10,7 +10,6 @@
 from quota_gateway.net import upstream_connection as connection_module
 from quota_gateway.net import upstream_pool as module
 from quota_gateway.net.attempt import Attempt, UpstreamReply
-from quota_gateway.net.reply_parser import ReplyParser
 from tests.support.fake_upstream import FakeUpstream
 from tests.support.gateway_node import run_gateway, wait_until
 from tests.support.resp_encoding import encode_call, encode_command, encode_reply
@@ -82,19 +81,6 @@
         assert recorder.empty()
 
 
-def test_usage_and_load_reports_are_parsed_from_replies_and_error_lines():
-    read = ReplyParser(("utilisation", "queue"), 1.0).parse
-    assert read([b"v", b"used=37,cost=4", b"inflight=7,queue=2,util=0.61"]) == UpstreamReply(
-        AttemptStatus.OK, b"v", 37.0, 4.0, (0.61, 2.0)
-    )
-    assert read([b"v", None, None]) == UpstreamReply(AttemptStatus.OK, b"v")
-    assert read("ERR failed used=120 util=0.5,queue=3") == UpstreamReply(
-        AttemptStatus.ERROR, None, 120.0, None, (0.5, 3.0)
-    )
-    assert read("BUSY used=9") == UpstreamReply(AttemptStatus.OVERLOADED, None, 9.0)
-    assert read([b"v", b"used=x,,=,nan", b"util=0.5"]) == UpstreamReply(AttemptStatus.OK, b"v")
-
-
 @pytest.mark.parametrize("number", ["nan", "inf", "-1", "1e9", "999999999", "0x1", "1_0", " 1", "", "\xff"])
 async def test_impossible_figures_are_dropped_and_the_value_is_served(number):
     figures = [f"used={number},cost={number}", f"util=0.1,queue={number}"]
