--- a/tests/net/test_driver.py
+++ b/tests/net/test_driver.py
@@ -65,16 +65,16 @@
 
 async def test_immediate_outcome_is_handled_after_the_actions_before_it():
     async with run_gateway() as gateway:
-        sends = []
+        attempt_counts = []
         engine = ScriptedEngine(
             Request=lambda _: [StartAttempt("r", 9), StartAttempt("r", 9), LogMessage("after both")],
             Outcome=lambda e: (
-                sends.append(gateway.driver.active_requests["r"].attempt_count)
+                attempt_counts.append(gateway.driver.active_requests["r"].attempt_count)
                 or ([Reject("r")] if e.attempt == 1 else [])
             ),
         )
         answers = submit_to(gateway, engine)
-        assert sends == [2, 2]
+        assert attempt_counts == [2, 2]
         assert engine.outcomes() == [
             (0, AttemptStatus.CONNECT_FAILED, False),
             (1, AttemptStatus.CONNECT_FAILED, False),
@@ -130,14 +130,14 @@
         assert engine.outcomes() == [(0, AttemptStatus.CANCELLED, False)]
 
 
-@pytest.mark.parametrize("end", ["answered by another", "refused", "left"])
+@pytest.mark.parametrize("end", ["answered by another", "rejected", "client left"])
 async def test_connection_that_comes_up_after_the_request_ended_carries_nothing(end, monkeypatch):
-    up, plain = asyncio.Event(), UpstreamConnection.open
+    up, open_connection = asyncio.Event(), UpstreamConnection.open
 
     async def open_late(self):
         if self.host.address[1] != first_port(self):
             await up.wait()
-        await plain(self)
+        await open_connection(self)
 
     def first_port(connection):
         return connection.owner.hosts[1].address[1]
@@ -156,15 +156,15 @@
         if end == "answered by another":
             quick.writers[0].write(encode_reply(b"v"))
             await wait_until(lambda: bool(answers))
-        elif end == "refused":
+        elif end == "rejected":
             gateway.driver.post(TimerFired(1))
         else:
             gateway.driver.client_disconnected("r")
         up.set()
         await wait_until(lambda: any(e[:2] == (1, AttemptStatus.NOT_SENT) for e in engine.outcomes()))
-        told = asyncio.Event()
-        gateway.upstream_pool.start(2, Attempt(b"*1\r\n$4\r\nLAST\r\n", lambda _: told.set()))
-        await told.wait()
+        done = asyncio.Event()
+        gateway.upstream_pool.start(2, Attempt(b"*1\r\n$4\r\nLAST\r\n", lambda _: done.set()))
+        await done.wait()
         assert [words[0] for words in late.commands] == [b"LAST"]
         if end == "answered by another":
             assert [status for _, status, _ in engine.outcomes()] == [
@@ -179,21 +179,22 @@
         with socket.create_server(("127.0.0.1", 0)) as listener:
             listener.setblocking(False)
             gateway.update_endpoints((Endpoint(1, "a"), listener.getsockname()))
-            engine, whole = ScriptedEngine(Request=lambda _: [StartAttempt("r", 1)]), 32_000_000
+            engine = ScriptedEngine(Request=lambda _: [StartAttempt("r", 1)])
+            command = b"x" * 32_000_000
             gateway.driver.engine = engine
             gateway.driver.submit(
-                ActiveRequest("r", lambda _: b"x" * whole, lambda _: None),
+                ActiveRequest("r", lambda _: command, lambda _: None),
                 Request("r", "read", "free", "c", 60_000.0),
                 60_000.0,
             )
             loop = asyncio.get_running_loop()
             accepted, _ = await loop.sock_accept(listener)
-            got = len(await loop.sock_recv(accepted, 1))  # the rest waits for this reader
+            received_bytes = len(await loop.sock_recv(accepted, 1))  # the rest waits for this reader
             gateway.driver.client_disconnected("r")
             assert engine.outcomes() == [(0, AttemptStatus.NOT_SENT, True)]
             while piece := await received(loop, accepted):
-                got += len(piece)
-            assert 0 < got < whole
+                received_bytes += len(piece)
+            assert 0 < received_bytes < len(command)
             accepted.close()
 
 
@@ -269,8 +270,8 @@
 
 async def test_finished_attempt_releases_its_command_before_its_timer_is_due():
     async with run_gateway(FakeUpstream()) as gateway:
-        peer = await gateway.connect_client()
-        assert await peer.request(encode_call(1, "buy", body=b"x" * 60_000)) == b"0000000000000001"
+        client = await gateway.connect_client()
+        assert await client.request(encode_call(1, "buy", body=b"x" * 60_000)) == b"0000000000000001"
         kept = [argument for *_, argument in gateway.driver.timers.entries if isinstance(argument, Attempt)]
         assert len(kept) == 1
         assert kept[0].payload == b""
@@ -285,25 +286,25 @@
     server = FakeUpstream()
     async with run_gateway(server) as gateway:
         monkeypatch.setattr(UpstreamConnection, "open", never)
-        peer = await gateway.connect_client()
-        peer.send(encode_call(1))
-        await wait_until(lambda: any(held.attempts for held in gateway.driver.active_requests.values()))
-        (peer.writer.close if how == "end" else peer.writer.transport.abort)()
+        client = await gateway.connect_client()
+        client.send(encode_call(1))
+        await wait_until(lambda: any(request.attempts for request in gateway.driver.active_requests.values()))
+        (client.writer.close if how == "end" else client.writer.transport.abort)()
         await wait_until(lambda: not gateway.driver.active_requests)
-        decisions = gateway.driver.engine
-        assert decisions.servers[1].marks == {} == decisions.marks
-        assert not decisions.flights
+        engine = gateway.driver.engine
+        assert engine.servers[1].marks == {} == engine.marks
+        assert not engine.flights
         assert not gateway.upstream_pool.connections
         assert not server.commands
 
 
 async def test_finished_request_is_released_before_the_timer_of_its_attempt_is_due():
     async with run_gateway(FakeUpstream()) as gateway:
-        peer = await gateway.connect_client()
-        peer.send(encode_call(1, "buy", body=b"x" * 60_000))
+        client = await gateway.connect_client()
+        client.send(encode_call(1, "buy", body=b"x" * 60_000))
         await wait_until(lambda: bool(gateway.driver.active_requests))
         encode = weakref.ref(next(iter(gateway.driver.active_requests.values())).encode)  # it has the command
-        assert await peer.read_reply() == b"0000000000000001"
+        assert await client.read_reply() == b"0000000000000001"
         assert not gateway.driver.active_requests
         assert any(isinstance(argument, Attempt) for *_, argument in gateway.driver.timers.entries)
         gc.collect()
--- a/tests/net/test_upstream_pool.py
+++ b/tests/net/test_upstream_pool.py
@@ -7,8 +7,7 @@
 import pytest
 
 from quota_gateway import AttemptStatus, Endpoint, EndpointLifecycle, GatewayLimits, UpdateKind
-from quota_gateway.net import upstream_connection as connection_module
-from quota_gateway.net import upstream_pool as module
+from quota_gateway.net import upstream_connection, upstream_pool
 from quota_gateway.net.attempt import Attempt, UpstreamReply
 from tests.support.fake_upstream import FakeUpstream
 from tests.support.gateway_node import run_gateway, wait_until
@@ -47,7 +46,7 @@
         for number in (1, 0):
             server.writers[number].write(encode_reply(b"v"))
             assert await recorder.status() is AttemptStatus.OK
-        await asyncio.sleep(4.0 * module.REUSE_DELAY_S)
+        await asyncio.sleep(4.0 * upstream_pool.REUSE_DELAY_S)
         gateway.upstream_pool.start(1, recorder.attempt())
         await server.wait_until(lambda: len(server.commands) == 3)
         assert server.connection_numbers[2] == 0
@@ -113,24 +112,24 @@
 async def test_connection_with_a_malformed_reply_is_never_reused_though_it_stays_open(answer):
     server = FakeUpstream(lambda words: answer if words[2].endswith(b"1") else encode_reply(words[2]))
     async with run_gateway(server) as gateway:
-        peer = await gateway.connect_client()
-        first = await peer.request(encode_call(1, "buy"))
+        client = await gateway.connect_client()
+        first = await client.request(encode_call(1, "buy"))
         assert first == b"v" if answer.startswith(encode_reply(b"v")) else first == "-ERR failed"
-        await asyncio.sleep(2.0 * module.REUSE_DELAY_S)
+        await asyncio.sleep(2.0 * upstream_pool.REUSE_DELAY_S)
         for number in (2, 3):
-            assert await peer.request(encode_call(number, "buy")) == b"%016x" % number
+            assert await client.request(encode_call(number, "buy")) == b"%016x" % number
         assert server.connection_numbers[0] == 0 not in server.connection_numbers[1:]
 
 
 async def test_bytes_shortly_after_a_reply_do_not_answer_the_next_request(monkeypatch):
-    monkeypatch.setattr(module, "REUSE_DELAY_S", 0.5)
+    monkeypatch.setattr(upstream_pool, "REUSE_DELAY_S", 0.5)
 
     server = FakeUpstream(lambda words: encode_reply(words[2]))
     async with run_gateway(server) as gateway:
-        peer = await gateway.connect_client()
-        assert await peer.request(encode_call(1)) == b"0000000000000001"
+        client = await gateway.connect_client()
+        assert await client.request(encode_call(1)) == b"0000000000000001"
         server.respond = lambda words: server.writers[0].write(encode_reply(b"old")) or encode_reply(words[2])
-        assert await peer.request(encode_call(2)) == b"0000000000000002"
+        assert await client.request(encode_call(2)) == b"0000000000000002"
         await server.wait_until(lambda: server.closed_connections == 1)
 
 
@@ -140,17 +139,17 @@
     await gone.server.wait_closed()
     async with run_gateway(server) as gateway:
         gateway.update_endpoints(gone.endpoint(1), kind=UpdateKind.SNAPSHOT)
-        peer = await gateway.connect_client()
+        client = await gateway.connect_client()
         gateway.update_endpoints(server.endpoint(2), kind=UpdateKind.DELTA)
         for number in range(8):
-            assert await peer.request(encode_call(number, "buy")) == b"%016x" % number
+            assert await client.request(encode_call(number, "buy")) == b"%016x" % number
 
 
 async def test_non_idempotent_request_fails_when_the_connection_ends_after_the_last_byte():
     server, other = FakeUpstream(lambda _: b""), FakeUpstream(lambda _: b"")
     async with run_gateway(server, other) as gateway:
-        peer = await gateway.connect_client()
-        assert (await peer.request(encode_call(1, "buy"))).startswith("-ERR")
+        client = await gateway.connect_client()
+        assert (await client.request(encode_call(1, "buy"))).startswith("-ERR")
         assert len(server.commands) + len(other.commands) == 1
 
 
@@ -173,9 +172,9 @@
 async def test_non_idempotent_request_is_retried_elsewhere_after_busy():
     busy, good = [FakeUpstream(lambda _: b"-BUSY\r\n") for _ in range(3)], FakeUpstream()
     async with run_gateway(*busy, good) as gateway:
-        peer = await gateway.connect_client()
+        client = await gateway.connect_client()
         for number in range(8):
-            assert await peer.request(encode_call(number, "buy")) == b"%016x" % number
+            assert await client.request(encode_call(number, "buy")) == b"%016x" % number
         assert any(server.commands for server in busy)
 
 
@@ -284,7 +283,7 @@
 
         recorder = AttemptRecorder()
         with monkeypatch.context() as patch:
-            patch.setattr(connection_module.socket, "socket", none_left)
+            patch.setattr(upstream_connection.socket, "socket", none_left)
             gateway.upstream_pool.start(1, recorder.attempt())
             assert await recorder.status() is AttemptStatus.CONNECT_FAILED
         gateway.upstream_pool.start(1, recorder.attempt())
@@ -305,29 +304,29 @@
             gateway.upstream_pool.start(1, recorder.attempt())
             assert await recorder.status() is AttemptStatus.CONNECT_FAILED
             assert not gateway.upstream_pool.connections
-        for one in full:
-            one.close()
+        for client in full:
+            client.close()
 
 
 async def test_server_is_sent_the_timeout_that_remains_once_the_connection_is_up(monkeypatch):
-    up, plain = asyncio.Event(), connection_module.UpstreamConnection.open
+    up, open_connection = asyncio.Event(), upstream_connection.UpstreamConnection.open
 
     async def open_late(self):
         await up.wait()
-        await plain(self)
+        await open_connection(self)
 
-    monkeypatch.setattr(connection_module.UpstreamConnection, "open", open_late)
+    monkeypatch.setattr(upstream_connection.UpstreamConnection, "open", open_late)
 
     server = FakeUpstream()
     async with run_gateway(server) as gateway:
-        peer, ahead = await gateway.connect_client(), 0.0
+        client, ahead = await gateway.connect_client(), 0.0
         usual = gateway.driver.clock
         monkeypatch.setattr(gateway.driver, "clock", lambda: usual() + ahead)
-        peer.send(encode_call(1))
+        client.send(encode_call(1))
         await wait_until(lambda: bool(gateway.upstream_pool.connections))
         ahead = 1500.0  # as if connecting had taken so long
         up.set()
-        assert await peer.read_reply() == b"0000000000000001"
+        assert await client.read_reply() == b"0000000000000001"
         fields = dict(part.split(b"=") for part in server.commands[0][3].split(b","))
         assert 0 < int(fields[b"d"]) <= 4000 - 1500
 
@@ -335,8 +334,8 @@
 async def test_connection_of_a_stopped_attempt_is_shut_down_before_the_outcome_is_reported():
     server = FakeUpstream(lambda _: None)
     async with run_gateway(server) as gateway:
-        told = []
-        attempt = Attempt(COMMAND, told.append)
+        outcomes = []
+        attempt = Attempt(COMMAND, outcomes.append)
         gateway.upstream_pool.start(1, attempt)
         await server.wait_until(lambda: len(server.commands) == 1)
         sock = next(iter(gateway.upstream_pool.connections)).socket
@@ -344,11 +343,11 @@
         def done(reply):
             with pytest.raises(BrokenPipeError):
                 sock.send(b"x")
-            told.append(reply)
+            outcomes.append(reply)
 
         attempt.on_done = done
         gateway.upstream_pool.stop(attempt, AttemptStatus.CANCELLED)
-        assert [reply.status for reply in told] == [AttemptStatus.CANCELLED]
+        assert [reply.status for reply in outcomes] == [AttemptStatus.CANCELLED]
         await server.wait_until(lambda: server.closed_connections == 1)
 
 
@@ -365,11 +364,11 @@
 async def test_buffered_bytes_of_incomplete_replies_are_bounded():
     server = FakeUpstream(lambda words: encode_reply(b"v" * 60_000) if words[2].endswith(b"1") else None)
     async with run_gateway(server) as gateway:
-        peer = await gateway.connect_client()
-        assert await peer.request(encode_call(1, "buy")) == b"v" * 60_000
+        client = await gateway.connect_client()
+        assert await client.request(encode_call(1, "buy")) == b"v" * 60_000
         gateway.upstream_pool.max_buffered_bytes = 20_000
-        peer.send(encode_call(2, "buy"))
+        client.send(encode_call(2, "buy"))
         await server.wait_until(lambda: len(server.commands) == 2)
         server.writers[-1].write(encode_reply(b"v" * 60_000)[:-1])
-        assert await peer.read_reply() == "-ERR failed"
+        assert await client.read_reply() == "-ERR failed"
         assert gateway.upstream_pool.buffered_bytes == 0
