--- /dev/null
+++ b/scale/subset_metrics.py
@@ -0,0 +1,167 @@
+"""Metrics of a fleet's subsets: balance of load, capacity left when a failure domain is lost, and churn."""
+
+from __future__ import annotations
+
+import numpy as np
+from numpy.typing import NDArray
+
+from scale.subset_strategies import FleetSubsets, Strategy, Topology
+
+ZONES = 15
+REGIONS = 4
+"""Regions that the zones lie in."""
+
+SERVERS_PER_RACK = 40
+
+UNEVEN_TRAFFIC_DRAWS = 20
+"""Draws of uneven traffic: gamma with shape 1, by which one gateway in a hundred has 4.6 times the mean."""
+
+SETTLED_TRAFFIC_DRAWS = 4
+"""Draws after which gateways shift their traffic; fewer, since each takes SETTLING_STEPS steps."""
+
+SETTLING_STEPS = 40
+"""Steps, each of half the way, until gateways have shifted their traffic to servers with less load."""
+
+SINGLE_SERVER_CHANGES = 5
+"""Servers that are removed, and that are added, one at a time."""
+
+
+def balance_metrics(
+    subsets: FleetSubsets,
+    topology: Topology,
+    generator: np.random.Generator,
+) -> dict[str, float]:
+    """Measure the servers' loads relative to their mean, with even, uneven and settled traffic.
+
+    A server's load is the sum, over its gateways, of the gateway's traffic divided by the size of its subset.
+
+    Returns:
+        The highest load and the 99.9th percentile of each kind of traffic, how many gateways share a server,
+        and the subsets' sizes, by the names of the result files.
+    """
+    gateways = len(subsets)
+    sizes = np.array([len(servers) for servers in subsets])
+    even = _server_loads(subsets, topology, np.ones(gateways))
+    uneven = [
+        _server_loads(subsets, topology, generator.gamma(1.0, size=gateways))
+        for _ in range(UNEVEN_TRAFFIC_DRAWS)
+    ]
+    settled = [
+        settled_loads(subsets, topology, generator.gamma(1.0, size=gateways))
+        for _ in range(SETTLED_TRAFFIC_DRAWS)
+    ]
+    sharers = np.bincount(np.concatenate(subsets), minlength=len(topology.names))[topology.listed]
+    return {
+        "max": float(even.max()),
+        "p99.9": float(np.quantile(even, 0.999)),
+        "uneven max": float(np.mean([load.max() for load in uneven])),
+        "uneven p99.9": float(np.mean([np.quantile(load, 0.999) for load in uneven])),
+        "settled max": float(np.mean([load.max() for load in settled])),
+        "settled p99.9": float(np.mean([np.quantile(load, 0.999) for load in settled])),
+        "least sharers": float(sharers.min()),
+        "mean sharers": float(sharers.mean()),
+        "least size": float(sizes.min()),
+        "most size": float(sizes.max()),
+    }
+
+
+def _server_loads(
+    subsets: FleetSubsets,
+    topology: Topology,
+    traffic: NDArray[np.float64],
+) -> NDArray[np.float64]:
+    """Return each listed server's load relative to the mean, with traffic spread evenly."""
+    sizes = np.array([len(servers) for servers in subsets])
+    portions = np.repeat(traffic / np.maximum(1, sizes), sizes)
+    loads = np.bincount(np.concatenate(subsets), portions, len(topology.names))[topology.listed]
+    return np.asarray(loads / loads.mean())
+
+
+def settled_loads(
+    subsets: FleetSubsets,
+    topology: Topology,
+    traffic: NDArray[np.float64],
+) -> NDArray[np.float64]:
+    """Return the servers' loads once gateways have shifted traffic to those of their servers with less load.
+
+    Gateways that choose by what replies show do so; neighbors that share all servers have no such server.
+    """
+    servers = np.concatenate(subsets)
+    owners = np.repeat(np.arange(len(subsets)), [len(own) for own in subsets])
+    portions = np.ones(len(servers))
+    for _ in range(SETTLING_STEPS + 1):
+        portions *= (traffic / np.maximum(1e-12, np.bincount(owners, portions, len(subsets))))[owners]
+        loads = np.bincount(servers, portions, len(topology.names)).astype(float)
+        loads = loads / loads[topology.listed].mean()
+        portions /= np.sqrt(np.maximum(1e-6, loads))[servers]
+    return np.asarray(loads[topology.listed])
+
+
+def failure_domain_metrics(
+    subsets: FleetSubsets,
+    topology: Topology,
+    generator: np.random.Generator,
+) -> dict[str, float]:
+    """Measure the least part of its subset that any gateway keeps when a zone, region or rack is lost.
+
+    Returns:
+        For each kind of failure domain that part, relative to the part of all servers that is left.
+    """
+    server_count = len(topology.names)
+    zones = generator.permutation(server_count) % ZONES
+    racks = zones + ZONES * (generator.permutation(server_count) // (SERVERS_PER_RACK * ZONES))
+    metrics = {}
+    for name, domains in (("zone", zones), ("region", zones % REGIONS), ("rack", racks)):
+        domain_count = int(domains.max()) + 1
+        lost_share = max(
+            float(np.bincount(domains[servers], minlength=domain_count).max()) / max(1, len(servers))
+            for servers in subsets
+        )
+        lost_share_of_all = float(np.bincount(domains[topology.listed]).max()) / topology.listed.sum()
+        metrics[f"{name} left"] = float((1.0 - lost_share) / (1.0 - lost_share_of_all))
+    return metrics
+
+
+def churn(before: FleetSubsets, after: FleetSubsets) -> float:
+    """Return the share of pairs of gateway and server that are new, for gateways that are in both fleets."""
+    common = min(len(before), len(after))
+    added = sum(
+        len(new) - len(np.intersect1d(old, new, assume_unique=True))
+        for old, new in zip(before[:common], after[:common], strict=True)
+    )
+    return added / max(1, sum(len(old) for old in before[:common]))
+
+
+def churn_metrics(
+    choose: Strategy,
+    topology: Topology,
+    subsets: FleetSubsets,
+    generator: np.random.Generator,
+) -> dict[str, float]:
+    """Measure the churn of each kind of change, by the names of the result files."""
+    listed = topology.listed_indexes()
+    spare = np.flatnonzero(~topology.listed)
+    one_percent = max(1, len(listed) // 100)
+    down = generator.choice(listed, one_percent, replace=False)
+    without_down = topology.with_servers(down, False)
+    # Servers that are down stay listed, so the subset keeps its size.
+    down_but_listed = Topology(topology.names, without_down.listed, topology.gateways, topology.subset_size())
+    removed = generator.choice(listed, SINGLE_SERVER_CHANGES, replace=False)
+
+    def churn_to(changed: Topology) -> float:
+        return churn(subsets, choose(changed))
+
+    return {
+        "server goes": float(
+            np.mean([churn_to(topology.with_servers([server], False)) for server in removed])
+        ),
+        "server comes": float(
+            np.mean(
+                [churn_to(topology.with_servers([server], True)) for server in spare[:SINGLE_SERVER_CHANGES]]
+            )
+        ),
+        "gateway goes": churn_to(topology.with_gateways(topology.gateways - 1)),
+        "gateway comes": churn_to(topology.with_gateways(topology.gateways + 1)),
+        "1% down": churn_to(down_but_listed),
+        "1% replaced": churn_to(without_down.with_servers(spare[:one_percent], True)),
+    }
--- /dev/null
+++ b/scale/subset_strategies.py
@@ -0,0 +1,228 @@
+"""Strategies by which each gateway of a fleet chooses the servers it works with, over NumPy arrays."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable
+from dataclasses import dataclass
+from hashlib import blake2b
+from math import ceil, sqrt
+
+import numpy as np
+from numpy.typing import NDArray
+
+from quota_gateway.policy import subset
+
+GOLDEN_RATIO_STEP = (sqrt(5.0) - 1.0) / 2.0
+"""The fractional part of the golden ratio: its multiples spread evenly over a ring for any fleet size."""
+
+RING_STEPS = (GOLDEN_RATIO_STEP, sqrt(2.0) - 1.0, sqrt(3.0) - 1.0, (sqrt(13.0) - 3.0) / 2.0)
+"""How far apart gateways stand on each ring; the steps differ so that neighbors differ from ring to ring."""
+
+ServerIndexes = NDArray[np.int64]
+FleetSubsets = list[ServerIndexes]
+"""The servers of each gateway, by the gateway's index."""
+
+Strategy = Callable[["Topology"], FleetSubsets]
+
+
+@dataclass
+class Topology:
+    """All servers that exist at any time of a comparison, and the gateways before them.
+
+    Attributes:
+        names: The servers' names, sorted.
+        listed: Whether discovery lists the server of that index.
+        gateways: How many gateways choose a subset.
+        minimum_size: The smallest subset, in servers.
+    """
+
+    names: list[str]
+    listed: NDArray[np.bool_]
+    gateways: int
+    minimum_size: int
+
+    def subset_size(self) -> int:
+        """Return how many servers each gateway works with."""
+        return subset.Subset(self.gateways, 0, self.minimum_size).size(int(self.listed.sum()))
+
+    def listed_indexes(self) -> ServerIndexes:
+        """Return the indexes of the listed servers."""
+        return np.flatnonzero(self.listed)
+
+    def with_servers(self, servers: Iterable[int], listed: bool) -> Topology:
+        """Return the same topology in which these servers are listed, or are not."""
+        changed = self.listed.copy()
+        changed[list(servers)] = listed
+        return Topology(self.names, changed, self.gateways, self.minimum_size)
+
+    def with_gateways(self, gateways: int) -> Topology:
+        """Return the same servers before another number of gateways."""
+        return Topology(self.names, self.listed, gateways, self.minimum_size)
+
+
+def mix_bits(numbers: NDArray[np.uint64]) -> NDArray[np.uint64]:
+    """Hash many 64-bit numbers at once with the finalizer of splitmix64."""
+    with np.errstate(over="ignore"):
+        numbers = (numbers ^ (numbers >> np.uint64(30))) * np.uint64(0xBF58476D1CE4E5B9)
+        numbers = (numbers ^ (numbers >> np.uint64(27))) * np.uint64(0x94D049BB133111EB)
+    return numbers ^ (numbers >> np.uint64(31))
+
+
+def hash_names(names: list[str]) -> NDArray[np.uint64]:
+    """Return a 64-bit hash of each name."""
+    return np.array(
+        [int.from_bytes(blake2b(name.encode(), digest_size=8).digest(), "little") for name in names],
+        dtype=np.uint64,
+    )
+
+
+def _hash_gateways(gateways: int) -> NDArray[np.uint64]:
+    return mix_bits(np.arange(1, gateways + 1, dtype=np.uint64))
+
+
+class RingStrategy:
+    """The nearest servers on one or more hash rings, as in `quota_gateway.policy.subset`.
+
+    Args:
+        steps: For each ring how far the next gateway stands from the one before, as a part of the ring.
+    """
+
+    def __init__(self, steps: tuple[float, ...]) -> None:
+        self.steps = steps
+        self._positions: NDArray[np.float64] = np.empty(0)
+
+    def choose(self, topology: Topology) -> FleetSubsets:
+        """Return the subset of each gateway."""
+        listed = topology.listed_indexes()
+        size = topology.subset_size()
+        if size == len(listed):
+            return [listed] * topology.gateways
+        positions = self._server_positions(topology.names)[listed]
+        orders = [np.argsort(positions[:, ring]) for ring in range(len(self.steps))]
+        sorted_positions = [positions[order, ring] for ring, order in enumerate(orders)]
+        subsets = []
+        for gateway in range(topology.gateways):
+            starts = self._gateway_positions(gateway)
+            candidates = self._next_on_each_ring(starts, orders, sorted_positions, size)
+            distances = ((positions[candidates] - starts) % 1.0).min(axis=1)
+            nearest = np.argpartition(distances, size - 1)[:size]
+            subsets.append(np.sort(listed[candidates[nearest]]))
+        return subsets
+
+    def _server_positions(self, names: list[str]) -> NDArray[np.float64]:
+        """Return each server's position on each ring; cached, as topologies share the names."""
+        if len(self._positions) != len(names):
+            rings = len(self.steps)
+            digests = b"".join(blake2b(name.encode(), digest_size=4 * rings).digest() for name in names)
+            self._positions = np.frombuffer(digests, "<u4").reshape(-1, rings) / subset.TURN
+        return self._positions
+
+    def _gateway_positions(self, gateway: int) -> NDArray[np.float64]:
+        positions = np.array([gateway * int(step * subset.TURN) % subset.TURN for step in self.steps])
+        return positions / subset.TURN
+
+    @staticmethod
+    def _next_on_each_ring(
+        starts: NDArray[np.float64],
+        orders: list[ServerIndexes],
+        sorted_positions: list[NDArray[np.float64]],
+        size: int,
+    ) -> ServerIndexes:
+        """Return the union of the next servers after the gateway on each ring."""
+        rings = []
+        for start, order, positions in zip(starts, orders, sorted_positions, strict=True):
+            first = int(np.searchsorted(positions, start))
+            rings.append(order.take(np.arange(first, first + size), mode="wrap"))
+        return np.unique(np.concatenate(rings))
+
+
+def rendezvous_by_gateway(topology: Topology) -> FleetSubsets:
+    """Let each gateway take the servers with the lowest hash of the pair (rendezvous hashing)."""
+    listed = topology.listed_indexes()
+    size = topology.subset_size()
+    if size == len(listed):
+        return [listed] * topology.gateways
+    servers = hash_names(topology.names)[listed]
+    return [
+        np.sort(listed[np.argpartition(mix_bits(servers ^ gateway), size - 1)[:size]])
+        for gateway in _hash_gateways(topology.gateways)
+    ]
+
+
+def rendezvous_by_server(topology: Topology) -> FleetSubsets:
+    """Give each server to the same number of gateways, those with the lowest hash of the pair."""
+    listed = topology.listed_indexes()
+    size = topology.subset_size()
+    if size == len(listed):
+        return [listed] * topology.gateways
+    sharers = ceil(topology.gateways * size / len(listed))
+    gateways = _hash_gateways(topology.gateways)
+    owners = np.array(
+        [
+            np.argpartition(mix_bits(server ^ gateways), sharers - 1)[:sharers]
+            for server in hash_names(topology.names)[listed]
+        ]
+    ).ravel()
+    order = np.argsort(owners, kind="stable")
+    boundaries = np.searchsorted(owners[order], np.arange(1, topology.gateways))
+    return [np.sort(part) for part in np.split(np.repeat(listed, sharers)[order], boundaries)]
+
+
+def shuffled_rounds(topology: Topology) -> FleetSubsets:
+    """Deal a shuffle of the whole list to the gateways of each round, with the round's number as seed."""
+    return _deal_rounds(topology, lambda number, listed: np.random.default_rng(number).permutation(listed))
+
+
+def hashed_rounds(topology: Topology) -> FleetSubsets:
+    """Deal as `shuffled_rounds` in an order by hash, so that one server moves the others by one place."""
+    servers = hash_names(topology.names)
+
+    def order_by_hash(number: int, listed: ServerIndexes) -> ServerIndexes:
+        round_hash = mix_bits(np.array([number + 1], dtype=np.uint64))[0]
+        return listed[np.argsort(mix_bits(servers[listed] ^ round_hash))]
+
+    return _deal_rounds(topology, order_by_hash)
+
+
+def _deal_rounds(
+    topology: Topology,
+    order_for_round: Callable[[int, ServerIndexes], ServerIndexes],
+) -> FleetSubsets:
+    listed = topology.listed_indexes()
+    size = topology.subset_size()
+    gateways_per_round = max(1, len(listed) // size)
+    subsets: FleetSubsets = []
+    for number in range(ceil(topology.gateways / gateways_per_round)):
+        ordered = order_for_round(number, listed)
+        subsets += [
+            np.sort(ordered[place * size : (place + 1) * size]) for place in range(gateways_per_round)
+        ]
+    return subsets[: topology.gateways]
+
+
+def random_draw(topology: Topology) -> FleetSubsets:
+    """Let each gateway draw from the list, with its index as seed."""
+    listed = topology.listed_indexes()
+    size = topology.subset_size()
+    return [
+        np.sort(np.random.default_rng(gateway).choice(listed, size, replace=False, shuffle=False))
+        for gateway in range(topology.gateways)
+    ]
+
+
+STRATEGIES: dict[str, Strategy] = {
+    "one ring": RingStrategy(RING_STEPS[:1]).choose,
+    "two rings": RingStrategy(RING_STEPS[:2]).choose,
+    "four rings": RingStrategy(RING_STEPS).choose,
+    "two rings, one step": RingStrategy((GOLDEN_RATIO_STEP,) * 2).choose,
+    "four rings, one step": RingStrategy((GOLDEN_RATIO_STEP,) * 4).choose,
+    "rendezvous, gateways": rendezvous_by_gateway,
+    "rendezvous, servers": rendezvous_by_server,
+    "shuffled rounds": shuffled_rounds,
+    "hashed rounds": hashed_rounds,
+    "random draw": random_draw,
+}
+"""All strategies by the names that the command line and the result files use."""
+
+CHOSEN_STRATEGY = "two rings"
+"""The strategy that the gateway itself uses."""
