--- a/scale/__main__.py
+++ b/scale/__main__.py
@@ -5,7 +5,7 @@
 import asyncio
 import sys
 import time
-from collections.abc import Awaitable, Callable, Sequence
+from collections.abc import Callable, Sequence
 from pathlib import Path
 from typing import TextIO
 
@@ -18,15 +18,22 @@
 from scale import capacity, results, slopes
 from scale import config as config_module
 from scale import play as play_module
+from scale.child_process import ChildError
 from scale.config import Config, ConfigError
-from scale.processes import ROOT, ChildError, Children, LimitError
+from scale.slopes import Measurement
+from scale.supervisor import REPOSITORY, LimitError, Supervisor
+from scale.testbed import ReportStep, Testbed
 
-FAILED, INTERRUPTED, MISUSED = 1, 130, 2
-Measure = Callable[[slopes.Bench], Awaitable[None]]
+EXIT_FAILED = 1
+EXIT_INTERRUPTED = 130
+"""The exit code of a run that SIGINT or SIGTERM has ended, as shells give it for SIGINT."""
 
+PLAY_STEPS = 3
+"""Steps that a play reports."""
 
-def _log(stream: TextIO) -> structlog.typing.FilteringBoundLogger:
-    """A log of one JSON object a line."""
+
+def _make_log(stream: TextIO) -> structlog.typing.FilteringBoundLogger:
+    """Return a log of one JSON object a line."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
@@ -41,62 +48,66 @@
 
 async def _measure(
     config: Config,
-    children: Children,
-    book: results.Book,
-    measures: Sequence[Measure],
-    step: slopes.Step,
+    supervisor: Supervisor,
+    measurement_log: results.MeasurementLog,
+    measurements: Sequence[Measurement],
+    report_step: ReportStep,
 ) -> str:
-    """Carry the measures out, within the deadline; why they were cut short, if they were."""
+    """Make the measurements within the deadline; why they were cut short, if they were."""
     try:
-        async with asyncio.timeout(config.deadline_s), children:
-            bench = slopes.Bench(config, children, book, step)
-            await bench.begin()
-            for measure in measures:
-                await measure(bench)
+        async with asyncio.timeout(config.deadline_s), supervisor:
+            testbed = Testbed(config, supervisor, measurement_log, report_step)
+            await testbed.start()
+            for measure in measurements:
+                await measure(testbed)
     except TimeoutError:
         return f"deadline_s of {config.deadline_s:g} is over"
     except (ChildError, LimitError) as error:
         return str(error)
     except asyncio.CancelledError:
-        if not children.stopped:
+        if not supervisor.stop_reason:
             raise
-    return children.stopped
+    return supervisor.stop_reason
 
 
-def _carry_out(command: str, config: Config, out: Path, measures: Sequence[Measure], total: int) -> int:
-    """A whole run; its exit code. What was measured is written also where it was cut short."""
-    start, book, console = time.time(), results.Book(), Console(stderr=True)
-    logs = out / f"{time.strftime('%Y%m%dT%H%M%S', time.gmtime(start))}-{command}-logs"
-    logs.mkdir(parents=True, exist_ok=True)
+def _execute(command: str, config: Config, out: Path, measurements: Sequence[Measurement], steps: int) -> int:
+    """Execute a whole run; its exit code. What was measured is written also where it was cut short."""
+    started_at_s = time.time()
+    measurement_log = results.MeasurementLog()
+    log_folder = out / f"{time.strftime('%Y%m%dT%H%M%S', time.gmtime(started_at_s))}-{command}-logs"
+    log_folder.mkdir(parents=True, exist_ok=True)
     with (
-        (logs / "run.log").open("a") as stream,
+        (log_folder / "run.log").open("a") as stream,
         Progress(
             TextColumn("{task.description}"),
             BarColumn(),
             MofNCompleteColumn(),
             TimeElapsedColumn(),
-            console=console,
+            console=Console(stderr=True),
         ) as progress,
     ):
-        log = _log(stream)
-        task = progress.add_task("start", total=total)
+        log = _make_log(stream)
+        task = progress.add_task("start", total=steps)
 
-        def step(what: str) -> None:
-            log.info("step", what=what)
-            progress.update(task, description=what)
+        def report_step(description: str) -> None:
+            log.info("step", what=description)
+            progress.update(task, description=description)
             progress.advance(task)
 
-        children = Children(config, logs, log)
-        children.stopped = asyncio.run(_measure(config, children, book, measures, step)) or children.stopped
-        result = results.result(command, config, book, children, start)
-        path = results.write(result, out)
+        supervisor = Supervisor(config, log_folder, log)
+        stop_reason = asyncio.run(_measure(config, supervisor, measurement_log, measurements, report_step))
+        supervisor.stop_reason = stop_reason or supervisor.stop_reason
+        result = results.make_result(command, config, measurement_log, supervisor, started_at_s)
+        path = results.write_result(result, out)
         log.info("result", path=str(path), stopped=result.stopped)
-    results.show(result, Console())
+    results.print_result(result, Console())
     click.echo(f"result: {path}")
-    return (INTERRUPTED if "SIG" in result.stopped else FAILED) if result.stopped else 0
+    if not result.stopped:
+        return 0
+    return EXIT_INTERRUPTED if "SIG" in result.stopped else EXIT_FAILED
 
 
-def _config(
+def _load_config(
     file: Path | None,
     seed: int | None,
     servers: int | None,
@@ -104,16 +115,21 @@
     deadline: float | None,
     flags: tuple[str, ...],
 ) -> Config:
-    named = (("seed", seed), ("fleet.servers", servers), ("fleet.hollow", hollow), ("deadline_s", deadline))
-    over = tuple(f"{key}={value}" for key, value in named if value is not None)
+    values_by_key = (
+        ("seed", seed),
+        ("fleet.servers", servers),
+        ("fleet.hollow", hollow),
+        ("deadline_s", deadline),
+    )
+    overrides = tuple(f"{key}={value}" for key, value in values_by_key if value is not None)
     try:
-        return config_module.load(file, over + flags)
+        return config_module.load(file, overrides + flags)
     except ConfigError as error:
         raise click.UsageError(str(error)) from error
 
 
-def _options(command: Callable[..., None]) -> Callable[..., None]:
-    """The flags that go over the file."""
+def _run_options(command: Callable[..., None]) -> Callable[..., None]:
+    """Add the flags that override the file."""
     for option in (
         click.option("--set", "flags", multiple=True, metavar="KEY=VALUE", help="any key, as TOML"),
         click.option("--deadline", type=float, help="seconds for all of it (deadline_s)"),
@@ -123,7 +139,7 @@
         click.option(
             "--out",
             type=click.Path(file_okay=False, path_type=Path),
-            default=ROOT / "found",
+            default=REPOSITORY / "found",
             help="folder for the result",
             show_default="found",
         ),
@@ -144,7 +160,7 @@
 
 
 @main.command()
-@_options
+@_run_options
 def run(
     file: Path | None,
     out: Path,
@@ -155,15 +171,15 @@
     flags: tuple[str, ...],
 ) -> None:
     """One play: a fleet under churn, faults and load."""
-    config = _config(file, seed, servers, hollow, deadline, flags)
-    sys.exit(_carry_out("run", config, out, [play_module.play], 3))
+    config = _load_config(file, seed, servers, hollow, deadline, flags)
+    sys.exit(_execute("run", config, out, [play_module.play], PLAY_STEPS))
 
 
 @main.command(name="slopes")
 @click.option(
-    "--only", multiple=True, type=click.Choice(list(slopes.MEASURES)), help="these measures; else all"
+    "--only", multiple=True, type=click.Choice(list(slopes.MEASUREMENTS)), help="these measures; else all"
 )
-@_options
+@_run_options
 def slopes_command(
     only: tuple[str, ...],
     file: Path | None,
@@ -175,19 +191,20 @@
     flags: tuple[str, ...],
 ) -> None:
     """What each role's cost grows by, size by size."""
-    config, names = _config(file, seed, servers, hollow, deadline, flags), only or tuple(slopes.MEASURES)
-    measures = [slopes.MEASURES[name] for name in names]
-    sys.exit(_carry_out("slopes", config, out, measures, slopes.steps(config, names)))
+    config = _load_config(file, seed, servers, hollow, deadline, flags)
+    names = only or tuple(slopes.MEASUREMENTS)
+    measurements = [slopes.MEASUREMENTS[name] for name in names]
+    sys.exit(_execute("slopes", config, out, measurements, slopes.count_steps(config, names)))
 
 
-@main.command()
+@main.command(name="table")
 @click.argument(
     "files", nargs=-1, required=True, type=click.Path(exists=True, dir_okay=False, path_type=Path)
 )
-def table(files: tuple[Path, ...]) -> None:
+def table_command(files: tuple[Path, ...]) -> None:
     """The tables of results."""
     for path in files:
-        results.show(_read(path), Console())
+        results.print_result(_read_result(path), Console())
 
 
 @main.command(name="capacity")
@@ -201,19 +218,19 @@
 )
 def capacity_command(page: Path | None, files: tuple[Path, ...]) -> None:
     """What the fleet to come would take, worked out from results."""
-    made = capacity.table([_read(path) for path in files])
+    table = capacity.make_table([_read_result(path) for path in files])
     if page is None:
-        click.echo(f"{capacity.BEGIN}\n{made}\n{capacity.END}")
+        click.echo(f"{capacity.BEGIN}\n{table}\n{capacity.END}")
         return
     try:
-        page.write_text(capacity.put(page.read_text(), made))
+        page.write_text(capacity.replace_table(page.read_text(), table))
     except ValueError as error:
         raise click.UsageError(f"{page}: {error}") from error
 
 
-def _read(path: Path) -> results.Result:
+def _read_result(path: Path) -> results.Result:
     try:
-        return results.read(path)
+        return results.read_result(path)
     except msgspec.DecodeError as error:
         raise click.UsageError(f"{path}: {error}") from error
 
--- a/scale/capacity.py
+++ b/scale/capacity.py
@@ -7,8 +7,11 @@
 
 from scale.results import Fit, Result, Series
 
-BEGIN, END = "<!-- table: begin -->", "<!-- table: end -->"
-HEAD = (
+BEGIN = "<!-- table: begin -->"
+END = "<!-- table: end -->"
+"""Marks on the page between which the table stands."""
+
+HEADER = (
     "role",
     "quantity",
     "slope (for one more)",
@@ -20,36 +23,70 @@
     "verdict",
     "extrapolated",
 )
-LEAST_SIZES, MOST_RESIDUAL = 4, 0.25  # a line through fewer sizes, or farther off, tells nothing of others
-
-DELTA, RESTARTS, VERSIONS = 2_100, 11_061, 3  # a day; a restart is told as draining, gone, and ready again
-VERSIONS_S = (DELTA + VERSIONS * RESTARTS) / 86_400
-CONTROL_MS, CONTROL_BYTES, MEMORY_MB, IN_FORCE_MS, ADDED_MS = 18.0, 5_000.0, 128.0, 5_000.0, 1.3
-STALL_MS = 5.0  # the aim for a whole list, in the letter on the larger fleet
-NEWS_S = 4.0  # that a gateway keeps a customer for, at least, where a meter's period is a second
-BEAT_BYTES = 3.0  # a second: an empty line every 2 s
-MEGABYTE = 1 << 20
-AT = {  # the size of the fleet to come, by what a series goes by
+
+MINIMUM_SIZES = 4
+MAXIMUM_RESIDUAL = 0.25
+"""A line through fewer sizes, or with points farther off, says nothing of other sizes."""
+
+CHANGES_PER_DAY = 2_100
+RESTARTS_PER_DAY = 11_061
+VERSIONS_PER_RESTART = 3
+"""A restart is published as draining, as gone, and as ready again."""
+
+SECONDS_PER_DAY = 86_400
+VERSIONS_PER_S = (CHANGES_PER_DAY + VERSIONS_PER_RESTART * RESTARTS_PER_DAY) / SECONDS_PER_DAY
+
+CONTROL_CPU_MS_PER_S = 18.0
+CONTROL_BYTES_PER_S = 5_000.0
+MEMORY_MB = 128.0
+IN_FORCE_MS = 5_000.0
+ADDED_LATENCY_MS = 1.3
+LIST_STALL_MS = 5.0
+"""Budgets of the fleet to come; the last is the aim for a complete list."""
+
+CUSTOMER_RETENTION_S = 4.0
+"""How long a gateway keeps a customer, at least, where the usage period is a second."""
+
+HEARTBEAT_BYTES_PER_S = 3.0
+"""An empty line every 2 s."""
+
+MEBIBYTE = 1 << 20
+
+FLEET_SIZES = {
     "servers": 38_000.0,
     "gateways": 3_800.0,
     "requests/s": 218.0,
     "routes": 27_000.0,
-    "tenants held": 218.0 * NEWS_S,  # at once, if no two requests are of one; a gateway forgets the others
-    "real gateways": 20.0,  # before 200 servers: one to ten, as 3,800 before 38,000
+    # At once, if no two requests are of one customer; a gateway forgets the others.
+    "tenants held": 218.0 * CUSTOMER_RETENTION_S,
+    # Before 200 servers: one to ten, as 3,800 before 38,000.
+    "real gateways": 20.0,
 }
+"""The size of the fleet to come, by what a series is measured by."""
 
 
 class Quantity(NamedTuple):
-    """A figure at the fleet's size, times ``times``, and ``plus``: as measured there, or else by the line."""
+    """A row of the table: a figure at the fleet's size, as measured there or else by the line of its series.
+
+    Attributes:
+        role: The role of the row.
+        name: The quantity of the row.
+        series: The series as ``role.quantity by size``.
+        unit: The unit of the figure.
+        budget: The most that the figure may be; None without a budget.
+        factor: What the series' value is multiplied by.
+        offset: What is added to it then.
+        only_if_measured: Whether there is no row without the series: it is of a fault that may not occur.
+    """
 
     role: str
     name: str
-    series: str  # ``role.quantity by size``
+    series: str
     unit: str
     budget: float | None = None
-    times: float = 1.0
-    plus: float = 0.0
-    only_if_seen: bool = False  # of a fault that may not come about: without its series there is no row
+    factor: float = 1.0
+    offset: float = 0.0
+    only_if_measured: bool = False
 
 
 QUANTITIES = (
@@ -59,43 +96,52 @@
         "refused list asked for again, bytes",
         "gateway.refused_sent by servers",
         "bytes/s",
-        CONTROL_BYTES,
-        only_if_seen=True,
+        CONTROL_BYTES_PER_S,
+        only_if_measured=True,
     ),
     Quantity(
         "gateway",
         "refused list asked for again, cpu",
         "gateway.refused_cpu by servers",
         "ms/s",
-        CONTROL_MS,
-        only_if_seen=True,
+        CONTROL_CPU_MS_PER_S,
+        only_if_measured=True,
+    ),
+    Quantity("gateway", "loop's stall, whole list", "gateway.list_stall by servers", "ms", LIST_STALL_MS),
+    Quantity(
+        "gateway", "loop's stall, one change", "gateway.change_stall by servers", "ms", ADDED_LATENCY_MS
     ),
-    Quantity("gateway", "loop's stall, whole list", "gateway.list_stall by servers", "ms", STALL_MS),
-    Quantity("gateway", "loop's stall, one change", "gateway.change_stall by servers", "ms", ADDED_MS),
     Quantity("gateway", "processor time, whole list", "gateway.list_cpu by servers", "ms"),
     Quantity(
-        "gateway", "processor time, changes", "gateway.change_cpu by servers", "ms/s", CONTROL_MS, VERSIONS_S
+        "gateway",
+        "processor time, changes",
+        "gateway.change_cpu by servers",
+        "ms/s",
+        CONTROL_CPU_MS_PER_S,
+        VERSIONS_PER_S,
     ),
     Quantity(
         "gateway",
         "bytes, changes and empty lines",
         "gateway.change by servers",
         "bytes/s",
-        CONTROL_BYTES,
-        VERSIONS_S,
-        BEAT_BYTES,
+        CONTROL_BYTES_PER_S,
+        VERSIONS_PER_S,
+        HEARTBEAT_BYTES_PER_S,
+    ),
+    Quantity(
+        "gateway", "whole list at 5 KB/s", "discovery.list by servers", "s", None, 1.0 / CONTROL_BYTES_PER_S
     ),
-    Quantity("gateway", "whole list at 5 KB/s", "discovery.list by servers", "s", None, 1.0 / CONTROL_BYTES),
     Quantity("gateway", "memory, all", "gateway.memory by servers", "MB", MEMORY_MB),
     Quantity("gateway", "memory at most, all", "gateway.memory_peak by servers", "MB", MEMORY_MB),
-    Quantity("gateway", "memory, customers", "gateway.memory by tenants held", "MB", MEMORY_MB, 1 / MEGABYTE),
+    Quantity("gateway", "memory, customers", "gateway.memory by tenants held", "MB", MEMORY_MB, 1 / MEBIBYTE),
     Quantity(
-        "gateway", "memory, routes as classes", "gateway.memory by routes", "MB", MEMORY_MB, 1 / MEGABYTE
+        "gateway", "memory, routes as classes", "gateway.memory by routes", "MB", MEMORY_MB, 1 / MEBIBYTE
     ),
     Quantity("gateway", "added at p50, by load", "gateway.added_p50 by requests/s", "ms"),
-    Quantity("gateway", "added at p99, by load", "gateway.added_p99 by requests/s", "ms", ADDED_MS),
+    Quantity("gateway", "added at p99, by load", "gateway.added_p99 by requests/s", "ms", ADDED_LATENCY_MS),
     Quantity("gateway", "added at p99.9, by load", "gateway.added_p99.9 by requests/s", "ms"),
-    Quantity("gateway", "added at p99, by list", "gateway.added_p99 by servers", "ms", ADDED_MS),
+    Quantity("gateway", "added at p99, by list", "gateway.added_p99 by servers", "ms", ADDED_LATENCY_MS),
     Quantity("gateway", "processor time, requests", "gateway.cpu by requests/s", "ms/s"),
     Quantity("gateway", "sockets, by load", "gateway.sockets by requests/s", "sockets"),
     Quantity("gateway", "connections opened", "gateway.handshakes by servers", "a request"),
@@ -103,24 +149,33 @@
     Quantity("fleet", "a zone lost, and back", "fleet.zone_99_worst by gateways", "ms", IN_FORCE_MS),
     Quantity("fleet", "all return, whole list of 400", "fleet.return_99 by gateways", "ms", IN_FORCE_MS),
     Quantity(
-        "discovery", "processor time, changes", "discovery.change_cpu by gateways", "ms/s", None, VERSIONS_S
+        "discovery",
+        "processor time, changes",
+        "discovery.change_cpu by gateways",
+        "ms/s",
+        None,
+        VERSIONS_PER_S,
+    ),
+    Quantity(
+        "discovery", "bytes, changes", "discovery.change_sent by gateways", "bytes/s", None, VERSIONS_PER_S
     ),
-    Quantity("discovery", "bytes, changes", "discovery.change_sent by gateways", "bytes/s", None, VERSIONS_S),
     Quantity("discovery", "memory", "discovery.memory by gateways", "MB"),
     Quantity(
-        "discovery", "bytes, all 3,800 return", "discovery.list by servers", "MB", None, 3_800 / MEGABYTE
+        "discovery", "bytes, all 3,800 return", "discovery.list by servers", "MB", None, 3_800 / MEBIBYTE
     ),
     Quantity("server", "connections to one", "server.connections by real gateways", "connections"),
 )
+"""The rows of the table in order."""
 
 
-def _number(value: float) -> str:
+def _format_number(value: float) -> str:
     return f"{value:,.0f}" if abs(value) >= 100 else f"{value:.3g}"
 
 
 def _verdict(fit: Fit, measured: float | None, figure: float, quantity: Quantity) -> str:
-    """Within or over the budget; unknown where there is no line to go by, "-" where there is no budget."""
-    if measured is None and (len(set(fit.sizes)) < LEAST_SIZES or fit.residual > MOST_RESIDUAL):
+    """Compare the figure with the budget: "unknown" without a line to go by, "-" without a budget."""
+    is_line_weak = len(set(fit.sizes)) < MINIMUM_SIZES or fit.residual > MAXIMUM_RESIDUAL
+    if measured is None and is_line_weak:
         return "unknown"
     if quantity.budget is None:
         return "-"
@@ -129,60 +184,79 @@
 
 def _row(quantity: Quantity, series: Series | None) -> tuple[str, ...]:
     by = quantity.series.partition(" by ")[2]
-    at, name = f"{_number(AT[by])} {by}", (quantity.role, quantity.name)
-    budget = "none" if quantity.budget is None else f"{_number(quantity.budget)} {quantity.unit}"
+    fleet_size = FLEET_SIZES[by]
+    at = f"{_format_number(fleet_size)} {by}"
+    budget = "none" if quantity.budget is None else f"{_format_number(quantity.budget)} {quantity.unit}"
     points = series.points if series else []
-    measured = next((point.value for point in points if point.size == AT[by]), None)
+    measured = next((point.value for point in points if point.size == fleet_size), None)
     fit = series.fit if series else None
     if series is None or (fit is None and measured is None):
-        return *name, "none", "not measured", "", at, "", budget, "unknown", ""
+        return quantity.role, quantity.name, "none", "not measured", "", at, "", budget, "unknown", ""
     if fit is None:  # one size only, which is the one asked for
         assert measured is not None
-        fit = Fit(0.0, measured, 0.0, [AT[by]])
-    there = fit.intercept + fit.slope * AT[by] if measured is None else measured
-    figure, largest = there * quantity.times + quantity.plus, max(fit.sizes)
-    sizes = ", ".join(f"{size:g}" for size in fit.sizes)
-    notes = "".join(f"; {point.size:g}: {point.note}" for point in series.points if point.note)
+        fit = Fit(0.0, measured, 0.0, [fleet_size])
+    value = fit.intercept + fit.slope * fleet_size if measured is None else measured
+    figure = value * quantity.factor + quantity.offset
+    largest_size = max(fit.sizes)
     return (
-        *name,
+        quantity.role,
+        quantity.name,
         f"{fit.slope:.3g} {series.unit}" if series.fit else "none",
-        sizes + notes,
+        _format_sizes(fit, series),
         f"{fit.residual:.0%}",
         at,
-        f"{_number(figure)} {quantity.unit}",
+        f"{_format_number(figure)} {quantity.unit}",
         budget,
         _verdict(fit, measured, figure, quantity),
-        f"{AT[by] / largest:.1f} times" if AT[by] > largest else "no",
+        f"{fleet_size / largest_size:.1f} times" if fleet_size > largest_size else "no",
     )
 
 
-def table(results: Sequence[Result]) -> str:
-    """The Markdown table of these results; where two measured the same, the later one with a line counts."""
-    found: dict[str, Series] = {}
+def _format_sizes(fit: Fit, series: Series) -> str:
+    """Return the sizes of the line, and the notes of points."""
+    sizes = ", ".join(f"{size:g}" for size in fit.sizes)
+    notes = "".join(f"; {point.size:g}: {point.note}" for point in series.points if point.note)
+    return sizes + notes
+
+
+def make_table(results: Sequence[Result]) -> str:
+    """Return the Markdown table of these results.
+
+    Where two results measured the same series, the later one that has a line counts.
+    """
+    series_by_name: dict[str, Series] = {}
     for result in sorted(results, key=lambda result: result.started):
         for series in result.series:
-            key = f"{series.role}.{series.name} by {series.by}"
-            if series.fit or key not in found or not found[key].fit:
-                found[key] = series
-    rows = [HEAD, ("---",) * len(HEAD)]
+            name = f"{series.role}.{series.name} by {series.by}"
+            if series.fit or name not in series_by_name or not series_by_name[name].fit:
+                series_by_name[name] = series
+    rows = [HEADER, ("---",) * len(HEADER)]
     rows += [
-        _row(quantity, found.get(quantity.series))
+        _row(quantity, series_by_name.get(quantity.series))
         for quantity in QUANTITIES
-        if quantity.series in found or not quantity.only_if_seen
+        if quantity.series in series_by_name or not quantity.only_if_measured
     ]
     return "\n".join(f"| {' | '.join(row)} |" for row in rows)
 
 
-def between(page: str) -> str:
-    """What stands between the marks of a page; ValueError if one is missing."""
+def extract_table(page: str) -> str:
+    """Return what stands between the marks of a page.
+
+    Raises:
+        ValueError: A mark is missing, or there twice.
+    """
     for mark in (BEGIN, END):
         if page.count(mark) != 1:
             raise ValueError(f"the page does not have one mark {mark}")
     return page.partition(BEGIN)[2].partition(END)[0].strip()
 
 
-def put(page: str, made: str) -> str:
-    """The page with this table between its marks; ValueError if one is missing."""
-    between(page)
+def replace_table(page: str, table: str) -> str:
+    """Return the page with this table between its marks.
+
+    Raises:
+        ValueError: A mark is missing, or there twice.
+    """
+    extract_table(page)
     before, _, rest = page.partition(BEGIN)
-    return f"{before}{BEGIN}\n{made}\n{END}{rest.partition(END)[2]}"
+    return f"{before}{BEGIN}\n{table}\n{END}{rest.partition(END)[2]}"
--- a/scale/child.py
+++ b/scale/child.py
@@ -1,4 +1,4 @@
-"""One child of a scale run: a role that is called by lines of JSON on standard input and answers on output.
+"""A child of a scale run: a role that is commanded by JSON lines on standard input and replies on output.
 
 It ends when its input does, so that none outlives the run that started it.
 """
@@ -16,62 +16,61 @@
 import msgspec
 import uvloop
 
-from scale.discovery import StandIn
-from scale.hollow import Hollows, Module
-from scale.load import Load
-from scale.servers import Servers
+from scale.discovery import DiscoveryStub
+from scale.hollow import HollowGateways
+from scale.load import LoadGenerator
+from scale.messages import MAXIMUM_LINE_BYTES, ChildCommand, ChildReply
+from scale.policy_benchmark import PolicyBenchmark
+from scale.servers import ServerStubs
 
 ROLES: dict[str, Callable[..., Any]] = {
-    "discovery": StandIn,
-    "servers": Servers,
-    "load": Load,
-    "hollow": Hollows,
-    "module": Module,
+    "discovery": DiscoveryStub,
+    "servers": ServerStubs,
+    "load": LoadGenerator,
+    "hollow": HollowGateways,
+    "policy": PolicyBenchmark,
 }
-LONGEST_LINE = 1 << 28
+"""The classes that a child can be, by the names that the run starts them by."""
 
+NO_ANSWER = msgspec.Raw(b"null")
 
-class Call(msgspec.Struct, frozen=True):
-    """A call of the parent: a method of the role and its arguments."""
 
-    name: str
-    arguments: dict[str, Any]
-
-
-async def _read(calls: asyncio.Queue[bytes]) -> None:
-    """Take the calls in; at the end of the input go at once, also in the middle of a call."""
-    reader = asyncio.StreamReader(LONGEST_LINE)
+async def _read_commands(commands: asyncio.Queue[bytes]) -> None:
+    """Queue the commands; at the end of the input exit at once, also in the middle of a command."""
+    reader = asyncio.StreamReader(MAXIMUM_LINE_BYTES)
     loop = asyncio.get_running_loop()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     while line := await reader.readline():
-        calls.put_nowait(line)
+        commands.put_nowait(line)
     os._exit(0)
 
 
-async def serve(role: str) -> None:
-    """Make the role with the first call's arguments, then carry out one call after the other."""
-    calls: asyncio.Queue[bytes] = asyncio.Queue()
-    reading = asyncio.create_task(_read(calls))
-    made: Any = None
+async def serve(role_name: str) -> None:
+    """Make the role with the first command's arguments, then carry out one command after the other."""
+    commands: asyncio.Queue[bytes] = asyncio.Queue()
+    reading = asyncio.create_task(_read_commands(commands), name="read commands")
+    role: Any = None
     while not reading.done():
-        call = msgspec.json.decode(await calls.get(), type=Call)
+        command = msgspec.json.decode(await commands.get(), type=ChildCommand)
         try:
-            if made is None:
-                made = ROLES[role](**call.arguments)
-                answer = {"answer": await made.start()}
+            if role is None:
+                role = ROLES[role_name](**command.arguments)
+                answer = await role.start()
             else:
-                answer = {"answer": await getattr(made, call.name)(**call.arguments)}
-        except Exception as error:  # told to the parent, which ends the run
-            answer = {"error": repr(error)}
-        sys.stdout.buffer.write(msgspec.json.encode(answer) + b"\n")
+                answer = await getattr(role, command.name)(**command.arguments)
+            reply = ChildReply(msgspec.Raw(msgspec.json.encode(answer)))
+        except Exception as error:  # whatever it is, the parent is told and ends the run
+            reply = ChildReply(NO_ANSWER, repr(error))
+        sys.stdout.buffer.write(msgspec.json.encode(reply) + b"\n")
         sys.stdout.buffer.flush()
 
 
 def main() -> None:
     """Serve until the input ends."""
-    _, most = resource.getrlimit(resource.RLIMIT_NOFILE)
-    resource.setrlimit(resource.RLIMIT_NOFILE, (most, most))
-    logging.getLogger("quota_gateway").setLevel(logging.CRITICAL)  # a fleet without its watches would fill it
+    _, hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
+    resource.setrlimit(resource.RLIMIT_NOFILE, (hard_limit, hard_limit))
+    # A fleet that has lost its watches would fill the log.
+    logging.getLogger("quota_gateway").setLevel(logging.CRITICAL)
     uvloop.run(serve(sys.argv[1]))
 
 
--- /dev/null
+++ b/scale/child_process.py
@@ -0,0 +1,156 @@
+"""A child process of a run: its commands, its resource usage and its end."""
+
+from __future__ import annotations
+
+import asyncio
+from contextlib import suppress
+from pathlib import Path
+from types import NoneType
+from typing import NamedTuple, TypeVar
+
+import msgspec
+import psutil
+
+from scale.messages import ChildCommand, ChildReply
+
+CALL_TIMEOUT_S = 90.0
+"""Time for a reply, where the caller does not give another."""
+
+TERMINATION_GRACE_S = 2.0
+"""Time between SIGTERM and SIGKILL."""
+
+MEBIBYTE = 1 << 20
+
+Reply = TypeVar("Reply")
+
+
+class ChildError(RuntimeError):
+    """A child failed, or did not reply in time; the message says which and why."""
+
+
+class ResourceUsage(NamedTuple):
+    """What a process has used by now.
+
+    Attributes:
+        cpu_s: Processor time.
+        rss_bytes: Resident memory.
+        peak_rss_bytes: The most resident memory so far.
+        sockets: Open TCP sockets.
+    """
+
+    cpu_s: float
+    rss_bytes: int
+    peak_rss_bytes: int
+    sockets: int
+
+    @property
+    def rss_mb(self) -> float:
+        """Resident memory in MiB."""
+        return self.rss_bytes / MEBIBYTE
+
+    def cpu_ms_since(self, before: ResourceUsage) -> float:
+        """Return the processor time since an earlier usage, in milliseconds."""
+        return 1000.0 * (self.cpu_s - before.cpu_s)
+
+
+class ChildProcess:
+    """A process that the run has started.
+
+    Args:
+        name: Its name in the log.
+        process: The process.
+
+    Raises:
+        ChildError: It has ended already.
+    """
+
+    def __init__(self, name: str, process: asyncio.subprocess.Process) -> None:
+        self.name = name
+        self.pid = process.pid
+        self._process = process
+        try:
+            self._system_process = psutil.Process(process.pid)
+        except psutil.Error as error:
+            raise ChildError(f"{name}: it ended at once") from error
+
+    @property
+    def is_running(self) -> bool:
+        """Whether it has not ended yet."""
+        return self._process.returncode is None
+
+    def usage(self) -> ResourceUsage:
+        """Return what it has used by now.
+
+        Raises:
+            ChildError: It has ended.
+        """
+        try:
+            with self._system_process.oneshot():
+                cpu_times = self._system_process.cpu_times()
+                rss_bytes = self._system_process.memory_info().rss
+                status = Path(f"/proc/{self.pid}/status").read_text()
+                sockets = len(self._system_process.net_connections("tcp"))
+        except (psutil.Error, OSError) as error:
+            raise ChildError(f"{self.name}: {error!r}") from error
+        peak_kib = next((line.split()[1] for line in status.splitlines() if line.startswith("VmHWM")), "0")
+        return ResourceUsage(cpu_times.user + cpu_times.system, rss_bytes, int(peak_kib) << 10, sockets)
+
+    def rss_bytes(self) -> int:
+        """Return its resident memory; 0 if it has ended."""
+        with suppress(psutil.Error):
+            return int(self._system_process.memory_info().rss)
+        return 0
+
+    async def end(self) -> None:
+        """End it by SIGTERM, then SIGKILL; return once it has ended."""
+        if not self.is_running:
+            return
+        with suppress(ProcessLookupError):
+            self._process.terminate()
+        try:
+            await asyncio.wait_for(self._process.wait(), TERMINATION_GRACE_S)
+        except TimeoutError:
+            with suppress(ProcessLookupError):
+                self._process.kill()
+            await self._process.wait()
+
+
+class RoleProcess(ChildProcess):
+    """A child with a role of `scale.child`."""
+
+    async def call(
+        self,
+        name: str,
+        reply_type: type[Reply],
+        timeout_s: float = CALL_TIMEOUT_S,
+        **arguments: object,
+    ) -> Reply:
+        """Call a method of its role.
+
+        Args:
+            name: The method.
+            reply_type: The type of its result.
+            timeout_s: How long to wait for the reply.
+            **arguments: The method's arguments.
+
+        Raises:
+            ChildError: The method has failed, or took too long, or the child has ended.
+        """
+        assert self._process.stdin
+        assert self._process.stdout
+        try:
+            self._process.stdin.write(msgspec.json.encode(ChildCommand(name, arguments)) + b"\n")
+            await self._process.stdin.drain()
+            line = await asyncio.wait_for(self._process.stdout.readline(), timeout_s)
+        except (TimeoutError, OSError) as error:
+            raise ChildError(f"{self.name}.{name}: no answer within {timeout_s:g} s: {error!r}") from error
+        if not line:
+            raise ChildError(f"{self.name}.{name}: it has ended")
+        reply = msgspec.json.decode(line, type=ChildReply)
+        if reply.error:
+            raise ChildError(f"{self.name}.{name}: {reply.error}")
+        return msgspec.json.decode(reply.answer, type=reply_type)
+
+    async def command(self, name: str, **arguments: object) -> None:
+        """Call a method that returns nothing; raises as `call` does."""
+        await self.call(name, NoneType, CALL_TIMEOUT_S, **arguments)
--- /dev/null
+++ b/scale/churn.py
@@ -0,0 +1,43 @@
+"""A day's churn of servers, drawn from a seed."""
+
+from __future__ import annotations
+
+import random
+from typing import Literal, NamedTuple
+
+from scale.config import Churn
+
+SECONDS_PER_DAY = 86_400.0
+
+ChurnKind = Literal["change", "restart", "failure"]
+
+
+class ChurnEvent(NamedTuple):
+    """Something that happens to a server.
+
+    Attributes:
+        at_s: When, in seconds from the start of the run.
+        kind: What happens.
+        draw: A number from 0 to below 1 that picks the server.
+    """
+
+    at_s: float
+    kind: ChurnKind
+    draw: float
+
+
+def churn_events(seed: int, churn: Churn, seconds: float) -> list[ChurnEvent]:
+    """Draw the events of so many seconds of a run, in order; the same seed gives the same events."""
+    source = random.Random(f"churn {seed}")
+    events = []
+    kinds: tuple[tuple[ChurnKind, float], ...] = (
+        ("change", churn.changes_per_day),
+        ("restart", churn.restarts_per_day),
+        ("failure", churn.failures_per_day),
+    )
+    for kind, events_per_day in kinds:
+        events_per_s = events_per_day * churn.speedup / SECONDS_PER_DAY
+        at_s = 0.0
+        while events_per_s and (at_s := at_s + source.expovariate(events_per_s)) < seconds:
+            events.append(ChurnEvent(at_s, kind, source.random()))
+    return sorted(events)
--- a/scale/hollow.py
+++ b/scale/hollow.py
@@ -1,24 +1,15 @@
-"""Hollow gateways: the watch and the decisions of a real one without clients, many to a process.
-
-Beside them two measures that are taken inside a process: how long the loop stands still while news is
-read, and what the decisions alone cost by servers, customers and routes.
-"""
+"""Hollow gateways: the watch and the policy engine of a real gateway without clients, many to a process."""
 
 from __future__ import annotations
 
 import asyncio
-import gc
-import heapq
 import random
 import time
 from collections import Counter
 from dataclasses import replace
-from itertools import count
 from typing import Any
 
-import psutil
-
-from quota_gateway import model as api
+from quota_gateway import model
 from quota_gateway.net.address import Address
 from quota_gateway.net.discovery_client import DiscoveryClient
 from quota_gateway.net.driver import ActiveRequest, Clock, Driver
@@ -26,208 +17,173 @@
 from quota_gateway.net.upstream_pool import UpstreamPool
 from quota_gateway.policy.engine import PolicyEngine
 from quota_gateway.settings_format import settings_from_document
-from scale.config import zones
-from scale.load import arrivals, encode
+from scale.arrivals import encode_request, poisson_arrivals
+from scale.config import zone_names
+from scale.load_statistics import LoadOutcome
+from scale.loop_probe import LoopProbe
+from scale.messages import LoopStalls, UpdateCoverage
 
-CLASS, PLAN, DEADLINE_MS = "class-0", "plan", 2_000.0
-DESCRIPTORS, HELD = 64, 1 << 20
-START_GAP_S = 0.002  # between two that start
-LATENCY_MS = 5.0  # of a server, as the decisions are told
-NS_PER_MS = 1e6
+REQUEST_CLASS = "class-0"
+PLAN = "plan"
+TIMEOUT_MS = 2_000.0
 
+MAXIMUM_UPSTREAM_CONNECTIONS = 64
+"""Upstream connections of each hollow gateway: many gateways share the descriptors of one process."""
 
-def _ignore(*_: object) -> None:
-    """Nobody has to hear of it."""
+MAXIMUM_BUFFERED_BYTES = 1 << 20
 
+WATCH_START_GAP_S = 0.002
+"""Time between two gateways that open their watches."""
 
-class Versions(EndpointRegistry):
-    """A roster that keeps nothing but the version: for gateways that only hold the watch."""
+UPDATE_POLL_S = 0.05
 
-    def read(self, document: Any, known: bool = False) -> tuple[api.EndpointUpdate, dict[int, Address]]:
-        return api.EndpointUpdate(api.UpdateKind.DELTA, (), int(document["generation"])), {}
 
+def _ignore(*_: object) -> None:
+    """Ignore a notification that a hollow gateway has no use for."""
 
-class Hollow:
-    """One hollow gateway; notes when each version was in force, on the monotonic clock."""
 
-    def __init__(self, settings: api.Settings | None, seed: int) -> None:
-        self.driver: Driver | None = None
-        if settings is None:
-            self.discovery = DiscoveryClient(Versions(), self._news, _ignore, seed)
-        else:
-            gateway = PolicyEngine(settings, seed)
-            self.discovery = DiscoveryClient(EndpointRegistry(gateway.subset), self._news, _ignore, seed)
-            self.servers = UpstreamPool(settings, DESCRIPTORS, HELD)
-            self.driver = Driver(gateway, self.servers, Clock(), _ignore)
-        self.heard: list[tuple[int, float]] = []
-
-    def _news(self, listing: api.EndpointUpdate, addresses: dict[int, Address]) -> None:
-        if self.driver:
-            self.servers.update(listing, addresses)
-            self.driver.post(listing)
-        self.heard.append((listing.version, time.monotonic()))
+class VersionOnlyRegistry(EndpointRegistry):
+    """A registry that keeps no endpoints, for gateways that only hold the watch open."""
 
+    def read(  # noqa: D102 - documented by EndpointRegistry
+        self,
+        document: Any,  # noqa: ANN401 - foreign JSON
+        known: bool = False,  # noqa: ARG002 - EndpointRegistry's signature
+    ) -> tuple[model.EndpointUpdate, dict[int, Address]]:
+        return model.EndpointUpdate(model.UpdateKind.DELTA, (), int(document["generation"])), {}
 
-class Probe:
-    """How long the loop did not turn, at most: wall time, and the processor time of its thread, both in ms.
 
-    It turns the loop all the time it is on. Where others use the machine too, the processor time is what
-    the loop itself was held by.
-    """
+class HollowGateway:
+    """One hollow gateway.
 
-    def __init__(self) -> None:
-        self.on = False
-        self.wall_ns = self.cpu_ns = 0
+    Args:
+        settings: The gateway's settings; None for a gateway that only holds the watch open.
+        seed: The seed of its random numbers.
 
-    def begin(self) -> None:
-        """Watch from now on."""
-        self.on, self.wall_ns, self.cpu_ns = True, 0, 0
-        self._turn(time.monotonic_ns(), time.thread_time_ns())
+    Attributes:
+        driver: Its driver, if it has settings.
+        discovery: Its discovery client.
+        received: Each version and when it was in force, on the monotonic clock.
+    """
 
-    def _turn(self, wall: int, cpu: int) -> None:
-        now, spent = time.monotonic_ns(), time.thread_time_ns()
-        self.wall_ns, self.cpu_ns = max(self.wall_ns, now - wall), max(self.cpu_ns, spent - cpu)
-        if self.on:
-            asyncio.get_running_loop().call_soon(self._turn, now, spent)
+    def __init__(self, settings: model.Settings | None, seed: int) -> None:
+        self.received: list[tuple[int, float]] = []
+        self.driver: Driver | None = None
+        registry: EndpointRegistry = VersionOnlyRegistry()
+        if settings:
+            engine = PolicyEngine(settings, seed)
+            registry = EndpointRegistry(engine.subset)
+            self._upstream = UpstreamPool(settings, MAXIMUM_UPSTREAM_CONNECTIONS, MAXIMUM_BUFFERED_BYTES)
+            self.driver = Driver(engine, self._upstream, Clock(), _ignore)
+        self.discovery = DiscoveryClient(registry, self._on_update, _ignore, seed)
+
+    def _on_update(self, update: model.EndpointUpdate, addresses: dict[int, Address]) -> None:
+        if self.driver:
+            self._upstream.update(update, addresses)
+            self.driver.post(update)
+        self.received.append((update.version, time.monotonic()))
 
-    def end(self) -> dict[str, float]:
-        """Stop; the longest stalls."""
-        self.on = False
-        return {"wall_ms": self.wall_ns / NS_PER_MS, "cpu_ms": self.cpu_ns / NS_PER_MS}
+    def has_version(self, version: int) -> bool:
+        """Whether this version or a later one is in force."""
+        return bool(self.received) and self.received[-1][0] >= version
 
 
-class Hollows:
-    """Many hollow gateways. The role of a child; its methods are the parent's calls."""
+class HollowGateways:
+    """Many hollow gateways; a child's role whose methods are the run's commands.
+
+    Args:
+        document: The settings, as a gateway is given them.
+        kind: ``gateway``, or ``watch`` for gateways that only hold the watch open.
+        first: The index of the first gateway.
+        number: How many gateways there are.
+        zone_count: How many zones they are spread over.
+    """
 
     def __init__(self, document: dict[str, Any], kind: str, first: int, number: int, zone_count: int) -> None:
-        settings, names = settings_from_document(document), zones(zone_count)
-        self.all = []
+        settings = settings_from_document(document)
+        zones = zone_names(zone_count)
+        self._gateways = []
         for index in range(first, first + number):
-            own = replace(settings, index=index % settings.gateways, zone=names[index % zone_count])
-            self.all.append(Hollow(own if kind == "gateway" else None, index))
-        self.probe = Probe()
-
-    async def start(self) -> None:
-        """Nothing to listen on."""
-
-    async def watch(self, port: int) -> None:
-        """Begin all watches, a little apart."""
-        for hollow in self.all:
-            hollow.discovery.watch(("127.0.0.1", port))
-            await asyncio.sleep(START_GAP_S)
-
-    async def heard(self, version: int, within_s: float) -> dict[str, Any]:
-        """How many have this version or a later one by then; it returns as soon as all have."""
-        until = time.monotonic() + within_s
-        while (have := self._have(version)) < len(self.all) and time.monotonic() < until:
-            await asyncio.sleep(0.05)
-        return {"have": have, "of": len(self.all)}
-
-    def _have(self, version: int) -> int:
-        return sum(bool(hollow.heard) and hollow.heard[-1][0] >= version for hollow in self.all)
-
-    async def told(self) -> dict[str, Any]:
-        """For each gateway what it heard since the last call: versions, and when each was in force, in s."""
-        heard = [hollow.heard for hollow in self.all]
-        for hollow in self.all:
-            hollow.heard = hollow.heard[-1:]
-        return {"heard": heard}
-
-    async def ask(self, rate: float, seconds: float, seed: int, tenants: int, skew: float) -> dict[str, int]:
-        """So many requests a second at each gateway, without clients' sockets; what became of them.
-
-        They come by chance at any of the gateways here, of customers by Zipf.
-        """
-        results: Counter[str] = Counter()
-        source, start = random.Random(f"hollow {seed}"), time.monotonic()
-        drivers = [hollow.driver for hollow in self.all if hollow.driver]
-        for number, arrival in enumerate(arrivals(seed, rate * len(drivers), seconds, tenants, skew)):
-            await asyncio.sleep(max(0.0, start + arrival.due_s - time.monotonic()))
-            command, name = encode(CLASS, PLAN, DEADLINE_MS, arrival.tenant, number, 1), f"{seed}-{number}"
-            call = ActiveRequest(
-                name,
-                lambda left_ms, command=command: command,  # type: ignore[misc]
-                lambda answer: results.update([answer[:5].decode("latin-1").strip()]),
-            )
-            request = api.Request(name, CLASS, PLAN, f"{arrival.tenant:016x}", DEADLINE_MS)
-            source.choice(drivers).submit(call, request, DEADLINE_MS)
-        await asyncio.sleep(DEADLINE_MS / 1000.0)
-        served = sum(number for word, number in results.items() if word.startswith("$"))
-        refused = results["-BUSY"]
-        return {"served": served, "refused": refused, "failed": results.total() - served - refused}
-
-    async def probe_begin(self) -> None:
-        """Watch the loop from now on."""
-        self.probe.begin()
-
-    async def probe_end(self) -> dict[str, float]:
-        """The longest stalls since then."""
-        return self.probe.end()
-
-
-class Module:
-    """The decisions alone, without sockets, on a clock of their own. The role of a child."""
-
-    def __init__(self, document: dict[str, Any], servers: int) -> None:
-        self.process = psutil.Process()
-        gc.collect()
-        self.at_first = self.process.memory_info().rss
-        self.settings = settings_from_document(document)
-        self.gateway = PolicyEngine(self.settings, 1)
-        self.now, self.order = 0.0, count()
-        self.due: list[tuple[float, int, api.Event]] = []
-        self.results: Counter[str] = Counter()
-        self._handle(
-            api.EndpointUpdate(
-                api.UpdateKind.SNAPSHOT,
-                tuple(api.Endpoint(number, self.settings.zone) for number in range(1, servers + 1)),
-                1,
-            )
-        )
+            own_settings = replace(settings, index=index % settings.gateways, zone=zones[index % zone_count])
+            self._gateways.append(HollowGateway(own_settings if kind == "gateway" else None, index))
+        self._probe = LoopProbe()
 
     async def start(self) -> None:
-        """Nothing to listen on."""
-
-    async def ask(self, tenants: int, requests: int, gap_ms: float) -> dict[str, Any]:
-        """So many requests of so many customers by turns, over all classes; what they cost.
-
-        Processor time in microseconds a request, bytes of resident memory since before the gateway was made,
-        customers that it holds at the end, what became of the requests.
+        """Do nothing: there is nothing to listen on."""
+
+    async def open_watches(self, port: int) -> None:
+        """Open all watches on discovery at this port, a little apart."""
+        for gateway in self._gateways:
+            gateway.discovery.watch(("127.0.0.1", port))
+            await asyncio.sleep(WATCH_START_GAP_S)
+
+    async def await_version(self, version: int, within_s: float) -> UpdateCoverage:
+        """Wait until all gateways have this version or a later one, or the time is over."""
+        until_s = time.monotonic() + within_s
+        while (  # noqa: ASYNC110 - waits for many gateways, none of which knows of the others
+            updated := self._count_with_version(version)
+        ) < len(self._gateways) and time.monotonic() < until_s:
+            await asyncio.sleep(UPDATE_POLL_S)
+        return UpdateCoverage(updated, len(self._gateways))
+
+    def _count_with_version(self, version: int) -> int:
+        return sum(gateway.has_version(version) for gateway in self._gateways)
+
+    async def take_received(self) -> list[list[tuple[int, float]]]:
+        """Return for each gateway the versions since the last call, and when each was in force."""
+        received = [gateway.received for gateway in self._gateways]
+        for gateway in self._gateways:
+            gateway.received = gateway.received[-1:]
+        return received
+
+    async def run_load(
+        self, rate: float, seconds: float, seed: int, tenants: int, skew: float
+    ) -> dict[str, int]:
+        """Submit requests without clients' sockets, each at a gateway chosen at random.
+
+        Args:
+            rate: Requests a second at each gateway.
+            seconds: How long to submit for.
+            seed: The seed of arrivals and of the choice of gateways.
+            tenants: How many customers there are.
+            skew: The exponent of the Zipf distribution over the customers.
+
+        Returns:
+            The number of requests by outcome.
         """
-        gc.collect()
-        spent = time.thread_time()
-        routes = [(kind.name, plan.name) for kind in self.settings.classes for plan in self.settings.plans]
-        for number in range(requests):
-            self._until(self.now + gap_ms)
-            kind, plan = routes[number % len(routes)]
-            self._handle(api.Request(f"r{number}", kind, plan, f"{number % tenants:016x}", 1000.0))
-        self._until(self.now + 10 * LATENCY_MS)
-        spent = time.thread_time() - spent
-        gc.collect()
+        replies: Counter[str] = Counter()
+        source = random.Random(f"hollow {seed}")
+        start_s = time.monotonic()
+        drivers = [gateway.driver for gateway in self._gateways if gateway.driver]
+        arrivals = poisson_arrivals(seed, rate * len(drivers), seconds, tenants, skew)
+        for number, arrival in enumerate(arrivals):
+            await asyncio.sleep(max(0.0, start_s + arrival.due_s - time.monotonic()))
+            self._submit(source.choice(drivers), f"{seed}-{number}", arrival.customer, number, replies)
+        await asyncio.sleep(TIMEOUT_MS / 1000.0)
+        served = sum(number for word, number in replies.items() if word.startswith("$"))
+        rejected = replies["-BUSY"]
         return {
-            "cpu_us": 1e6 * spent / requests,
-            "memory": self.process.memory_info().rss - self.at_first,
-            "held": len(self.gateway.customers),
-            "results": dict(self.results),
+            LoadOutcome.SERVED.value: served,
+            LoadOutcome.REJECTED.value: rejected,
+            LoadOutcome.FAILED.value: replies.total() - served - rejected,
         }
 
-    def _until(self, end: float) -> None:
-        while self.due and self.due[0][0] <= end:
-            at, _, event = heapq.heappop(self.due)
-            self.now = max(self.now, at)
-            self._handle(event)
-        self.now = end
-
-    def _handle(self, event: api.Event) -> None:
-        for action in self.gateway.handle(self.now, event):
-            self.results[type(action).__name__] += 1
-            if isinstance(action, api.SetTimer):
-                self._at(action.delay_ms, api.TimerFired(action.token))
-            elif isinstance(action, api.StartAttempt):
-                self._at(
-                    LATENCY_MS,
-                    api.Outcome(action.request_id, 0, action.server, api.AttemptStatus.OK, LATENCY_MS, True),
-                )
-
-    def _at(self, delay_ms: float, event: api.Event) -> None:
-        heapq.heappush(self.due, (self.now + delay_ms, next(self.order), event))
+    @staticmethod
+    def _submit(driver: Driver, request_id: str, customer: int, number: int, replies: Counter[str]) -> None:
+        """Submit a request; the first five bytes of its reply are counted."""
+        command = encode_request(REQUEST_CLASS, PLAN, TIMEOUT_MS, customer, number, 1)
+        active = ActiveRequest(
+            request_id,
+            lambda _remaining_ms: command,
+            lambda reply: replies.update([reply[:5].decode("latin-1").strip()]),
+        )
+        request = model.Request(request_id, REQUEST_CLASS, PLAN, f"{customer:016x}", TIMEOUT_MS)
+        driver.submit(active, request, TIMEOUT_MS)
+
+    async def begin_probe(self) -> None:
+        """Measure the loop's stalls from now on."""
+        self._probe.begin()
+
+    async def end_probe(self) -> LoopStalls:
+        """Return the longest stalls since then."""
+        return self._probe.end()
--- /dev/null
+++ b/scale/loop_probe.py
@@ -0,0 +1,46 @@
+"""Measures how long an event loop stands still."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+
+from scale.messages import LoopStalls
+
+NANOSECONDS_PER_MILLISECOND = 1e6
+
+
+class LoopProbe:
+    """The longest time between two turns of the loop, by the clock and in processor time of its thread.
+
+    It turns the loop all the time while it is on. Where others use the machine too, the processor time is
+    what the loop itself was held up by.
+    """
+
+    def __init__(self) -> None:
+        self._is_on = False
+        self._longest_wall_ns = 0
+        self._longest_cpu_ns = 0
+
+    def begin(self) -> None:
+        """Measure from now on."""
+        self._is_on = True
+        self._longest_wall_ns = 0
+        self._longest_cpu_ns = 0
+        self._turn(time.monotonic_ns(), time.thread_time_ns())
+
+    def _turn(self, last_wall_ns: int, last_cpu_ns: int) -> None:
+        wall_ns = time.monotonic_ns()
+        cpu_ns = time.thread_time_ns()
+        self._longest_wall_ns = max(self._longest_wall_ns, wall_ns - last_wall_ns)
+        self._longest_cpu_ns = max(self._longest_cpu_ns, cpu_ns - last_cpu_ns)
+        if self._is_on:
+            asyncio.get_running_loop().call_soon(self._turn, wall_ns, cpu_ns)
+
+    def end(self) -> LoopStalls:
+        """Stop, and return the longest stalls."""
+        self._is_on = False
+        return LoopStalls(
+            wall_ms=self._longest_wall_ns / NANOSECONDS_PER_MILLISECOND,
+            cpu_ms=self._longest_cpu_ns / NANOSECONDS_PER_MILLISECOND,
+        )
--- a/scale/play.py
+++ b/scale/play.py
@@ -5,111 +5,195 @@
 import asyncio
 from math import isfinite
 from statistics import median
-from typing import Any
+from typing import NamedTuple
 
 import msgspec
 
-from scale import slopes
-from scale.processes import MEGABYTE, Child
+from scale.child_process import MEBIBYTE, ChildProcess, ResourceUsage, RoleProcess
+from scale.gateways import RealGateway
+from scale.load_statistics import LATENCY_PERCENTILES
+from scale.measurements.added_latency import AddedLatency, format_counts, measure_added_latency
+from scale.measurements.propagation import (
+    forget_received_versions,
+    propagation_delays,
+    take_received_versions,
+)
+from scale.messages import DiscoveryStatistics
+from scale.testbed import Testbed
 
-TAIL_S = 8.0  # after the load: what discovery has to tell counts as told 6 s on (PROTOCOL, Figures)
+SETTLING_S = 8.0
+"""Time after the load: what discovery publishes counts as delivered 6 s on (PROTOCOL, Figures)."""
 
+PHASE_GAP_S = 0.2
+"""Time beside the load's own in each phase."""
 
-async def play(bench: slopes.Bench) -> None:
-    """Start all, let churn and faults run beside the load, and note what it cost."""
-    config, book = bench.config, bench.book
-    bench.step(f"{config.fleet.real} real and {config.fleet.hollow} hollow gateways start")
-    discovery, port = await bench.discovery(config.fleet.servers)
-    reals = [await bench.real(port, config.fleet.servers, number) for number in range(config.fleet.real)]
-    hollows = await slopes.fleet(bench, port, config.fleet.hollow)
-    await asyncio.gather(*(hollow.call("told") for hollow in hollows))
-    before = [process.usage() for process in (discovery, *hollows, *(real.process for real in reals))]
-    load_s = 2 * config.load.phases * len(reals) * (config.load.seconds + 0.2)
-    seconds = max(load_s, max((fault.at_s + fault.for_s for fault in config.faults), default=0.0))
-    bench.step(f"churn for {seconds:.0f} s at {config.churn.speedup:g} times a day's speed, with load")
+HOLLOW_LOAD_GRACE_S = 60.0
+"""Time for the load at hollow gateways beyond its length."""
+
+HOLLOW_SEED_FACTOR = 1_000
+"""Distance between the seeds of the hollow gateways' loads of two runs with consecutive seeds."""
+
+ERROR_LOG_TEXT = " ERROR "
+"""What a line of a gateway's log contains that was logged as an error."""
+
+
+class PlayProcesses(NamedTuple):
+    """The processes of a play whose resource usage is measured."""
+
+    discovery: RoleProcess
+    hollow: list[RoleProcess]
+    gateways: list[RealGateway]
+
+    def usages(self) -> dict[ChildProcess, ResourceUsage]:
+        """Return what each process has used by now."""
+        gateway_processes = (gateway.process for gateway in self.gateways)
+        return {process: process.usage() for process in (self.discovery, *self.hollow, *gateway_processes)}
+
+
+async def play(testbed: Testbed) -> None:
+    """Start all processes, let churn and faults run beside the load, and record what it cost."""
+    config = testbed.config
+    processes = await _start_processes(testbed)
+    before = processes.usages()
+    seconds = _churn_seconds(testbed, len(processes.gateways))
+    testbed.report_step(
+        f"churn for {seconds:.0f} s at {config.churn.speedup:g} times a day's speed, with load"
+    )
     loop = asyncio.get_running_loop()
-    start = loop.time()
-    begun = await discovery.call("play", config=msgspec.to_builtins(config), seconds=seconds)
-    asked = [loop.create_task(_ask(bench, hollow, number, seconds)) for number, hollow in enumerate(hollows)]
-    for number, real in enumerate(reals):
-        found = await slopes.added_latency(bench, f"play {number}", real.port, config.load.rate)
-        _latency(book.figures, f"gateway {number}", found)
-    for answers in await asyncio.gather(*asked):
-        for what, number in answers.items():
-            name = f"hollow gateways: {what}"
-            book.figures[name] = book.figures.get(name, 0) + number
-    bench.step(f"the news settles for {TAIL_S:g} s")
-    await asyncio.sleep(TAIL_S)
-    after = [process.usage() for process in (discovery, *hollows, *(real.process for real in reals))]
-    wall_s = loop.time() - start
-    spent = [1000.0 * (late.cpu_s - early.cpu_s) / wall_s for early, late in zip(before, after, strict=True)]
-    stats, servers = await discovery.call("stats"), await bench.servers.call("stats")
-    book.figures |= {
-        **{f"events: {kind}": number for kind, number in sorted(begun.items())},
-        "versions published": len(stats["published"]),
-        "servers listed at the end": stats["servers"],
-        "watches open at the end": stats["watching"],
-        "watches ended": stats["counts"].get("ended", 0),
-        "discovery: cpu ms/s": spent[0],
-        "discovery: memory MB": after[0].rss / MEGABYTE,
-        "discovery: MB sent": sum(
-            number for name, number in stats["counts"].items() if name.endswith("_bytes")
-        )
-        / MEGABYTE,
-        "servers: most connections to one": servers["most_per_server"],
-        "servers: connections opened": servers["opened"],
-        "servers: requests turned away": servers["refused"],
-        "servers: used": servers["used"],
+    start_s = loop.time()
+    events_by_kind = await processes.discovery.call(
+        "play", dict[str, int], config=msgspec.to_builtins(config), seconds=seconds
+    )
+    await _run_loads(testbed, processes, seconds)
+    testbed.report_step(f"the news settles for {SETTLING_S:g} s")
+    await asyncio.sleep(SETTLING_S)
+    after = processes.usages()
+    wall_s = loop.time() - start_s
+    cpu_ms_per_s = {process: after[process].cpu_ms_since(before[process]) / wall_s for process in after}
+    statistics = await testbed.discovery_statistics(processes.discovery)
+    testbed.measurements.figures |= {
+        f"events: {kind}": number for kind, number in sorted(events_by_kind.items())
     }
-    for number, real in enumerate(reals):
-        use = after[len(after) - len(reals) + number]
-        book.figures |= {
-            f"gateway {number}: cpu ms/s": spent[len(after) - len(reals) + number],
-            f"gateway {number}: memory MB": use.rss / MEGABYTE,
-            f"gateway {number}: sockets": use.sockets,
-            f"gateway {number}: lines of errors": real.says(" ERROR "),
-        }
-    await _news(bench, stats, hollows)
-
-
-async def _ask(bench: slopes.Bench, hollow: Child, number: int, seconds: float) -> dict[str, int]:
-    """Load at the hollow gateways of one process, which hold their own connections to the servers."""
-    load, config = bench.config.load, bench.config
+    _record_discovery(
+        testbed, statistics, cpu_ms_per_s[processes.discovery], after[processes.discovery].rss_mb
+    )
+    await _record_servers(testbed)
+    for number, gateway in enumerate(processes.gateways):
+        usage = after[gateway.process]
+        _record_gateway(testbed, number, gateway, usage, cpu_ms_per_s[gateway.process])
+    await _record_propagation(testbed, statistics, processes.hollow)
+
+
+async def _start_processes(testbed: Testbed) -> PlayProcesses:
+    fleet = testbed.config.fleet
+    testbed.report_step(f"{fleet.real} real and {fleet.hollow} hollow gateways start")
+    discovery, port = await testbed.start_discovery(fleet.servers)
+    gateways = [await testbed.start_gateway(port, fleet.servers, number) for number in range(fleet.real)]
+    hollow = await testbed.start_hollow_fleet(port, fleet.hollow)
+    await forget_received_versions(hollow)
+    return PlayProcesses(discovery, hollow, gateways)
+
+
+def _churn_seconds(testbed: Testbed, gateways: int) -> float:
+    """Return how long churn lasts: as long as the load at all gateways, and until the last fault is over."""
+    config = testbed.config
+    load_s = 2 * config.load.phases * gateways * (config.load.seconds + PHASE_GAP_S)
+    return max(load_s, max((fault.at_s + fault.for_s for fault in config.faults), default=0.0))
+
+
+async def _run_loads(testbed: Testbed, processes: PlayProcesses, seconds: float) -> None:
+    """Load the real gateways one by one, and the hollow ones beside them; record latencies and outcomes."""
+    figures = testbed.measurements.figures
+    hollow_loads = [
+        asyncio.create_task(_load_hollow_gateways(testbed, process, number, seconds), name="hollow load")
+        for number, process in enumerate(processes.hollow)
+    ]
+    for number, gateway in enumerate(processes.gateways):
+        rate = testbed.config.load.rate
+        latency = await measure_added_latency(testbed, f"play {number}", gateway.port, rate)
+        _record_latency(testbed, f"gateway {number}", latency)
+    for outcomes in await asyncio.gather(*hollow_loads):
+        for outcome, count in outcomes.items():
+            name = f"hollow gateways: {outcome}"
+            figures[name] = figures.get(name, 0) + count
+
+
+async def _load_hollow_gateways(
+    testbed: Testbed, process: RoleProcess, number: int, seconds: float
+) -> dict[str, int]:
+    """Load the hollow gateways of one process, which have upstream connections of their own."""
+    config = testbed.config
+    load = config.load
     if not load.hollow_rate or config.fleet.hollow_kind != "gateway":
         await asyncio.sleep(seconds)
         return {}
-    answers: dict[str, int] = await hollow.call(
-        "ask",
-        patience_s=seconds + 60.0,
+    return await process.call(
+        "run_load",
+        dict[str, int],
+        timeout_s=seconds + HOLLOW_LOAD_GRACE_S,
         rate=load.hollow_rate,
         seconds=seconds,
-        seed=config.seed * 1_000 + number,
+        seed=config.seed * HOLLOW_SEED_FACTOR + number,
         tenants=load.tenants,
         skew=load.skew,
     )
-    return answers
-
-
-def _latency(figures: dict[str, Any], name: str, found: dict[str, Any]) -> None:
-    for part in slopes.PARTS:
-        for way in ("straight", "through"):
-            figures[f"{name}: {way} {part.replace('_', ' ')}"] = float(found[way][part])
-        figures[f"{name}: added {part.replace('_', ' ')}, median of phases"] = median(found["added"][part])
-    for way in ("straight", "through"):
-        figures[f"{name}: {way} requests"] = ", ".join(
-            f"{what} {number}" for what, number in sorted(found[way]["counts"].items())
-        )
-
-
-async def _news(bench: slopes.Bench, stats: dict[str, Any], hollows: list[Child]) -> None:
-    """How soon the versions were in force at 99 in 100 of the hollow gateways."""
-    told = [await hollow.call("told") for hollow in hollows]
-    heard = [versions for part in told for versions in part["heard"]]
-    waits = sorted(slopes.in_force(stats["published"], heard)) if heard else []
-    known = [wait for wait in waits if isfinite(wait)]
-    if known:
-        bench.book.figures |= {
-            "in force at 99 in 100: median ms": 1000.0 * known[len(known) // 2],
-            "in force at 99 in 100: worst ms": 1000.0 * known[-1],
-        }
-    bench.book.figures["versions never in force at 99 in 100"] = len(waits) - len(known)
+
+
+def _record_latency(testbed: Testbed, name: str, latency: AddedLatency) -> None:
+    figures = testbed.measurements.figures
+    for percentile in LATENCY_PERCENTILES:
+        label = percentile.replace("_", " ")
+        for way, report in latency.reports():
+            figures[f"{name}: {way} {label}"] = report.latencies_ms[percentile]
+        figures[f"{name}: added {label}, median of phases"] = median(latency.added_ms[percentile])
+    for way, report in latency.reports():
+        figures[f"{name}: {way} requests"] = format_counts(report.outcomes)
+
+
+def _record_discovery(
+    testbed: Testbed, statistics: DiscoveryStatistics, cpu_ms_per_s: float, memory_mb: float
+) -> None:
+    testbed.measurements.figures |= {
+        "versions published": len(statistics.published_s),
+        "servers listed at the end": statistics.servers,
+        "watches open at the end": statistics.watches,
+        "watches ended": statistics.count("ended"),
+        "discovery: cpu ms/s": cpu_ms_per_s,
+        "discovery: memory MB": memory_mb,
+        "discovery: MB sent": statistics.sent_bytes / MEBIBYTE,
+    }
+
+
+async def _record_servers(testbed: Testbed) -> None:
+    statistics = await testbed.server_statistics()
+    testbed.measurements.figures |= {
+        "servers: most connections to one": statistics.most_per_server,
+        "servers: connections opened": statistics.opened,
+        "servers: requests turned away": statistics.rejected,
+        "servers: used": statistics.used,
+    }
+
+
+def _record_gateway(
+    testbed: Testbed, number: int, gateway: RealGateway, usage: ResourceUsage, cpu_ms_per_s: float
+) -> None:
+    testbed.measurements.figures |= {
+        f"gateway {number}: cpu ms/s": cpu_ms_per_s,
+        f"gateway {number}: memory MB": usage.rss_mb,
+        f"gateway {number}: sockets": usage.sockets,
+        f"gateway {number}: lines of errors": gateway.count_in_log(ERROR_LOG_TEXT),
+    }
+
+
+async def _record_propagation(
+    testbed: Testbed, statistics: DiscoveryStatistics, hollow: list[RoleProcess]
+) -> None:
+    """Record how soon the versions were in force at 99 in 100 of the hollow gateways."""
+    received = await take_received_versions(hollow)
+    delays_s = sorted(propagation_delays(statistics.published_s, received)) if received else []
+    known_s = [delay_s for delay_s in delays_s if isfinite(delay_s)]
+    figures = testbed.measurements.figures
+    if known_s:
+        figures["in force at 99 in 100: median ms"] = 1000.0 * known_s[len(known_s) // 2]
+        figures["in force at 99 in 100: worst ms"] = 1000.0 * known_s[-1]
+    figures["versions never in force at 99 in 100"] = len(delays_s) - len(known_s)
--- a/scale/results.py
+++ b/scale/results.py
@@ -1,4 +1,4 @@
-"""What a run found: series of points, the line through each, one JSON file a run, and a table."""
+"""The results of a run: series of points, the line through each, one JSON file a run, and a table."""
 
 from __future__ import annotations
 
@@ -16,11 +16,22 @@
 from rich.table import Table
 
 from scale.config import Config
-from scale.processes import ROOT, Children
+from scale.supervisor import REPOSITORY, Supervisor
+
+MINIMUM_SIZES_OF_LINE = 2
+VALUE_DIGITS = 6
+RESIDUAL_DIGITS = 4
+"""Digits that the result files keep; more would only be noise."""
 
 
 class Point(msgspec.Struct, frozen=True):
-    """The median of what was measured at one size; with a note in place of values where it was not."""
+    """What was measured at one size.
+
+    Attributes:
+        size: The size.
+        values: The values of all repetitions.
+        note: What there is in place of values, or beside them.
+    """
 
     size: float
     values: list[float] = []
@@ -28,12 +39,19 @@
 
     @property
     def value(self) -> float | None:
-        """The median, or nothing."""
+        """The median of the values; None without any."""
         return median(self.values) if self.values else None
 
 
 class Fit(msgspec.Struct, frozen=True):
-    """The line of least squares; ``residual``: the farthest point from it, in parts of the largest value."""
+    """The line of least squares through the points of a series.
+
+    Attributes:
+        slope: Growth of the value for one more of the size.
+        intercept: The value at size 0.
+        residual: Distance of the farthest point from the line, as a part of the largest value.
+        sizes: The sizes of the points.
+    """
 
     slope: float
     intercept: float
@@ -42,7 +60,16 @@
 
 
 class Series(msgspec.Struct):
-    """One quantity of one role, measured by size. Values are in ``unit``, sizes in what ``by`` names."""
+    """One quantity of one role, measured by size.
+
+    Attributes:
+        name: The quantity.
+        role: The role that it is measured of.
+        by: What the sizes count.
+        unit: The unit of the values.
+        points: What was measured.
+        fit: The line through the points; None for fewer than two sizes.
+    """
 
     name: str
     role: str
@@ -52,13 +79,27 @@
     fit: Fit | None = None
 
     def add(self, size: float, values: Sequence[float], note: str = "") -> None:
-        """A point, and the line anew."""
-        self.points.append(Point(size, [round(value, 6) for value in values], note))
-        self.fit = fit([(point.size, point.value) for point in self.points if point.value is not None])
+        """Add a point, and fit the line anew."""
+        self.points.append(Point(size, [round(value, VALUE_DIGITS) for value in values], note))
+        self.fit = fit_line([(point.size, point.value) for point in self.points if point.value is not None])
 
 
 class Result(msgspec.Struct):
-    """A whole run, as its JSON file holds it. ``stopped`` says why it was cut short, if it was."""
+    """A whole run, as its JSON file holds it.
+
+    Attributes:
+        command: The command that ran.
+        seed: The run's seed.
+        commit: The commit of the repository.
+        started: When the run began, in UTC.
+        seconds: How long it took.
+        stopped: Why it was cut short; empty if it was not.
+        machine: The machine's cores, load and version of Python.
+        limits: The most processes and memory that the children took.
+        config: The run's configuration.
+        series: What was measured by size.
+        figures: What was measured once, by name.
+    """
 
     command: str
     seed: int
@@ -73,19 +114,26 @@
     figures: dict[str, Any]
 
 
-def fit(points: Sequence[tuple[float, float]]) -> Fit | None:
-    """The line through these points (size, value); None for less than two sizes."""
-    sizes, values = [size for size, _ in points], [value for _, value in points]
-    if len(set(sizes)) < 2:
+def fit_line(points: Sequence[tuple[float, float]]) -> Fit | None:
+    """Return the line of least squares through points of size and value; None for fewer than two sizes."""
+    sizes = [size for size, _ in points]
+    values = [value for _, value in points]
+    if len(set(sizes)) < MINIMUM_SIZES_OF_LINE:
         return None
     slope, intercept = linear_regression(sizes, values)
     largest = max(abs(value) for value in values)
     farthest = max(abs(value - intercept - slope * size) for size, value in points)
-    return Fit(slope, intercept, round(farthest / largest if largest else 0.0, 4), sizes)
+    residual = farthest / largest if largest else 0.0
+    return Fit(slope, intercept, round(residual, RESIDUAL_DIGITS), sizes)
+
 
+class MeasurementLog:
+    """Collects what a run measures.
 
-class Book:
-    """Gathers what a run measures."""
+    Attributes:
+        series: What was measured by size, by name.
+        figures: What was measured once, by name.
+    """
 
     def __init__(self) -> None:
         self.series: dict[str, Series] = {}
@@ -100,53 +148,88 @@
         values: Sequence[float],
         note: str = "",
     ) -> None:
-        """A point of a series, named ``role.quantity``; the series begins with its first point."""
+        """Add a point to a series, which begins with its first point.
+
+        Args:
+            name: The series as ``role.quantity``.
+            by: What the sizes count.
+            unit: The unit of the values.
+            size: The size.
+            values: The values of all repetitions.
+            note: What there is in place of values, or beside them.
+        """
         key = f"{name} by {by}"
         if key not in self.series:
-            self.series[key] = Series(name.partition(".")[2], name.partition(".")[0], by, unit)
+            role, _, quantity = name.partition(".")
+            self.series[key] = Series(quantity, role, by, unit)
         self.series[key].add(size, values, note)
 
 
-def _commit() -> str:
-    done = subprocess.run(["git", "rev-parse", "HEAD"], cwd=ROOT, capture_output=True, text=True, check=False)
-    return done.stdout.strip()
+def _current_commit() -> str:
+    completed = subprocess.run(
+        ["git", "rev-parse", "HEAD"], cwd=REPOSITORY, capture_output=True, text=True, check=False
+    )
+    return completed.stdout.strip()
 
 
-def result(command: str, config: Config, book: Book, children: Children, start: float) -> Result:
-    """All of a run; ``start`` in Unix time."""
+def make_result(
+    command: str,
+    config: Config,
+    measurements: MeasurementLog,
+    supervisor: Supervisor,
+    started_at_s: float,
+) -> Result:
+    """Make the result of a run that began at this Unix time."""
     return Result(
-        command,
-        config.seed,
-        _commit(),
-        time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(start)),
-        round(time.time() - start, 1),
-        children.stopped,
-        {
+        command=command,
+        seed=config.seed,
+        commit=_current_commit(),
+        started=time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(started_at_s)),
+        seconds=round(time.time() - started_at_s, 1),
+        stopped=supervisor.stop_reason,
+        machine={
             "cores": os.cpu_count(),
-            "load": [round(part, 2) for part in os.getloadavg()],
+            "load": [round(average, 2) for average in os.getloadavg()],
             "python": platform.python_version(),
         },
-        {"most_processes": children.most_processes, "most_rss_mb": children.most_rss >> 20},
-        config,
-        list(book.series.values()),
-        book.figures,
+        limits={
+            "most_processes": supervisor.peak_processes,
+            "most_rss_mb": supervisor.peak_rss_bytes >> 20,
+        },
+        config=config,
+        series=list(measurements.series.values()),
+        figures=measurements.figures,
     )
 
 
-def write(result: Result, folder: Path) -> Path:
-    """The result as a file in this folder; its path."""
-    path = folder / f"{result.started.replace(':', '').replace('-', '')}-{result.command}-{result.seed}.json"
+def write_result(result: Result, folder: Path) -> Path:
+    """Write the result to a file in this folder; its path."""
+    started = result.started.replace(":", "").replace("-", "")
+    path = folder / f"{started}-{result.command}-{result.seed}.json"
     path.write_bytes(msgspec.json.format(msgspec.json.encode(result), indent=1) + b"\n")
     return path
 
 
-def read(path: Path) -> Result:
-    """A result's file; msgspec.DecodeError names the key that is wrong."""
+def read_result(path: Path) -> Result:
+    """Read a result's file.
+
+    Raises:
+        msgspec.DecodeError: A key of the file is missing or wrong.
+    """
     return msgspec.json.decode(path.read_bytes(), type=Result)
 
 
-def show(result: Result, console: Console) -> None:
-    """The tables of a run."""
+def print_result(result: Result, console: Console) -> None:
+    """Print the tables of a run."""
+    if result.series:
+        console.print(_series_table(result))
+    if result.figures:
+        console.print(_figures_table(result))
+    if result.stopped:
+        console.print(f"cut short: {result.stopped}")
+
+
+def _series_table(result: Result) -> Table:
     table = Table("role", "quantity", "by", "points", "slope", "residual", title=f"seed {result.seed}")
     for series in result.series:
         points = "  ".join(
@@ -155,12 +238,11 @@
         )
         line = (f"{series.fit.slope:.3g}", f"{series.fit.residual:.0%}") if series.fit else ("", "")
         table.add_row(series.role, f"{series.name} ({series.unit})", series.by, points, *line)
-    if result.series:
-        console.print(table)
-    if result.figures:
-        figures = Table("figure", "value")
-        for name, value in result.figures.items():
-            figures.add_row(name, f"{value:.4g}" if isinstance(value, float) else str(value))
-        console.print(figures)
-    if result.stopped:
-        console.print(f"cut short: {result.stopped}")
+    return table
+
+
+def _figures_table(result: Result) -> Table:
+    table = Table("figure", "value")
+    for name, value in result.figures.items():
+        table.add_row(name, f"{value:.4g}" if isinstance(value, float) else str(value))
+    return table
--- a/tests/scale/test_capacity.py
+++ b/tests/scale/test_capacity.py
@@ -10,17 +10,19 @@
 ROOT = Path(__file__).parent.parent.parent
 
 
-def made(*points: tuple[float, float], name="memory", by="servers", role="gateway", started="1", note=()):
-    """A result of one series."""
+def result_of(
+    *points: tuple[float, float], name="memory", by="servers", role="gateway", started="1", noted_sizes=()
+):
+    """Make a result of one series."""
     series = results.Series(name, role, by, "MB")
     for size, value in points:
         series.add(size, [value])
-    for size in note:
+    for size in noted_sizes:
         series.add(size, [], "refused")
     return results.Result("slopes", 1, "", started, 1.0, "", {}, {}, config.Config(), [series], {})
 
 
-def row(table: str, quantity: str) -> list[str]:
+def row_of(table: str, quantity: str) -> list[str]:
     (line,) = [line for line in table.splitlines() if f"| {quantity} |" in line]
     return [cell.strip() for cell in line.strip("|").split("|")]
 
@@ -28,30 +30,34 @@
 PAGES = [("CAPACITY.md", "capacity"), ("CAPACITY-before.md", "capacity/before")]
 
 
-@pytest.mark.parametrize("page, folder", PAGES)
+@pytest.mark.parametrize(("page", "folder"), PAGES)
 def test_page_holds_the_table_that_the_committed_results_give(page, folder):
     paths = sorted((ROOT / "docs" / folder).glob("*.json"))
     assert paths, "no results"
     text = (ROOT / "docs" / page).read_text()
-    assert capacity.between(text) == capacity.table([results.read(path) for path in paths])
+    assert capacity.extract_table(text) == capacity.make_table([results.read_result(path) for path in paths])
 
 
 def test_page_tells_the_subset_that_the_program_works_with():
-    text, subset = (ROOT / "docs" / "CAPACITY.md").read_text(), Subset(3_800, 0)
-    assert f"{subset.size(38_000)} servers" in text and f"{subset.sharers(38_000):.1f} gateways" in text
+    text = (ROOT / "docs" / "CAPACITY.md").read_text()
+    subset = Subset(3_800, 0)
+    assert f"{subset.size(38_000)} servers" in text
+    assert f"{subset.sharers(38_000):.1f} gateways" in text
 
 
 def test_committed_results_are_whole():
     for path in (ROOT / "docs" / "capacity").rglob("*-slopes-*.json"):
-        read = results.read(path)
-        assert not read.stopped, path
-        for series in read.series:
+        result = results.read_result(path)
+        assert not result.stopped, path
+        for series in result.series:
             values = [(point.size, point.value) for point in series.points if point.value is not None]
-            assert series.fit == results.fit(values), (path, series.name)
+            assert series.fit == results.fit_line(values), (path, series.name)
 
 
 def test_figure_is_the_line_at_the_size_of_the_fleet_and_its_verdict_goes_by_the_budget():
-    within = row(capacity.table([made((100, 20.1), (200, 20.2), (400, 20.4), (800, 20.8))]), "memory, all")
+    within = row_of(
+        capacity.make_table([result_of((100, 20.1), (200, 20.2), (400, 20.4), (800, 20.8))]), "memory, all"
+    )
     assert within == [
         "gateway",
         "memory, all",
@@ -65,7 +71,7 @@
         "47.5 times",
     ]
     points = ((100, 20.3), (200, 20.6), (400, 21.2), (19000, 77.0))
-    over = row(capacity.table([made(*points, note=[38000])]), "memory, all")
+    over = row_of(capacity.make_table([result_of(*points, noted_sizes=[38000])]), "memory, all")
     assert over[3] == "100, 200, 400, 19000; 38000: refused"
     assert over[6:] == ["134 MB", "128 MB", "over", "2.0 times"]
 
@@ -79,25 +85,25 @@
     ],
 )
 def test_fewer_than_four_sizes_or_a_line_that_does_not_hold_leave_it_unknown(points):
-    cells = row(capacity.table([made(*points)]), "memory, all")
+    cells = row_of(capacity.make_table([result_of(*points)]), "memory, all")
     assert cells[8] == "unknown"
-    assert row(capacity.table([made(*points)]), "memory, routes as classes")[3] == "not measured"
+    assert row_of(capacity.make_table([result_of(*points)]), "memory, routes as classes")[3] == "not measured"
 
 
 def test_what_was_measured_at_the_very_size_goes_before_the_line():
-    series = made((50, 9.0), (100, 1.0), (218, 1.2), (300, 9.0), name="added_p99", by="requests/s")
-    cells = row(capacity.table([series]), "added at p99, by load")
+    series = result_of((50, 9.0), (100, 1.0), (218, 1.2), (300, 9.0), name="added_p99", by="requests/s")
+    cells = row_of(capacity.make_table([series]), "added at p99, by load")
     assert cells[6:] == ["1.2 ms", "1.3 ms", "within", "no"]
 
 
 def test_what_one_size_alone_shows_is_told_at_that_size_and_does_not_displace_a_line():
     refused = "refused list asked for again, bytes"
-    first = made((1, 1.0), (2, 2.0), (3, 3.0), (4, 4.0), started="2026-01-01")
-    later = made((38000, 7000.0), name="refused_sent", started="2026-01-02")
-    later.series += made(note=[38000]).series
-    assert refused not in capacity.table([first])
-    table = capacity.table([first, later])
-    assert row(table, refused)[2:] == [
+    first = result_of((1, 1.0), (2, 2.0), (3, 3.0), (4, 4.0), started="2026-01-01")
+    later = result_of((38000, 7000.0), name="refused_sent", started="2026-01-02")
+    later.series += result_of(noted_sizes=[38000]).series
+    assert refused not in capacity.make_table([first])
+    table = capacity.make_table([first, later])
+    assert row_of(table, refused)[2:] == [
         "none",
         "38000",
         "0%",
@@ -107,19 +113,19 @@
         "over",
         "no",
     ]
-    assert row(table, "memory, all")[3] == "1, 2, 3, 4"
+    assert row_of(table, "memory, all")[3] == "1, 2, 3, 4"
 
 
 def test_later_result_of_the_same_quantity_counts():
-    first = made((1, 1.0), (2, 2.0), (3, 3.0), (4, 4.0), started="2026-01-01")
-    later = made((1, 5.0), (2, 5.0), (3, 5.0), (4, 5.0), started="2026-01-02")
+    first = result_of((1, 1.0), (2, 2.0), (3, 3.0), (4, 4.0), started="2026-01-01")
+    later = result_of((1, 5.0), (2, 5.0), (3, 5.0), (4, 5.0), started="2026-01-02")
     for order in ([first, later], [later, first]):
-        assert row(capacity.table(order), "memory, all")[6] == "5 MB"
+        assert row_of(capacity.make_table(order), "memory, all")[6] == "5 MB"
 
 
 def test_table_goes_between_the_marks_and_nothing_else_changes():
     page = f"before\n{capacity.BEGIN}\nold\n{capacity.END}\nafter\n"
-    assert capacity.put(page, "new") == f"before\n{capacity.BEGIN}\nnew\n{capacity.END}\nafter\n"
-    assert capacity.between(capacity.put(page, "new")) == "new"
+    assert capacity.replace_table(page, "new") == f"before\n{capacity.BEGIN}\nnew\n{capacity.END}\nafter\n"
+    assert capacity.extract_table(capacity.replace_table(page, "new")) == "new"
     with pytest.raises(ValueError, match="mark"):
-        capacity.put(f"{capacity.BEGIN} only", "new")
+        capacity.replace_table(f"{capacity.BEGIN} only", "new")
