--- a/scale/__main__.py
+++ b/scale/__main__.py
@@ -53,7 +53,7 @@
     measurements: Sequence[Measurement],
     report_step: ReportStep,
 ) -> str:
-    """Make the measurements within the deadline; why they were cut short, if they were."""
+    """Make the measurements within the deadline; return why they were cut short, if they were."""
     try:
         async with asyncio.timeout(config.deadline_s), supervisor:
             testbed = Testbed(config, supervisor, measurement_log, report_step)
@@ -71,7 +71,7 @@
 
 
 def _execute(command: str, config: Config, out: Path, measurements: Sequence[Measurement], steps: int) -> int:
-    """Execute a whole run; its exit code. What was measured is written also where it was cut short."""
+    """Execute a whole run and return its exit code; the result is written also where it was cut short."""
     started_at_s = time.time()
     measurement_log = results.MeasurementLog()
     log_folder = out / f"{time.strftime('%Y%m%dT%H%M%S', time.gmtime(started_at_s))}-{command}-logs"
--- a/scale/capacity.py
+++ b/scale/capacity.py
@@ -5,6 +5,7 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
+from scale.child_process import MEBIBYTE
 from scale.results import Fit, Result, Series
 
 BEGIN = "<!-- table: begin -->"
@@ -50,8 +51,6 @@
 HEARTBEAT_BYTES_PER_S = 3.0
 """An empty line every 2 s."""
 
-MEBIBYTE = 1 << 20
-
 FLEET_SIZES = {
     "servers": 38_000.0,
     "gateways": 3_800.0,
--- a/scale/discovery.py
+++ b/scale/discovery.py
@@ -38,7 +38,7 @@
         self._server: asyncio.Server | None = None
 
     async def start(self) -> int:
-        """Listen on loopback; the port."""
+        """Listen on loopback and return the port."""
         self._server = await asyncio.get_running_loop().create_server(
             lambda: DiscoveryConnection(self.state), "127.0.0.1", 0, backlog=LISTEN_BACKLOG
         )
@@ -66,14 +66,14 @@
         return PublishedChanges(first_version, catalog.version, sent["change_bytes"])
 
     async def play_fault(self, kind: str, for_s: float = 0.0, zone: str = "") -> FaultVersions:
-        """Play a fault from now until it is over."""
+        """Play a fault from now until it is over; return the versions before and after."""
         version_before = self.state.catalog.version
         fault = msgspec.convert({"at_s": 0.0, "kind": kind, "for_s": for_s, "zone": zone}, Fault)
         await self.events.play_fault(fault)
         return FaultVersions(version_before, self.state.catalog.version)
 
     async def play(self, config: dict[str, object], seconds: float) -> dict[str, int]:
-        """Begin the churn and the faults of this configuration; the number of churn events by kind."""
+        """Begin the configuration's churn and faults; return the number of churn events by kind."""
         run_config = msgspec.convert(config, Config)
         events = churn_events(run_config.seed, run_config.churn, seconds)
         self.events.start_churn(events, run_config.churn)
--- a/scale/discovery_state.py
+++ b/scale/discovery_state.py
@@ -66,7 +66,7 @@
         return self._chunks[version]
 
     def publish(self, changed: Iterable[ListedEndpoint]) -> int:
-        """Publish a version with these changes to all watches at once; its number."""
+        """Publish a version with these changes to all watches at once; return its number."""
         version = self.catalog.update(changed)
         self.published_s[version] = time.monotonic()
         self.notify_watches()
--- a/scale/endpoint_catalog.py
+++ b/scale/endpoint_catalog.py
@@ -80,7 +80,7 @@
         self._store(endpoints)
 
     def _store(self, changed: Iterable[ListedEndpoint]) -> dict[str, bytes]:
-        """Take these endpoints in; their encoded forms by name."""
+        """Store these endpoints and return their encoded forms by name."""
         encoded_changes = {}
         for endpoint in changed:
             encoded = msgspec.json.encode(endpoint)
@@ -94,7 +94,7 @@
         return encoded_changes
 
     def update(self, changed: Iterable[ListedEndpoint]) -> int:
-        """Apply these changes as one version; its number."""
+        """Apply these changes as one version and return its number."""
         self.version += 1
         if len(self._history) == self._history.maxlen:
             self._oldest_resumable_version = self._history[0][0]
@@ -118,7 +118,7 @@
         return self._snapshot
 
     def line_after(self, version: int | None) -> bytes:
-        """Return the changes after a version as one line; the complete list if the version is unknown."""
+        """Return the changes after a version as one line, or the complete list if the version is unknown."""
         if version is None or not self._oldest_resumable_version <= version <= self.version:
             return self.snapshot_line()
         changed: dict[str, bytes] = {}
--- a/scale/gateway_settings.py
+++ b/scale/gateway_settings.py
@@ -1,4 +1,4 @@
-"""The settings that all gateways of a run are given, in the form of the deploy file's pages."""
+"""The settings that all gateways of a run are given, in the form that DEPLOY gives."""
 
 from __future__ import annotations
 
--- a/scale/gateways.py
+++ b/scale/gateways.py
@@ -54,7 +54,7 @@
         self._log_path = log_path
 
     async def wait_until_ready(self) -> float:
-        """Wait until it answers PING; the seconds that took.
+        """Wait until it answers PING; return the seconds that took.
 
         Raises:
             ChildError: It is not ready after READY_TIMEOUT_S.
--- a/scale/measurements/list_length.py
+++ b/scale/measurements/list_length.py
@@ -20,7 +20,10 @@
 """How long a gateway is measured that rejects the list and polls it again and again."""
 
 REJECTED_LIST_LOG_TEXT = "a line without end"
-"""What a gateway logs for a list that is too long to read."""
+"""What a gateway that bounds the length of a list logs as it rejects one.
+
+One that logs something else is recognized by its watches, which end again and again.
+"""
 
 
 async def measure_by_list_length(testbed: Testbed) -> None:
@@ -41,7 +44,7 @@
 
 
 async def _measure_reading(testbed: Testbed, discovery: RoleProcess, gateway: RealGateway, size: int) -> bool:
-    """Measure reading a list of this size; whether the gateway accepted it."""
+    """Measure reading a list of this size; return whether the gateway accepted it."""
     measurements = testbed.measurements
     before = gateway.process.usage()
     ended_before = (await testbed.discovery_statistics(discovery)).count("ended")
--- a/scale/play.py
+++ b/scale/play.py
@@ -65,7 +65,7 @@
         "play", dict[str, int], config=msgspec.to_builtins(config), seconds=seconds
     )
     await _run_loads(testbed, processes, seconds)
-    testbed.report_step(f"the news settles for {SETTLING_S:g} s")
+    testbed.report_step(f"updates propagate for {SETTLING_S:g} s")
     await asyncio.sleep(SETTLING_S)
     after = processes.usages()
     wall_s = loop.time() - start_s
--- a/scale/results.py
+++ b/scale/results.py
@@ -15,6 +15,7 @@
 from rich.console import Console
 from rich.table import Table
 
+from scale.child_process import MEBIBYTE
 from scale.config import Config
 from scale.supervisor import REPOSITORY, Supervisor
 
@@ -194,7 +195,7 @@
         },
         limits={
             "most_processes": supervisor.peak_processes,
-            "most_rss_mb": supervisor.peak_rss_bytes >> 20,
+            "most_rss_mb": supervisor.peak_rss_bytes // MEBIBYTE,
         },
         config=config,
         series=list(measurements.series.values()),
@@ -203,7 +204,7 @@
 
 
 def write_result(result: Result, folder: Path) -> Path:
-    """Write the result to a file in this folder; its path."""
+    """Write the result to a file in this folder and return its path."""
     started = result.started.replace(":", "").replace("-", "")
     path = folder / f"{started}-{result.command}-{result.seed}.json"
     path.write_bytes(msgspec.json.format(msgspec.json.encode(result), indent=1) + b"\n")
--- a/scale/servers.py
+++ b/scale/servers.py
@@ -135,7 +135,7 @@
         return self._mean_service_s * self._random.lognormvariate(mu, SERVICE_TIME_SIGMA)
 
     async def start(self) -> list[int]:
-        """Listen on loopback; the port of each server."""
+        """Listen on loopback and return the port of each server."""
         loop = asyncio.get_running_loop()
         ports = []
         for server in self._servers:
--- a/scale/testbed.py
+++ b/scale/testbed.py
@@ -85,7 +85,7 @@
         return load
 
     async def start_discovery(self, servers: int) -> tuple[RoleProcess, int]:
-        """Start a discovery that lists so many servers; its process and its port."""
+        """Start a discovery that lists so many servers; return its process and its port."""
         return await self.supervisor.start_role(
             "discovery",
             int,
--- a/tests/scale/test_scale_run.py
+++ b/tests/scale/test_scale_run.py
@@ -309,7 +309,7 @@
 
 
 def wait_for_children(process: subprocess.Popen, folder: Path, number: int) -> list[int]:
-    """Wait for so many children and for the load to begin; the children's process ids."""
+    """Wait for so many children and for the load to begin; return the children's process ids."""
     while process.poll() is None:
         pids = child_pids(folder)
         if len(pids) >= number and any("churn" in path.read_text() for path in folder.glob("*/run.log")):
