--- a/quota_gateway/net/admin.py
+++ b/quota_gateway/net/admin.py
@@ -1,4 +1,7 @@
-"""The listener for operators: one HTTP call for each connection, at an address of its own."""
+"""The operators' calls over HTTP/1.1: one call a connection, at an address of its own.
+
+``docs/decisions/admin.md`` has the reasons for the bounds; ``docs/on-call.md`` lists the calls.
+"""
 
 from __future__ import annotations
 
@@ -6,6 +9,8 @@
 import logging
 from collections import OrderedDict
 from collections.abc import Awaitable, Callable
+from dataclasses import dataclass
+from http import HTTPStatus
 from typing import cast
 
 import httptools
@@ -14,83 +19,112 @@
 
 log = logging.getLogger(__name__)
 
-MOST_CALLERS = 8  # connections at once; the oldest makes room for a new one
-CALL_S = 2.0  # for a call, from connecting on: a caller waits 1 s for its answer
-LONGEST_CALL = 8192  # bytes, head and body
-LONGEST_ID = 256
-BACKLOG = 64
-REASONS = {
-    200: "OK",
-    400: "Bad Request",
-    404: "Not Found",
-    405: "Method Not Allowed",
-    413: "Content Too Large",
-    500: "Internal Server Error",
-    503: "Service Unavailable",
-}
-Answer = tuple[int, str]
-Moved = Callable[[str, bool], Awaitable[bool]]  # a server's id and whether it is to be out: if it is known
+MAX_CONNECTIONS = 8  # at once; the oldest makes room for a new one
+MOST_CALLERS = MAX_CONNECTIONS  # the name by which the division of descriptors has it
+REQUEST_TIMEOUT_S = 2.0  # for a call, from connecting on: an operator waits 1 s for the answer
+MAX_REQUEST_BYTES = 8192  # of a call, head and body
+MAX_SERVER_NAME_LENGTH = 256  # characters
+BACKLOG = 64  # connections that the kernel keeps until they are accepted
+
+READY_TARGET = b"/_ready"
+DETACH_TARGET = b"/_servers/detach"
+ATTACH_TARGET = b"/_servers/attach"
+
+# RFC 9110's phrase: the standard library of Python 3.11 still has the older one
+REASON_PHRASES = {HTTPStatus.REQUEST_ENTITY_TOO_LARGE: "Content Too Large"}
+
+SetDetached = Callable[[str, bool], Awaitable[bool]]
+"""Detach (True) or attach (False) the server of this name; whether it is known."""
+
+
+@dataclass(frozen=True, slots=True)
+class AdminResponse:
+    """The answer to one call."""
+
+    status: HTTPStatus
+    text: str  # for a person, one line
+
+    def encode(self) -> bytes:
+        """The answer as it goes to the operator."""
+        body = f"{self.text}\n".encode()
+        phrase = REASON_PHRASES.get(self.status, self.status.phrase)
+        return (
+            b"HTTP/1.1 %d %b\r\nContent-Type: text/plain; charset=utf-8\r\nContent-Length: %d\r\n"
+            b"Connection: close\r\n\r\n%b" % (self.status, phrase.encode(), len(body), body)
+        )
 
 
 class AdminConnection(asyncio.Protocol):
-    """One connection of an operator."""
+    """One connection of an operator: one call, one answer, the end."""
 
-    def __init__(self, management: AdminServer) -> None:
-        self.management = management
+    def __init__(self, server: AdminServer) -> None:
+        self.server = server
         self.parser = httptools.HttpRequestParser(self)
         self.transport: asyncio.Transport | None = None
-        self.target, self.body, self.read = b"", b"", 0
+        self.target = b""
+        self.body = b""
+        self.received_bytes = 0
         self.task: asyncio.Task[None] | None = None
-        self.answered = False
+        self.is_answered = False
+
+    # ---- Events of the transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """The operator has connected."""
         # uvloop's transports are not asyncio.Transport by class: no isinstance here
         self.transport = cast(asyncio.Transport, transport)
-        self.management.opened(self)
+        self.server.on_connected(self)
 
-    def connection_lost(self, exc: Exception | None) -> None:
-        self.management.callers.pop(self, None)
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - asyncio's signature
+        """The connection has ended, whoever ended it."""
+        self.server.on_disconnected(self)
 
     def data_received(self, data: bytes) -> None:
-        if self.answered or self.task:
+        """Read on in the call, unless it is complete."""
+        if self.is_answered or self.task:
             return
-        self.read += len(data)
-        if self.read > LONGEST_CALL:
-            self.answer(413, "the call is too long")
+        self.received_bytes += len(data)
+        if self.received_bytes > MAX_REQUEST_BYTES:
+            self.answer(AdminResponse(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the call is too long"))
             return
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self.answer(400, "not a call")
+            self.answer(AdminResponse(HTTPStatus.BAD_REQUEST, "not a call"))
+
+    # ---- Events of the parser
 
     def on_url(self, url: bytes) -> None:
+        """A part of the call's target has come."""
         self.target += url
 
     def on_body(self, body: bytes) -> None:
+        """A part of the call's body has come."""
         self.body += body
 
     def on_message_complete(self) -> None:
-        if self.task is None and not self.answered:
-            self.task = asyncio.get_running_loop().create_task(self._call(self.parser.get_method()))
+        """The call is complete; what follows on the connection has no effect."""
+        if self.task is None and not self.is_answered:
+            call = self._call(self.parser.get_method())
+            self.task = asyncio.get_running_loop().create_task(call, name="admin call")
+
+    # ---- The answer
 
     async def _call(self, method: bytes) -> None:
+        path = self.target.partition(b"?")[0]
         try:
-            status, text = await self.management.call(method, self.target.partition(b"?")[0], self.body)
-        except Exception:  # a caller is owed an answer whatever goes wrong
-            log.exception("a call of an operator failed")
-            status, text = 500, "failed"
-        self.answer(status, text)
+            response = await self.server.call(method, path, self.body)
+        except Exception:  # an operator is owed an answer whatever goes wrong
+            log.exception("admin call failed")
+            response = AdminResponse(HTTPStatus.INTERNAL_SERVER_ERROR, "failed")
+        self.answer(response)
 
-    def answer(self, status: int, text: str) -> None:
+    def answer(self, response: AdminResponse) -> None:
         """The one answer; the connection ends with it."""
-        if self.answered or self.transport is None or self.transport.is_closing():
+        if self.is_answered or self.transport is None or self.transport.is_closing():
             return
-        self.answered = True
-        body = f"{text}\n".encode()
-        self.transport.write(
-            b"HTTP/1.1 %d %b\r\nContent-Type: text/plain; charset=utf-8\r\nContent-Length: %d\r\n"
-            b"Connection: close\r\n\r\n%b" % (status, REASONS[status].encode(), len(body), body)
-        )
+        self.is_answered = True
+        self.transport.write(response.encode())
         self.transport.close()
 
     def abort(self) -> None:
@@ -100,55 +134,78 @@
 
 
 class AdminServer:
-    """Takes calls of operators, bounded in number, length and time."""
+    """Takes the operators' calls, bounded in number, length and time.
 
-    def __init__(self, ready: Callable[[], bool], moved: Moved) -> None:
-        self.ready, self.moved = ready, moved
-        self.callers: OrderedDict[AdminConnection, None] = OrderedDict()
+    Args:
+        is_ready: Whether the gateway is ready to serve clients.
+        set_detached: Detaches or attaches a server.
+    """
+
+    def __init__(self, is_ready: Callable[[], bool], set_detached: SetDetached) -> None:
+        self.is_ready = is_ready
+        self.set_detached = set_detached
+        self.connections: OrderedDict[AdminConnection, None] = OrderedDict()  # the oldest first
         self.server: asyncio.Server | None = None
 
     async def listen(self, address: Address) -> None:
         """Take calls at this address. One that can't be had is logged: clients are served all the same."""
         try:
-            loop = asyncio.get_running_loop()
-            self.server = await loop.create_server(
+            self.server = await asyncio.get_running_loop().create_server(
                 lambda: AdminConnection(self), *address, reuse_address=True, backlog=BACKLOG
             )
         except OSError as error:
-            log.error("no calls of operators can be taken at %s:%d: %r", *address, error)
-
-    def opened(self, caller: AdminConnection) -> None:
-        """A new connection. Guards against callers who finish no call: the oldest ones make room."""
-        self.callers[caller] = None
-        if len(self.callers) > MOST_CALLERS:
-            self.callers.popitem(last=False)[0].abort()
-        asyncio.get_running_loop().call_later(CALL_S, caller.abort)
-
-    async def call(self, method: bytes, target: bytes, body: bytes) -> Answer:
-        """What one call comes to."""
-        if target == b"/_ready":
-            if method != b"GET":
-                return 405, "GET only"
-            return (200, "ready") if self.ready() else (503, "not ready")
-        if target not in (b"/_servers/detach", b"/_servers/attach"):
-            return 404, "no such call"
+            log.error("admin listener failed host=%s port=%d reason=%r", *address, error)
+
+    def on_connected(self, connection: AdminConnection) -> None:
+        """An operator has connected: there is a bound on how many do at once, and on how long each may."""
+        self.connections[connection] = None
+        if len(self.connections) > MAX_CONNECTIONS:
+            oldest, _ = self.connections.popitem(last=False)
+            oldest.abort()
+        asyncio.get_running_loop().call_later(REQUEST_TIMEOUT_S, connection.abort)
+
+    def on_disconnected(self, connection: AdminConnection) -> None:
+        """A connection has ended."""
+        self.connections.pop(connection, None)
+
+    async def call(self, method: bytes, path: bytes, body: bytes) -> AdminResponse:
+        """Carry out one call."""
+        if path == READY_TARGET:
+            return self._readiness(method)
+        if path not in (DETACH_TARGET, ATTACH_TARGET):
+            return AdminResponse(HTTPStatus.NOT_FOUND, "no such call")
         if method != b"POST":
-            return 405, "POST only"
-        try:
-            name = body.decode().strip()
-        except UnicodeDecodeError:
-            return 400, "the body is no id"
-        if not name or len(name) > LONGEST_ID:
-            return 400, "the body is no id"
-        out = target.endswith(b"/detach")
-        if not await self.moved(name, out):
-            return 404, "no such server"
-        log.info("operators called: %s %s", "detach" if out else "attach", name)
-        return 200, f"{name} is {'detached' if out else 'attached'}"
+            return AdminResponse(HTTPStatus.METHOD_NOT_ALLOWED, "POST only")
+        name = _server_name(body)
+        if name is None:
+            return AdminResponse(HTTPStatus.BAD_REQUEST, "the body is no id")
+        return await self._set_detached(name, detached=path == DETACH_TARGET)
+
+    def _readiness(self, method: bytes) -> AdminResponse:
+        if method != b"GET":
+            return AdminResponse(HTTPStatus.METHOD_NOT_ALLOWED, "GET only")
+        if self.is_ready():
+            return AdminResponse(HTTPStatus.OK, "ready")
+        return AdminResponse(HTTPStatus.SERVICE_UNAVAILABLE, "not ready")
+
+    async def _set_detached(self, name: str, detached: bool) -> AdminResponse:
+        if not await self.set_detached(name, detached):
+            return AdminResponse(HTTPStatus.NOT_FOUND, "no such server")
+        log.info("admin call carried out operation=%s server=%s", "detach" if detached else "attach", name)
+        return AdminResponse(HTTPStatus.OK, f"{name} is {'detached' if detached else 'attached'}")
 
     def close(self) -> None:
         """Take no more calls."""
         if self.server:
             self.server.close()
-        for caller in list(self.callers):
-            caller.abort()
+        for connection in list(self.connections):
+            connection.abort()
+
+
+def _server_name(body: bytes) -> str | None:
+    """The name in the body of a call; None if there is none."""
+    try:
+        name = body.decode().strip()
+    except UnicodeDecodeError:
+        return None
+    return name if 0 < len(name) <= MAX_SERVER_NAME_LENGTH else None
--- a/quota_gateway/net/detachments.py
+++ b/quota_gateway/net/detachments.py
@@ -1,37 +1,56 @@
-"""From a server's id, as operators name it, to the decisions, in both processes of an upgrade."""
+"""Servers that operators detach and attach: from the name that they give to the engine, in every process."""
 
 from __future__ import annotations
 
-from quota_gateway import model as api
+from quota_gateway.model import AttachServer, DetachServer
 from quota_gateway.net.driver import Driver
 from quota_gateway.net.endpoint_registry import EndpointRegistry
 from quota_gateway.net.peer_processes import PeerProcesses
 
 
 class Detachments:
-    """Carries out operators' calls on servers."""
+    """Carries out operators' calls on servers, here and in the other process of an upgrade."""
 
     def __init__(self, registry: EndpointRegistry, driver: Driver, peers: PeerProcesses) -> None:
-        self.registry, self.driver, self.peers = registry, driver, peers
+        self.registry = registry
+        self.driver = driver
+        self.peers = peers
 
-    def carry_out(self, name: str, out: bool, certain: bool = False) -> bool:
-        """Here, for a server that is known, or certain as another process knows it; whether it was known."""
+    def carry_out(self, name: str, detached: bool, known_elsewhere: bool = False) -> bool:
+        """Detach or attach a server in this process.
+
+        Args:
+            name: The server's name, as discovery has it.
+            detached: Whether it is to be detached, or attached again.
+            known_elsewhere: Whether the other process knows the server: it is then remembered here too.
+
+        Returns:
+            Whether this process knew the server.
+        """
         known = self.registry.is_known(name)
-        if known or certain:
+        if known or known_elsewhere:
             number = self.registry.number_of(name)
-            (self.registry.detached.add if out else self.registry.detached.discard)(name)
-            self.driver.post(api.DetachServer(number) if out else api.AttachServer(number))
+            if detached:
+                self.registry.detached.add(name)
+                self.driver.post(DetachServer(number))
+            else:
+                self.registry.detached.discard(name)
+                self.driver.post(AttachServer(number))
         return known
 
-    async def set_detached(self, name: str, out: bool) -> bool:
-        """Here, then in the other process, if there is one; whether either knows the server."""
-        known = self.carry_out(name, out)
-        known_there = await self.peers.set_detached(name, out, known)
-        if known_there and not known:
-            self.carry_out(name, out, certain=True)
-        return known or known_there
+    async def set_detached(self, name: str, detached: bool) -> bool:
+        """Detach or attach a server here, then in the other process, if there is one.
+
+        Returns:
+            Whether either process knows the server.
+        """
+        known = self.carry_out(name, detached)
+        known_elsewhere = await self.peers.set_detached(name, detached, known)
+        if known_elsewhere and not known:
+            self.carry_out(name, detached, known_elsewhere=True)
+        return known or known_elsewhere
 
     def repeat(self) -> None:
-        """Tell the decisions of every ban that was handed over, where they could not take over the rest."""
+        """Post every detachment that was handed over, where the engine could not restore the rest."""
         for name in sorted(self.registry.detached):
-            self.carry_out(name, out=True)
+            self.carry_out(name, detached=True)
--- /dev/null
+++ b/quota_gateway/net/handover_receiver.py
@@ -0,0 +1,162 @@
+"""Taking over from the process that serves: the request for its state, then its clients' connections."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import socket
+from dataclasses import dataclass
+from enum import Enum, auto
+from pathlib import Path
+from typing import Any
+
+from quota_gateway.errors import HandoverError
+from quota_gateway.model import PeerProcessExited
+from quota_gateway.net import rendezvous
+from quota_gateway.net.client_listener import ClientListener, ResumedConnection
+from quota_gateway.net.driver import Driver
+from quota_gateway.net.peer_messages import (
+    DescriptorsInUse,
+    HandoverOffer,
+    Hello,
+    MessageKind,
+    PassedConnection,
+    Serving,
+)
+from quota_gateway.net.peer_processes import PeerProcesses
+from quota_gateway.net.peer_requests import PeerRequestHandler
+from quota_gateway.net.process_channel import ChannelMessage, ProcessChannel, ReceivedMessage
+from quota_gateway.net.upstream_pool import UpstreamPool
+
+log = logging.getLogger(__name__)
+
+OFFER_TIMEOUT_S = 1.5  # for the state, from hello on: a start goes on without it, and is due to be ready
+
+
+@dataclass(frozen=True, slots=True)
+class HandoverState:
+    """What the previous process has handed over, and the channel to it."""
+
+    channel: ProcessChannel
+    listener: socket.socket
+    state: dict[str, Any]  # the policy engine's
+    registry: dict[str, Any]  # the endpoint registry's
+
+
+async def request_handover(path: Path | None) -> HandoverState | None:
+    """Ask the process that serves for its state; see ``docs/decisions/handover.md``.
+
+    Returns:
+        None if there is no such process, or it is silent or malformed: a start goes on without it.
+    """
+    sock = rendezvous.connect(path) if path else None
+    if sock is None:
+        return None
+    channel = ProcessChannel(sock)
+    try:
+        async with asyncio.timeout(OFFER_TIMEOUT_S):
+            channel.send(ChannelMessage(Hello().to_json()))
+            message = await channel.first_message()
+    except TimeoutError:
+        channel.close("previous process is silent")
+        return None
+    if message is None:
+        return None
+    try:
+        return _state_from(channel, message)
+    except (HandoverError, OSError) as error:
+        channel.close(f"malformed message: {error!r}")
+        return None
+    finally:
+        message.close()
+
+
+def _state_from(channel: ProcessChannel, message: ReceivedMessage) -> HandoverState:
+    """What the offer holds; HandoverError or OSError if it is malformed, or its descriptor no listener."""
+    offer = HandoverOffer.from_json(message.header, message.body)
+    listener = message.take_socket()
+    if not listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
+        listener.close()
+        raise HandoverError("estate: descriptor is no listening socket")
+    return HandoverState(channel, listener, offer.state, offer.registry)
+
+
+class ReceiverState(Enum):
+    """How far this process has taken over from another one."""
+
+    NOT_TAKING_OVER = auto()  # there was no process to take over from, or it is not settled yet
+    SERVING = auto()  # in place of the previous process, which passes connections on
+    PREVIOUS_ENDED = auto()
+
+
+class HandoverReceiver:
+    """The new process's side of a handover, from the moment that it serves."""
+
+    def __init__(
+        self,
+        driver: Driver,
+        clients: ClientListener,
+        upstream_pool: UpstreamPool,
+        peers: PeerProcesses,
+        requests: PeerRequestHandler,
+    ) -> None:
+        self.state = ReceiverState.NOT_TAKING_OVER
+        self.driver = driver
+        self.clients = clients
+        self.upstream_pool = upstream_pool
+        self.peers = peers
+        self.requests = requests
+        self._spare_bytes = 0  # of either side's bound, left to the previous process until it ends
+
+    def took_over(self, handover_state: HandoverState, spare_bytes: int) -> None:
+        """This process serves now, in place of the previous one.
+
+        Args:
+            handover_state: What the previous process has handed over.
+            spare_bytes: By how much less is buffered for either side until that process has ended.
+        """
+        channel = handover_state.channel
+        self.peers.previous = channel
+        self.state = ReceiverState.SERVING
+        self._spare_bytes = spare_bytes
+        self.clients.max_buffered_bytes -= spare_bytes
+        self.upstream_pool.max_buffered_bytes -= spare_bytes
+        channel.on_end = self._on_previous_ended
+        channel.set_receiver(lambda message: self._on_message(channel, message))
+        if channel.closed:
+            self._on_previous_ended()
+            return
+        channel.send(ChannelMessage(Serving().to_json()))
+        log.info("handover received")
+
+    def _on_previous_ended(self) -> None:
+        if self.state is not ReceiverState.SERVING:
+            return
+        self.state = ReceiverState.PREVIOUS_ENDED
+        self.peers.previous = None
+        self.clients.max_buffered_bytes += self._spare_bytes
+        self.upstream_pool.max_buffered_bytes += self._spare_bytes
+        self.clients.peer_connections = 0
+        self.upstream_pool.peer_connections = 0
+        self.peers.on_process_ended()
+        log.info("previous process ended")
+        if self.peers.next is None:
+            self.driver.post(PeerProcessExited())
+
+    def _on_message(self, channel: ProcessChannel, message: ReceivedMessage) -> None:
+        kind = MessageKind.of(message.header)
+        if kind is MessageKind.CONNECTION and message.descriptor is not None:
+            self._on_connection(message)
+        elif kind is MessageKind.DESCRIPTORS_IN_USE:
+            in_use = DescriptorsInUse.from_json(message.header)
+            self.clients.peer_connections = in_use.clients
+            self.upstream_pool.peer_connections = in_use.upstream
+        else:
+            self.requests.handle(channel, message)
+
+    def _on_connection(self, message: ReceivedMessage) -> None:
+        connection = PassedConnection.from_json(message.header)
+        resumed = ResumedConnection(
+            connection.has_sent, connection.request_count, connection.command_due_s, message.body
+        )
+        self.clients.serve(message.take_socket(), resumed)
--- a/quota_gateway/net/peer_processes.py
+++ b/quota_gateway/net/peer_processes.py
@@ -1,14 +1,17 @@
-"""The other processes of this gateway while a new version takes over, and the channels to them."""
+"""The other processes of this gateway during an upgrade: what is asked of them and told to them."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
 
-from quota_gateway import model as api
-from quota_gateway.net.process_channel import ProcessChannel
+from quota_gateway.model import PeerProcessUsage
+from quota_gateway.net.peer_messages import DetachmentReply, DetachmentRequest, UsageNotification
+from quota_gateway.net.process_channel import ChannelMessage, ProcessChannel
 
-DETACHMENT_TIMEOUT_S = 0.4  # for the other process to carry out a detachment: an operator waits 1 s
+DETACHMENT_TIMEOUT_S = 0.4  # for the other process to carry out a detachment: an operator waits 1 s in all
+
+UsageListener = Callable[[PeerProcessUsage], None]
 
 
 class PeerProcesses:
@@ -17,53 +20,54 @@
     def __init__(self) -> None:
         self.previous: ProcessChannel | None = None
         self.next: ProcessChannel | None = None
-        self.pending: dict[int, asyncio.Future[bool]] = {}
-        self.last_request = 0
+        self._pending: dict[int, asyncio.Future[DetachmentReply]] = {}
+        self._last_request_number = 0
 
     def channels(self) -> list[ProcessChannel]:
         """The channels that are open."""
         return [channel for channel in (self.previous, self.next) if channel]
 
-    def notify_usage(self, usage: api.PeerProcessUsage) -> None:
+    def notify_usage(self, usage: PeerProcessUsage) -> None:
         """Tell the other process what is in flight for a customer from here."""
         for channel in self.channels():
-            channel.send(
-                {
-                    "kind": "out",
-                    "plan": usage.plan,
-                    "customer": usage.customer,
-                    "out": usage.in_flight,
-                    "change": usage.excess_change,
-                }
-            )
+            channel.send(ChannelMessage(UsageNotification(usage).to_json()))
 
     async def set_detached(self, name: str, detached: bool, known: bool) -> bool:
-        """Have the other process, if there is one, detach or attach a server; whether it knows the server."""
-        answers = []
-        for channel in self.channels():
-            self.last_request += 1
-            answer = self.pending[self.last_request] = asyncio.get_running_loop().create_future()
-            answers.append(answer)
-            channel.send(
-                {"kind": "ban", "id": name, "out": detached, "known": known, "number": self.last_request}
-            )
-        if answers:
-            done, _ = await asyncio.wait(answers, timeout=DETACHMENT_TIMEOUT_S)
-            return any(answer.result() for answer in done)
-        return False
-
-    def on_detachment_answer(self, number: int, known: bool) -> None:
-        """The other process has carried out a detachment, and says whether it knew the server."""
-        asked = self.pending.pop(number, None)
-        if asked and not asked.done():
-            asked.set_result(known)
-
-    def answer_all(self) -> None:
-        """A process that has ended answers nothing."""
-        for asked in self.pending.values():
-            if not asked.done():
-                asked.set_result(False)
-        self.pending.clear()
-
-
-UsageListener = Callable[[api.PeerProcessUsage], None]
+        """Have the other process, if there is one, detach or attach a server.
+
+        Args:
+            name: The server's name, as discovery has it.
+            detached: Whether it is to be detached, or attached again.
+            known: Whether this process knows the server.
+
+        Returns:
+            Whether the other process knows the server; False if it has not answered in time.
+        """
+        pending = [self._request_detachment(channel, name, detached, known) for channel in self.channels()]
+        if not pending:
+            return False
+        done, _ = await asyncio.wait(pending, timeout=DETACHMENT_TIMEOUT_S)
+        return any(reply.result().known for reply in done)
+
+    def _request_detachment(
+        self, channel: ProcessChannel, name: str, detached: bool, known: bool
+    ) -> asyncio.Future[DetachmentReply]:
+        self._last_request_number += 1
+        request = DetachmentRequest(name, detached, known, self._last_request_number)
+        reply: asyncio.Future[DetachmentReply] = asyncio.get_running_loop().create_future()
+        self._pending[request.number] = reply
+        channel.send(ChannelMessage(request.to_json()))
+        return reply
+
+    def on_detachment_reply(self, reply: DetachmentReply) -> None:
+        """The other process has carried out a request."""
+        pending = self._pending.pop(reply.number, None)
+        if pending and not pending.done():
+            pending.set_result(reply)
+
+    def on_process_ended(self) -> None:
+        """A process that has ended answers nothing: nobody waits for it any longer."""
+        for number, pending in self._pending.items():
+            if not pending.done():
+                pending.set_result(DetachmentReply(number, known=False))
+        self._pending.clear()
--- a/quota_gateway/net/process_channel.py
+++ b/quota_gateway/net/process_channel.py
@@ -1,6 +1,7 @@
 """A channel between two processes of one gateway: whole messages in order, over a Unix socket.
 
-A message is a line of JSON, raw bytes and a descriptor at most, in packets that the kernel keeps whole.
+A message is a header as a line of JSON, raw bytes and at most one descriptor. It travels in packets that the
+kernel keeps whole: a first byte that says whether more follow, then a piece of the message.
 """
 
 from __future__ import annotations
@@ -12,144 +13,236 @@
 import socket
 from collections import deque
 from collections.abc import Callable
+from dataclasses import dataclass
 from typing import Any
 
+from quota_gateway.errors import HandoverError
+
 log = logging.getLogger(__name__)
 
-PIECE = 60 * 1024  # bytes of a packet: the kernel's buffer for a Unix socket holds some
-LONGEST_MESSAGE = 32 * 1024 * 1024
-MORE, LAST = b"+", b"."  # the first byte of a packet
-Message = tuple[dict[str, Any], bytes, int | None]
+PIECE_BYTES = 60 * 1024  # of a message in a packet: the kernel's buffer for a Unix socket holds some of them
+MAX_MESSAGE_BYTES = 32 * 1024 * 1024  # a state of all customers that are kept takes less
+MORE_FOLLOWS = b"+"  # the first byte of a packet
+LAST_PACKET = b"."
+MAX_DESCRIPTORS_READ = 2  # of a packet: one is due, and one too many is noticed and closed
+
+
+@dataclass(frozen=True, slots=True)
+class ChannelMessage:
+    """A message to send; its descriptor goes over to the channel with it."""
+
+    header: dict[str, Any]
+    body: bytes = b""
+    descriptor: int | None = None
+
+
+@dataclass(slots=True)
+class ReceivedMessage:
+    """A message that has come. It owns its descriptor until that is taken, and closes it otherwise."""
+
+    header: dict[str, Any]
+    body: bytes
+    descriptor: int | None
+
+    def take_socket(self) -> socket.socket:
+        """The descriptor as a socket, which is the caller's from now on.
+
+        Raises:
+            HandoverError: The message came without a descriptor, or it has been taken.
+            OSError: The descriptor is no socket; it is still the message's.
+        """
+        if self.descriptor is None:
+            raise HandoverError(f"{self.header.get('kind')!r:.200}: descriptor is missing")
+        sock = socket.socket(fileno=self.descriptor)
+        self.descriptor = None
+        return sock
+
+    def close(self) -> None:
+        """Close the descriptor if nobody has taken it."""
+        _close_descriptor(self.descriptor)
+        self.descriptor = None
+
+
+MessageReceiver = Callable[[ReceivedMessage], None]
+
+
+@dataclass(frozen=True, slots=True)
+class _Packet:
+    """What the kernel is given at once; the descriptor is open until it has taken it."""
+
+    data: bytes
+    descriptor: int | None
+
+
+def _close_descriptor(descriptor: int | None) -> None:
+    if descriptor is not None:
+        os.close(descriptor)
+
+
+def _ignore_end() -> None:
+    """What happens at the end of a channel of which nobody wants to know."""
 
 
 class ProcessChannel:
-    """One connection between two processes: whole messages in order, each with a descriptor at most."""
+    """One connection between two processes: whole messages in order, each with a descriptor at most.
+
+    ``on_end`` is called once, when the channel is closed by either side.
+    """
 
     def __init__(self, sock: socket.socket) -> None:
-        self.sock, self.loop = sock, asyncio.get_running_loop()
+        self.sock = sock
+        self.loop = asyncio.get_running_loop()
+        self.on_end: Callable[[], None] = _ignore_end
+        self.closed = False
+        self._write_failed = False
+        self._outgoing: deque[_Packet] = deque()
+        self._pieces: list[bytes] = []  # of a message that has not come whole
+        self._descriptor: int | None = None  # of that message
+        self._received: deque[ReceivedMessage] = deque()  # for which there was no receiver yet
+        self._receiver: MessageReceiver | None = None
+        self._message_or_end = asyncio.Event()
         sock.setblocking(False)
-        self.out: deque[tuple[bytes, int | None]] = deque()
-        self.parts: list[bytes] = []
-        self.descriptor: int | None = None
-        self.waiting: deque[Message] = deque()
-        self.taker: Callable[[dict[str, Any], bytes, int | None], None] | None = None
-        self.on_end: Callable[[], None] = lambda: None
-        self.arrived, self.closed, self.broken = asyncio.Event(), False, False
-        self.loop.add_reader(sock, self._read)
-
-    def send(self, head: dict[str, Any], raw: bytes = b"", descriptor: int | None = None) -> None:
-        """Queue a message. A descriptor is this channel's from now on, and closed once it is sent."""
-        if self.closed or self.broken:
-            if descriptor is not None:
-                os.close(descriptor)
+        self.loop.add_reader(sock, self._on_readable)
+
+    @property
+    def queued_packets(self) -> int:
+        """How many packets wait for the kernel to take them."""
+        return len(self._outgoing)
+
+    # ---- Sending
+
+    def send(self, message: ChannelMessage) -> None:
+        """Queue a message. Its descriptor is this channel's from now on, and closed once it is sent."""
+        if self.closed or self._write_failed:
+            _close_descriptor(message.descriptor)
             return
-        data = json.dumps(head).encode() + b"\n" + raw
-        pieces = [data[at : at + PIECE] for at in range(0, len(data), PIECE)]
-        for number, piece in enumerate(pieces, 1):
-            self.out.append(((LAST if number == len(pieces) else MORE) + piece, descriptor))
-            descriptor = None
+        data = json.dumps(message.header).encode() + b"\n" + message.body
+        descriptor = message.descriptor
+        for start in range(0, len(data), PIECE_BYTES):
+            is_last = start + PIECE_BYTES >= len(data)
+            mark = LAST_PACKET if is_last else MORE_FOLLOWS
+            self._outgoing.append(_Packet(mark + data[start : start + PIECE_BYTES], descriptor))
+            descriptor = None  # it goes with the first packet
         self._write()
 
     def _write(self) -> None:
-        while self.out and not self.closed:
-            piece, descriptor = self.out[0]
+        while self._outgoing and not self.closed:
+            packet = self._outgoing[0]
             try:
-                if descriptor is None:
-                    self.sock.send(piece)
+                if packet.descriptor is None:
+                    self.sock.send(packet.data)
                 else:
-                    socket.send_fds(self.sock, [piece], [descriptor])
+                    socket.send_fds(self.sock, [packet.data], [packet.descriptor])
             except BlockingIOError:
                 self.loop.add_writer(self.sock, self._write)
                 return
             except OSError:  # it has ended: what it sent before that is still to be read, up to its end
-                self.broken = True
-                self._drop_out()
+                self._write_failed = True
+                self._drop_outgoing()
                 return
-            self.out.popleft()
-            if descriptor is not None:
-                os.close(descriptor)
+            self._outgoing.popleft()
+            _close_descriptor(packet.descriptor)
         if not self.closed:
             self.loop.remove_writer(self.sock)
 
-    def _drop_out(self) -> None:
+    def _drop_outgoing(self) -> None:
         self.loop.remove_writer(self.sock)
-        for _, descriptor in self.out:
-            if descriptor is not None:
-                os.close(descriptor)
-        self.out.clear()
+        for packet in self._outgoing:
+            _close_descriptor(packet.descriptor)
+        self._outgoing.clear()
+
+    # ---- Receiving
 
-    def _read(self) -> None:
+    def _on_readable(self) -> None:
         try:
-            data, descriptors, flags, _ = socket.recv_fds(self.sock, PIECE + 1, 2)
+            data, descriptors, flags, _ = socket.recv_fds(self.sock, PIECE_BYTES + 1, MAX_DESCRIPTORS_READ)
         except (BlockingIOError, ConnectionResetError):
             return  # a reset tells that it ended with something unread; what it sent comes all the same
         except OSError as error:
             self.close(f"can't be read: {error!r}")
             return
         for descriptor in descriptors:
-            if self.descriptor is None:
-                self.descriptor = descriptor
+            if self._descriptor is None:
+                self._descriptor = descriptor
             else:
                 os.close(descriptor)
         if not data:
             self.close("the other process ended it")
             return
-        self.parts.append(data[1:])
-        if flags & (socket.MSG_TRUNC | socket.MSG_CTRUNC) or data[:1] not in (MORE, LAST):
-            self.close("malformed")
-        elif data[:1] == LAST:
-            self._message()
-        elif len(self.parts) * PIECE > LONGEST_MESSAGE:
-            self.close("a message without end")
-
-    def _message(self) -> None:
-        line, _, raw = b"".join(self.parts).partition(b"\n")
-        descriptor, self.descriptor, self.parts = self.descriptor, None, []
+        self._on_packet(data, is_truncated=bool(flags & (socket.MSG_TRUNC | socket.MSG_CTRUNC)))
+
+    def _on_packet(self, data: bytes, is_truncated: bool) -> None:
+        mark = data[:1]
+        self._pieces.append(data[1:])
+        if is_truncated or mark not in (MORE_FOLLOWS, LAST_PACKET):
+            self.close("malformed packet")
+        elif mark == LAST_PACKET:
+            self._on_message_complete()
+        elif len(self._pieces) * PIECE_BYTES > MAX_MESSAGE_BYTES:
+            self.close("message too long")
+
+    def _on_message_complete(self) -> None:
+        line, _, body = b"".join(self._pieces).partition(b"\n")
+        descriptor = self._descriptor
+        self._pieces = []
+        self._descriptor = None
         try:
-            head = json.loads(line)
+            header = json.loads(line)
         except ValueError:
-            head = None
-        if not isinstance(head, dict):
-            if descriptor is not None:
-                os.close(descriptor)
-            self.close("malformed")
+            header = None
+        if not isinstance(header, dict):
+            _close_descriptor(descriptor)
+            self.close("malformed header")
             return
-        self.waiting.append((head, raw, descriptor))
-        self.arrived.set()
+        self._received.append(ReceivedMessage(header, body, descriptor))
+        self._message_or_end.set()
         self._deliver()
 
-    def take(self, taker: Callable[[dict[str, Any], bytes, int | None], None]) -> None:
-        """Bring messages here from now on, those that have come already first."""
-        self.taker = taker
+    def set_receiver(self, receiver: MessageReceiver) -> None:
+        """Bring messages here from now on, those that have come already first.
+
+        A receiver that raises ends the channel. The descriptor of a message is closed unless it takes it.
+        """
+        self._receiver = receiver
         self._deliver()
 
     def _deliver(self) -> None:
-        while self.taker and self.waiting:
-            head, raw, descriptor = self.waiting.popleft()
+        while self._receiver and self._received:
+            message = self._received.popleft()
             try:
-                self.taker(head, raw, descriptor)
+                self._receiver(message)
             except (ValueError, KeyError, TypeError, AttributeError) as error:
-                self.close(f"malformed: {error!r}")
+                # beside a malformed message: a state that can't be written must not leave its process idle
+                self.close(f"malformed message: {error!r}")
+            finally:
+                message.close()
 
-    async def first(self) -> Message | None:
-        """The first message, or None when the channel ended."""
-        await self.arrived.wait()
-        return self.waiting.popleft() if self.waiting else None
+    async def first_message(self) -> ReceivedMessage | None:
+        """The first message, which the caller has to close, or None when the channel ended."""
+        await self._message_or_end.wait()
+        return self._received.popleft() if self._received else None
 
-    def close(self, why: str) -> None:
-        """End it: the other process is dead, malformed, or not needed."""
+    # ---- End
+
+    def close(self, reason: str) -> None:
+        """End it: the other process is dead, malformed, or not needed. The reason goes into the log."""
         if self.closed:
             return
         self.closed = True
-        log.info("the channel to the other process is closed: %s", why)
+        log.info("process channel closed reason=%r", reason)
         self.loop.remove_reader(self.sock)
         self.loop.remove_writer(self.sock)
-        for descriptor in [self.descriptor, *(message[2] for message in self.waiting)]:
-            if descriptor is not None:
-                os.close(descriptor)
-        self.descriptor = None
-        self.waiting.clear()
-        self._drop_out()
+        _close_descriptor(self._descriptor)
+        self._descriptor = None
+        for message in self._received:
+            message.close()
+        self._received.clear()
+        self._drop_outgoing()
         self.sock.close()
-        self.arrived.set()
+        self._message_or_end.set()
         self.on_end()
+
+    def close_silently(self, reason: str) -> None:
+        """End it without a call to ``on_end``, as this process ends too."""
+        self.on_end = _ignore_end
+        self.close(reason)
--- /dev/null
+++ b/quota_gateway/net/rendezvous.py
@@ -0,0 +1,84 @@
+"""The Unix socket at which the processes of one gateway meet."""
+
+from __future__ import annotations
+
+import errno
+import logging
+import os
+import socket
+from collections.abc import Iterator
+from contextlib import contextmanager, suppress
+from pathlib import Path
+
+from quota_gateway.net.address import Address
+
+log = logging.getLogger(__name__)
+
+BACKLOG = 4  # processes that ask at the same time; one is due
+OWNER_ONLY = 0o600  # who may connect is given the clients' connections
+
+
+def rendezvous_path(address: Address) -> Path | None:
+    """Where the processes of a gateway meet that listens at this address; nowhere without $TMPDIR."""
+    folder = os.environ.get("TMPDIR")
+    return Path(folder) / f"handover-{address[0]}-{address[1]}" if folder else None
+
+
+@contextmanager
+def _short_name(path: Path) -> Iterator[str]:
+    """A name for the path that is short enough for a socket, good inside the block."""
+    folder = os.open(path.parent, os.O_PATH | os.O_DIRECTORY)
+    try:
+        yield f"/proc/self/fd/{folder}/{path.name}"
+    finally:
+        os.close(folder)
+
+
+def connect(path: Path) -> socket.socket | None:
+    """Connect to the process that waits at the path; None if there is none, or such sockets are refused."""
+    try:
+        with _short_name(path) as name:
+            return _connected(name)
+    except OSError as error:
+        if error.errno != errno.ENOENT:  # with nothing there, this is the first process
+            log.info("handover not requested path=%s reason=%r", path, error)
+        return None
+
+
+def _connected(name: str) -> socket.socket:
+    sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+    try:
+        sock.setblocking(False)
+        sock.connect(name)
+    except OSError:
+        sock.close()
+        raise
+    return sock
+
+
+def listen(path: Path) -> socket.socket | None:
+    """Listen at the path, in the place of whatever is there, dead or alive; None if that is refused."""
+    try:
+        with _short_name(path) as name:
+            return _listening(name)
+    except OSError as error:
+        log.info("handover listener failed path=%s reason=%r", path, error)
+        return None
+
+
+def _listening(name: str) -> socket.socket:
+    """A listener under a name of its own first: there is no moment without one at the path."""
+    own_name = Path(f"{name}.{os.getpid()}")
+    with suppress(FileNotFoundError):
+        own_name.unlink()
+    listener = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+    try:
+        listener.setblocking(False)
+        listener.bind(str(own_name))
+        own_name.chmod(OWNER_ONLY)
+        listener.listen(BACKLOG)
+        own_name.rename(name)
+    except OSError:
+        listener.close()
+        raise
+    return listener
--- a/tests/net/test_detachments.py
+++ b/tests/net/test_detachments.py
@@ -201,13 +201,13 @@
 def test_callers_who_finish_no_call_keep_nobody_out_and_are_closed(monkeypatch):
     async def test():
         async with managed() as (port, _, management):
-            many = range(3 * module.MOST_CALLERS)
+            many = range(3 * module.MAX_CONNECTIONS)
             stalled = [await asyncio.open_connection("127.0.0.1", port) for _ in many]
             assert (await http(port, b"GET /_ready HTTP/1.1\r\n\r\n")).startswith(b"HTTP/1.1 200 ")
-            assert len(management.callers) <= module.MOST_CALLERS
-            await until(lambda: not management.callers)
+            assert len(management.connections) <= module.MAX_CONNECTIONS
+            await until(lambda: not management.connections)
             for _, writer in stalled:
                 writer.close()
 
-    monkeypatch.setattr(module, "CALL_S", 1.0)
+    monkeypatch.setattr(module, "REQUEST_TIMEOUT_S", 1.0)
     run(test())
--- a/tests/process/test_upgrade.py
+++ b/tests/process/test_upgrade.py
@@ -23,7 +23,6 @@
     RestoreState,
     StateSnapshot,
 )
-from quota_gateway.net import handover
 from quota_gateway.net.handover import rendezvous_path, request_handover
 from tests.net.test_detachments import http, post
 from tests.process.test_process import ROOT, SETTINGS, command, connect, free_port
@@ -164,7 +163,7 @@
     async def test():
         server = FakeServer(silent_on_7)
         async with node(server) as old, node(server) as new:
-            old.handover.path = new.handover.path = tmp_path / "meet"
+            old.handover.sender.path = new.handover.sender.path = tmp_path / "rendezvous"
             old.handover.wait()
             half, busy = await old.peer(), await old.peer()
             command = call(1, "post", body=b"x" * 100_000)
@@ -435,11 +434,11 @@
         async with node() as gateway:
             open_before = len(os.listdir("/proc/self/fd"))
             with monkeypatch.context() as patch:
-                patch.setattr(handover.socket, "socket", refusing)
+                patch.setattr(socket, "socket", refusing)
                 assert await request_handover(tmp_path / "handover") is None
-                gateway.handover.path = tmp_path / "handover"
+                gateway.handover.sender.path = tmp_path / "handover"
                 gateway.handover.wait()
-            assert gateway.handover.listener is None and not list(tmp_path.iterdir())
+            assert gateway.handover.sender.listener is None and not list(tmp_path.iterdir())
             assert len(os.listdir("/proc/self/fd")) == open_before
 
     run(test())
