--- a/tests/unit/test_protocol_rules.py
+++ b/tests/unit/test_protocol_rules.py
@@ -404,7 +404,9 @@
 def silent(rig: Rig, name: str) -> None:
     rig.run(1000.0)  # half of the aim
     rig.finish(name, AttemptStatus.RESET, latency=1000.0)
-    rig.gateway.servers[0].marks.pop("", None)  # what a reset says of the whole server is not meant here
+    rig.gateway.servers[0].marks.pop(
+        "", None
+    )  # what a reset says of the whole server is not meant here
 
 
 def full(rig: Rig, name: str) -> None:
