--- a/quota_gateway/net/process_channel.py
+++ b/quota_gateway/net/process_channel.py
@@ -21,7 +21,7 @@
 log = logging.getLogger(__name__)
 
 PIECE_BYTES = 60 * 1024  # of a message in a packet: the kernel's buffer for a Unix socket holds some of them
-MAX_MESSAGE_BYTES = 32 * 1024 * 1024  # a state of all customers that are kept takes less
+MAX_MESSAGE_BYTES = 32 * 1024 * 1024  # a message without end is cut
 MORE_FOLLOWS = b"+"  # the first byte of a packet
 LAST_PACKET = b"."
 MAX_DESCRIPTORS_READ = 2  # of a packet: one is due, and one too many is noticed and closed
--- /dev/null
+++ b/tests/net/test_peer_messages.py
@@ -0,0 +1,260 @@
+"""The messages between two processes: the same JSON as ever, and errors that name kind and key."""
+
+import json
+import os
+import socket
+from pathlib import Path
+
+import pytest
+
+from quota_gateway import PeerProcessUsage
+from quota_gateway.errors import HandoverError
+from quota_gateway.net.peer_messages import (
+    DescriptorsInUse,
+    DetachmentReply,
+    DetachmentRequest,
+    HandoverOffer,
+    Hello,
+    MessageKind,
+    PassedConnection,
+    Serving,
+    UsageNotification,
+)
+from quota_gateway.net.process_channel import (
+    MAX_MESSAGE_BYTES,
+    PIECE_BYTES,
+    ChannelMessage,
+    ProcessChannel,
+    ReceivedMessage,
+)
+from tests.support.fakes import run, until
+
+RECORD = Path(__file__).parent.parent / "process" / "data" / "handover_4431b5a.json"
+RECORDED = {header["kind"]: header for header in json.loads(RECORD.read_text())["headers"]}
+MESSAGES = [
+    (Hello(), "hello"),
+    (HandoverOffer({}, {}), "estate"),
+    (Serving(), "serving"),
+    (PassedConnection(has_sent=True, request_count=3, command_due_s=0.25), "connection"),
+    (DescriptorsInUse(clients=12, upstream=34), "holds"),
+    (UsageNotification(PeerProcessUsage("metered", "c-1", 2, -0.5)), "out"),
+    (DetachmentRequest("s-1", detached=True, known=False, number=1), "ban"),
+    (DetachmentReply(number=7, known=True), "banned"),
+]
+READABLE = {
+    "hello": Hello.from_json,
+    "connection": PassedConnection.from_json,
+    "holds": DescriptorsInUse.from_json,
+    "out": UsageNotification.from_json,
+    "ban": DetachmentRequest.from_json,
+    "banned": DetachmentReply.from_json,
+}
+
+
+@pytest.mark.parametrize(("message", "kind"), MESSAGES)
+def test_message_is_written_as_the_recorded_process_wrote_it(message, kind):
+    assert json.dumps(message.to_json()) == json.dumps(RECORDED[kind])
+
+
+@pytest.mark.parametrize(("message", "kind"), [item for item in MESSAGES if item[1] in READABLE])
+def test_message_of_the_recorded_process_is_read(message, kind):
+    assert READABLE[kind](RECORDED[kind]) == message
+
+
+def test_every_kind_is_recorded():
+    assert {kind.value for kind in MessageKind} == set(RECORDED) == {kind for _, kind in MESSAGES}
+
+
+@pytest.mark.parametrize(
+    ("kind", "key"), [(kind, key) for kind in READABLE for key in RECORDED[kind] if key != "kind"]
+)
+def test_message_without_a_key_is_malformed_and_the_error_names_kind_and_key(kind, key):
+    header = {name: value for name, value in RECORDED[kind].items() if name != key}
+    with pytest.raises(HandoverError, match=rf"^{kind}: {key}\b"):
+        READABLE[kind](header)
+
+
+@pytest.mark.parametrize(
+    ("kind", "key", "value"),
+    [
+        ("hello", "version", 2),
+        ("connection", "asked", "many"),
+        ("connection", "asked", None),
+        ("connection", "asked", float("inf")),
+        ("connection", "owing_s", []),
+        ("holds", "clients", {}),
+        ("holds", "servers", "x"),
+        ("out", "out", None),
+        ("out", "change", "much"),
+        ("ban", "number", None),
+        ("banned", "number", []),
+    ],
+)
+def test_malformed_value_is_named_with_its_kind_and_key(kind, key, value):
+    with pytest.raises(HandoverError, match=rf"^{kind}: {key}=") as caught:
+        READABLE[kind]({**RECORDED[kind], key: value})
+    assert repr(value) in str(caught.value)
+
+
+@pytest.mark.parametrize(
+    ("body", "wrong"),
+    [
+        (b"", "JSON"),
+        (b"\xff", "JSON"),
+        (b"[]", "no object"),
+        (b"{}", "state is missing"),
+        (b'{"state": {}}', "roster is missing"),
+        (b'{"state": 1, "roster": {}}', "state=1"),
+        (b'{"state": {}, "roster": "x"}', "roster='x'"),
+    ],
+)
+def test_malformed_offer_is_refused(body, wrong):
+    with pytest.raises(HandoverError, match=f"^estate: .*{wrong}"):
+        HandoverOffer.from_json(RECORDED["estate"], body)
+
+
+@pytest.mark.parametrize("header", [{"kind": "hello", "version": 1}, {"kind": "estate", "version": 2}, {}])
+def test_offer_of_another_kind_or_version_is_refused(header):
+    with pytest.raises(HandoverError, match=r"^estate: (kind|version)="):
+        HandoverOffer.from_json(header, b'{"state": {}, "roster": {}}')
+
+
+@pytest.mark.parametrize("due_s", [float("inf"), float("-inf"), float("nan")])
+def test_time_that_is_not_finite_counts_as_none(due_s):
+    assert PassedConnection.from_json({**RECORDED["connection"], "owing_s": due_s}).command_due_s == 0.0
+
+
+def test_counts_below_none_count_as_none():
+    assert DescriptorsInUse.from_json({"clients": -1, "servers": -7}) == DescriptorsInUse(0, 0)
+
+
+@pytest.mark.parametrize("kind", ["new", 7, None, [], {}])
+def test_unknown_kind_is_passed_over_and_a_missing_one_is_malformed(kind):
+    assert MessageKind.of({"kind": kind}) is None
+    with pytest.raises(HandoverError, match="kind is missing"):
+        MessageKind.of({"version": 1})
+
+
+# ---- On the channel
+
+
+def channel_and_peer() -> tuple[ProcessChannel, socket.socket]:
+    """A channel, and the socket at its other end."""
+    ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+    theirs.setblocking(False)
+    return ProcessChannel(ours), theirs
+
+
+def open_descriptors() -> int:
+    return len(os.listdir("/proc/self/fd"))  # noqa: PTH208 - counted the same way everywhere
+
+
+@pytest.mark.parametrize("size", [0, 1, PIECE_BYTES - 15, PIECE_BYTES - 14, PIECE_BYTES, 3 * PIECE_BYTES + 1])
+def test_message_of_any_size_arrives_whole_with_its_descriptor(size):
+    async def test():
+        first, second = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+        sender, receiver = ProcessChannel(first), ProcessChannel(second)
+        received: list[tuple[dict, bytes, bool]] = []
+
+        def receive(message: ReceivedMessage) -> None:
+            message.take_socket().close()
+            received.append((message.header, message.body, message.descriptor is None))
+
+        receiver.set_receiver(receive)
+        passed, other = socket.socketpair()
+        sender.send(ChannelMessage({"kind": "holds"}, b"x" * size, passed.detach()))
+        await until(lambda: bool(received))
+        assert received == [({"kind": "holds"}, b"x" * size, True)]
+        other.close()
+        sender.close("end of the test")
+        receiver.close("end of the test")
+
+    run(test())
+
+
+@pytest.mark.parametrize(
+    "packets",
+    [
+        [b"?{}\n"],
+        [b".{}x\n"],
+        [b".\xff\n"],
+        [b".[]\n"],
+        [b".\n"],
+        [b'.{"kind": "out"}\n'],
+        [b'+{"kind"', b"?"],
+        [b"." + b"x" * (PIECE_BYTES + 1)],
+    ],
+)
+def test_malformed_message_closes_the_channel_and_every_descriptor(packets):
+    async def test():
+        before = open_descriptors()
+        channel, peer = channel_and_peer()
+        ends = []
+        channel.on_end = lambda: ends.append(True)
+        channel.set_receiver(lambda message: UsageNotification.from_json(message.header) and None)
+        passed, other = socket.socketpair()
+        for packet in packets:
+            socket.send_fds(peer, [packet], [passed.fileno(), other.fileno()])
+        await until(lambda: channel.closed)
+        assert ends == [True]
+        for sock in (peer, passed, other):
+            sock.close()
+        assert open_descriptors() <= before + 1  # a loop's own may be made with the first reader
+
+    run(test())
+
+
+def test_message_without_end_closes_the_channel():
+    async def test():
+        channel, peer = channel_and_peer()
+
+        def write() -> bool:
+            try:
+                while not channel.closed:
+                    peer.send(b"+" + b"x" * PIECE_BYTES)
+            except BlockingIOError:
+                pass
+            except OSError:
+                return True
+            return channel.closed
+
+        assert MAX_MESSAGE_BYTES % PIECE_BYTES
+        await until(write)
+        assert channel.closed
+        peer.close()
+
+    run(test())
+
+
+def test_descriptor_that_nobody_takes_is_closed():
+    async def test():
+        channel, peer = channel_and_peer()
+        received: list[ReceivedMessage] = []
+        channel.set_receiver(received.append)
+        passed, other = socket.socketpair()
+        socket.send_fds(peer, [b'.{"kind": "connection"}\n'], [passed.fileno()])
+        passed.close()
+        await until(lambda: bool(received))
+        assert received[0].descriptor is None
+        other.settimeout(5.0)
+        assert other.recv(1) == b""  # the last descriptor of its other end is closed
+        with pytest.raises(HandoverError, match="descriptor is missing"):
+            received[0].take_socket()
+        channel.close("end of the test")
+        peer.close()
+
+    run(test())
+
+
+def test_end_is_told_once_and_not_at_all_when_closed_silently():
+    async def test():
+        ends = []
+        for close in ("close", "close_silently"):
+            channel, peer = channel_and_peer()
+            channel.on_end = lambda name=close: ends.append(name)
+            getattr(channel, close)("end of the test")
+            channel.close("again")
+            peer.close()
+        assert ends == ["close"]
+
+    run(test())
--- /dev/null
+++ b/tests/process/test_recorded_handover.py
@@ -0,0 +1,153 @@
+"""What a process of commit 4431b5a hands over, recorded: the present code restores it and writes the same.
+
+``data/handover_4431b5a.json`` has the headers that its code wrote on the channel, the body of its offer, and
+the body that it wrote in turn once it had restored the first one 250 ms later.
+"""
+
+import json
+from pathlib import Path
+
+import pytest
+
+from quota_gateway import AttachServer, AttemptStatus, DetachServer, ExportState, RestoreState, StateSnapshot
+from quota_gateway.net.discovery_client import DiscoveryClient
+from quota_gateway.net.endpoint_registry import EndpointRegistry
+from quota_gateway.net.peer_messages import HandoverOffer
+from tests.support.engine_harness import Rig, entry
+from tests.support.fakes import row
+
+RECORD = json.loads((Path(__file__).parent / "data" / "handover_4431b5a.json").read_text())
+OFFER_HEADER = {"kind": "estate", "version": 1}
+
+
+def recorded_offer() -> HandoverOffer:
+    """The offer as it is read from the channel."""
+    return HandoverOffer.from_json(OFFER_HEADER, json.dumps(RECORD["body"]).encode())
+
+
+def export(rig: Rig) -> dict:
+    """The engine's state as it comes out of the channel."""
+    (snapshot,) = [action for action in rig.do(ExportState()) if isinstance(action, StateSnapshot)]
+    return json.loads(json.dumps(snapshot.state))
+
+
+def restore(now_ms: float = RECORD["restored_at_ms"]) -> Rig:
+    """An engine that has restored the recorded state."""
+    rig = Rig()
+    rig.now = now_ms
+    rig.servers(entry(1), entry(2), entry(3))
+    rig.do(RestoreState(recorded_offer().state))
+    return rig
+
+
+def replay(rig: Rig) -> None:
+    """The events by which the recorded state came about."""
+    rig.servers(entry(1), entry(2), entry(3))
+    for step in range(120):
+        plan = ("free", "metered", "ceiling", "capped")[step % 4]
+        class_name = ("safe", "keyed", "unsafe")[step % 3]
+        name = rig.ask(plan, class_name, f"c-{step % 5}", 4000.0, 1 + step % 2)
+        if name in rig.sent:
+            status = AttemptStatus.ERROR if step % 17 == 0 else AttemptStatus.OK
+            rig.finish(name, status, None, float(step % 90), 1 + step % 2, 20.0 + step % 7)
+        rig.run(30.0)
+    rig.do(DetachServer(1))
+    rig.do(DetachServer(2))
+    rig.run(100.0)
+    rig.do(AttachServer(2))
+    for _ in range(4):
+        rig.ask("metered", "safe", "waiting")
+    rig.ask("only-cap", "safe", "in-flight")
+    rig.run(10.0)
+
+
+def test_record_holds_buckets_detachments_failure_rates_latencies_and_requests_in_flight():
+    state = RECORD["body"]["state"]
+    assert max(customer[3] for customer in state["customers"]) > 0.0
+    assert [number for number, _ in state["barred"]] == [1]
+    assert [number for number, *_ in state["attached"]] == [2]
+    assert state["marks"]
+    # the second has just been attached, and its rates begin anew
+    assert [bool(server[4]) for server in state["servers"]] == [True, False, True]
+    assert state["latency"]["safe"]
+    assert state["latency"]["keyed"]
+    assert any(customer[2] for customer in state["customers"])
+
+
+def test_restored_state_is_written_as_the_recorded_process_wrote_it_after_it_had_restored_it():
+    assert export(restore()) == RECORD["body_after_restore"]["state"]
+
+
+def test_same_events_lead_to_the_recorded_state():
+    rig = Rig()
+    replay(rig)
+    assert rig.now == RECORD["exported_at_ms"]
+    state = export(rig)
+    assert list(state) == list(RECORD["body"]["state"])
+    assert state == RECORD["body"]["state"]
+
+
+def test_restored_bucket_and_cap_go_on_where_the_recorded_process_was():
+    rig = restore()
+    full = {tuple(customer[:2]): customer[3] for customer in RECORD["body"]["state"]["customers"]}
+    assert full["metered", "waiting"] > full["metered", "c-1"]
+    restored = {tuple(customer[:2]): customer[3] for customer in export(rig)["customers"]}
+    assert restored == full
+    first = rig.ask("only-cap", "safe", "in-flight")
+    assert first not in rig.sent  # its one place of this gateway is taken in the other process
+    assert rig.ask("only-cap", "safe", "somebody-else") in rig.sent
+
+
+def test_restored_detachment_holds_until_the_server_is_attached():
+    rig = restore()
+    rig.servers(entry(1))
+    name = rig.ask("free")
+    rig.run(100.0)
+    assert name not in rig.sent
+    rig.do(AttachServer(1))
+    rig.run(2000.0)
+    assert rig.sent[name][0] == 1
+
+
+def test_restored_latencies_are_those_of_the_recorded_process():
+    assert export(restore())["latency"] == RECORD["body"]["state"]["latency"]
+
+
+def test_restored_registry_keeps_numbers_names_and_detachments():
+    updates = []
+    registry = EndpointRegistry()
+    client = DiscoveryClient(
+        registry, lambda update, addresses: updates.append((update, addresses)), lambda: None, 1
+    )
+    client.load_known(registry.restore_state(recorded_offer().registry))
+    assert registry.detached == {"s-1"}
+    assert [registry.number_of(name) for name in ("s-1", "s-2", "s-3", "s-4")] == [1, 2, 3, 4]
+    ((update, addresses),) = updates
+    assert [(endpoint.name, endpoint.server) for endpoint in update.endpoints] == [
+        ("s-1", 1),
+        ("s-2", 2),
+        ("s-3", 3),
+    ]
+    assert addresses == {number: ("127.0.0.1", 7000 + number) for number in (1, 2, 3)}
+    written = json.loads(json.dumps(registry.export_state()))
+    assert list(written) == list(RECORD["body"]["roster"])
+    assert written == RECORD["body_after_restore"]["roster"]
+
+
+def test_registry_of_the_same_documents_is_written_as_recorded():
+    registry = EndpointRegistry()
+    rows = [row(f"s-{number}", 7000 + number) for number in (1, 2, 3, 4)]
+    registry.read({"generation": 1, "reset": True, "instances": rows})
+    registry.read({"generation": 2, "reset": False, "instances": [row("s-4", 7004, "Gone")]})
+    registry.detached.add("s-1")
+    assert json.loads(json.dumps(registry.export_state())) == RECORD["body"]["roster"]
+
+
+@pytest.mark.parametrize("part", ["state", "roster"])
+def test_offer_is_written_with_the_recorded_keys(part):
+    offer = recorded_offer()
+    assert offer.to_json() == OFFER_HEADER
+    written = json.loads(offer.encode_body())
+    assert list(written) == ["state", "roster"]
+    assert list(written[part]) == list(RECORD["body"][part])
+    assert written[part] == RECORD["body"][part]
