--- a/tests/net/test_client_disconnect.py
+++ b/tests/net/test_client_disconnect.py
@@ -81,7 +81,7 @@
 def upstream_connections(gateway, number: int) -> list[UpstreamConnection]:
     """The connections with an attempt of this request."""
     held = gateway.driver.active_requests[request_id(number).decode()]
-    return [attempt.connection for attempt in held.out.values()]
+    return [attempt.connection for attempt in held.attempts.values()]
 
 
 def deliver_reply(connection: UpstreamConnection, reply: bytes) -> None:
@@ -139,7 +139,7 @@
 async def timed_out(gateway, client):
     client.socket.sendall(encode_request(FIRST))
     await wait_until_sent(gateway, client, FIRST)
-    (attempt,) = gateway.driver.active_requests[request_id(FIRST).decode()].out.values()
+    (attempt,) = gateway.driver.active_requests[request_id(FIRST).decode()].attempts.values()
     return lambda: gateway.driver._time_out(attempt)
 
 
@@ -233,7 +233,7 @@
 @pytest.mark.parametrize("how", ["end", "reset"])
 @pytest.mark.parametrize("case", CASES)
 async def test_attempt_due_after_its_client_disconnected_does_not_begin(case, how, monkeypatch):
-    monkeypatch.setattr(servers_module, "REST_S", 0.0)
+    monkeypatch.setattr(servers_module, "REUSE_DELAY_S", 0.0)
     monkeypatch.setattr(client_listener, "SWEEP_INTERVAL_S", 3600.0)
     monkeypatch.setattr(client_connection, "WRITE_STALL_TIMEOUT_S", 3600.0)
     silent = set()
--- a/tests/net/test_large_replies.py
+++ b/tests/net/test_large_replies.py
@@ -58,7 +58,7 @@
         assert await peer.reader.readexactly(len(LARGE_VALUE) - 8) == LARGE_VALUE[10:] + b"\r\n"
         assert await peer.ask(call(2)) == b"0000000000000002"
         await until(lambda: not gateway.driver.active_requests)
-        assert gateway.client_listener.budget.buffered_bytes == gateway.upstream_pool.held == 0
+        assert gateway.client_listener.budget.buffered_bytes == gateway.upstream_pool.buffered_bytes == 0
 
 
 async def test_large_value_is_read_ahead_of_a_slow_client_and_ends_its_request():
@@ -91,7 +91,7 @@
         (connection,) = gateway.upstream_pool.connections
         await until(lambda: connection.paused)
         assert gateway.client_listener.budget.buffered_bytes < 300_000
-        assert gateway.upstream_pool.held < 100_000
+        assert gateway.upstream_pool.buffered_bytes < 100_000
         peer.writer.transport.resume_reading()
         assert await peer.reply() == many[: len(many) // 2]
 
@@ -125,11 +125,11 @@
         peer.send(call(1))
         await server.until(lambda: server.commands)
         server.writers[0].write(VALUE_HEADER + LARGE_VALUE[:10])
-        await until(lambda: any(call.value for call in gateway.driver.active_requests.values()))
+        await until(lambda: any(call.body_writer for call in gateway.driver.active_requests.values()))
         server.writers[0].write(rest) if rest else server.writers[0].close()
         assert await peer.reply() is None
         await until(lambda: not gateway.driver.active_requests and not gateway.client_listener.connections)
-        assert gateway.client_listener.budget.buffered_bytes == gateway.upstream_pool.held == 0
+        assert gateway.client_listener.budget.buffered_bytes == gateway.upstream_pool.buffered_bytes == 0
 
 
 async def test_large_value_that_breaks_off_before_its_turn_spares_the_replies_before_it():
@@ -143,15 +143,15 @@
             for words in sorted(server.commands, key=lambda words: words[2])
         )
         second.write(VALUE_HEADER + LARGE_VALUE[:10])
-        await until(lambda: any(call.value for call in gateway.driver.active_requests.values()))
+        await until(lambda: any(call.body_writer for call in gateway.driver.active_requests.values()))
         second.close()
         first.write(array(b"first"))
         assert [await peer.reply(), await peer.reply()] == [b"first", None]
 
 
 async def test_server_that_stalls_within_a_large_value_times_out(monkeypatch):
-    monkeypatch.setattr(servers_module, "STALLED_S", 0.2)
-    monkeypatch.setattr(servers_module, "SWEEP_S", 0.05)
+    monkeypatch.setattr(servers_module, "STALL_TIMEOUT_S", 0.2)
+    monkeypatch.setattr(servers_module, "SWEEP_INTERVAL_S", 0.05)
     server = FakeServer(lambda _words: None)
     async with node(server) as gateway:
         peer = await gateway.peer()
@@ -181,7 +181,7 @@
         peer.send(call(1))
         await server.until(lambda: server.commands)
         server.writers[0].write(VALUE_HEADER + LARGE_VALUE[:10])
-        await until(lambda: any(call.value for call in gateway.driver.active_requests.values()))
+        await until(lambda: any(call.body_writer for call in gateway.driver.active_requests.values()))
         peer.writer.transport.abort()
         await server.until(lambda: server.ended)
         await until(lambda: not gateway.driver.active_requests)
@@ -194,7 +194,7 @@
         peer.send(call(1))
         await until(lambda: gateway.driver.active_requests)
         (held,) = gateway.driver.active_requests.values()
-        (first,) = held.out.values()
+        (first,) = held.attempts.values()
         flight = gateway.driver.engine.flights[held.request_id]
         at = next(number for number in (1, 2) if number not in flight.tried)
         gateway.driver.engine.actions = []
@@ -209,4 +209,4 @@
         quick.writers[0].write(VALUE_HEADER + LARGE_VALUE + VALUE_END)
         assert await peer.reply() == LARGE_VALUE
         await slow.until(lambda: slow.ended)
-        assert first.done is None
+        assert first.on_done is None
