--- a/tests/net/test_client_disconnect.py
+++ b/tests/net/test_client_disconnect.py
@@ -16,7 +16,10 @@
 from quota_gateway.net import client_connection, client_listener, command_intake
 from quota_gateway.net import upstream_pool as servers_module
 from quota_gateway.net.upstream_pool import Attempt, UpstreamConnection
-from tests.support.fakes import FakeServer, Peer, array, call, node, until
+from tests.support.fake_client import FakeClient
+from tests.support.fake_upstream import FakeUpstream
+from tests.support.gateway_node import run_gateway, wait_until
+from tests.support.resp_encoding import encode_call, encode_reply
 
 CLASSES = (
     RequestClass("read", 200_000.0, 600_000.0, Idempotency.IDEMPOTENT),  # nothing falls due by itself
@@ -31,7 +34,7 @@
 
 
 def encode_request(number: int, plan: str = "free", **more) -> bytes:
-    return call(number, plan=plan, wait=600_000, **more)
+    return encode_call(number, plan=plan, timeout_ms=600_000, **more)
 
 
 def request_id(number: int) -> bytes:
@@ -41,16 +44,16 @@
 class DisconnectingClient:
     """A client that ends its connection in order or by a reset, seen from both sides."""
 
-    def __init__(self, how: str, *servers: FakeServer) -> None:
+    def __init__(self, how: str, *servers: FakeUpstream) -> None:
         self.how, self.servers = how, servers
-        self.others: list[Peer] = []  # clients that stay connected
+        self.others: list[FakeClient] = []  # clients that stay connected
 
     async def open(self, gateway) -> "DisconnectingClient":
         """Connect, and find the gateway's end of the connection."""
         address = gateway.client_listener.listening_socket.getsockname()
         known = set(gateway.client_listener.connections)
         self.socket = socket.create_connection(address)
-        await until(lambda: len(gateway.client_listener.connections) > len(known))
+        await wait_until(lambda: len(gateway.client_listener.connections) > len(known))
         (self.connection,) = set(gateway.client_listener.connections) - known
         return self
 
@@ -91,19 +94,19 @@
 
 async def wait_until_sent(gateway, client: DisconnectingClient, number: int) -> None:
     """Wait until each attempt of a request has been received by its server."""
-    await until(lambda: len(client.forwarded(number)) > 0)
-    await until(lambda: len(client.forwarded(number)) == len(upstream_connections(gateway, number)))
+    await wait_until(lambda: len(client.forwarded(number)) > 0)
+    await wait_until(lambda: len(client.forwarded(number)) == len(upstream_connections(gateway, number)))
 
 
 async def start_other_request(gateway, client: DisconnectingClient, plan: str) -> None:
     """Let another client have a request in flight."""
-    client.others.append(await gateway.peer())
+    client.others.append(await gateway.connect_client())
     client.others[-1].send(encode_request(OTHER, plan))
     await wait_until_sent(gateway, client, OTHER)
 
 
 async def wait_until_queued(gateway, number: int) -> None:
-    await until(lambda: request_id(number).decode() in gateway.driver.active_requests)
+    await wait_until(lambda: request_id(number).decode() in gateway.driver.active_requests)
     assert not upstream_connections(gateway, number)
 
 
@@ -111,8 +114,8 @@
 
 
 async def delayed_by_the_bucket(gateway, client):
-    peer = await gateway.peer()
-    assert await peer.ask(encode_request(OTHER + 1, "held")) == request_id(OTHER + 1)
+    peer = await gateway.connect_client()
+    assert await peer.request(encode_request(OTHER + 1, "held")) == request_id(OTHER + 1)
     client.socket.sendall(encode_request(FIRST, "held"))
     await wait_until_queued(gateway, FIRST)
     return lambda: fire_timer(gateway, "_end_hold")
@@ -122,7 +125,7 @@
     await start_other_request(gateway, client, plan)
     client.socket.sendall(encode_request(FIRST, plan=plan))
     await wait_until_queued(gateway, FIRST)
-    return lambda: deliver_reply(*upstream_connections(gateway, OTHER), array(b"v"))
+    return lambda: deliver_reply(*upstream_connections(gateway, OTHER), encode_reply(b"v"))
 
 
 async def queued_under_the_concurrency_limit(gateway, client):
@@ -168,7 +171,7 @@
     client.socket.sendall(encode_request(FIRST, "two") + encode_request(SECOND, "two"))
     await wait_until_sent(gateway, client, FIRST)
     await wait_until_queued(gateway, SECOND)
-    return lambda: deliver_reply(*upstream_connections(gateway, FIRST), array(b"v"))
+    return lambda: deliver_reply(*upstream_connections(gateway, FIRST), encode_reply(b"v"))
 
 
 async def replies_not_taken(gateway, client):
@@ -176,9 +179,9 @@
     client.connection.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     await start_other_request(gateway, client, "two")
     client.socket.sendall(b"".join(encode_request(number) for number in LONG) + encode_request(FIRST, "two"))
-    await until(lambda: client.connection.is_write_blocked and client.connection.intake.is_read_paused)
+    await wait_until(lambda: client.connection.is_write_blocked and client.connection.intake.is_read_paused)
     await wait_until_queued(gateway, FIRST)
-    return lambda: deliver_reply(*upstream_connections(gateway, OTHER), array(b"v"))
+    return lambda: deliver_reply(*upstream_connections(gateway, OTHER), encode_reply(b"v"))
 
 
 async def not_read_yet(_gateway, client):
@@ -213,16 +216,16 @@
     for number in range(1, servers + 1):
         done = []
         gateway.upstream_pool.start(number, Attempt(encode_request(LAST), done.append))
-        await until(lambda done=done: bool(done))
+        await wait_until(lambda done=done: bool(done))
 
 
 async def expect_nothing_forwarded(gateway, client: DisconnectingClient, before: list[bytes]) -> None:
     """Expect that no more was forwarded once another request was served, and no state is kept."""
     decisions = gateway.driver.engine
     decisions.pool = 100.0
-    assert await (await gateway.peer()).ask(encode_request(LAST)) == request_id(LAST)
+    assert await (await gateway.connect_client()).request(encode_request(LAST)) == request_id(LAST)
     assert client.forwarded() == before
-    await until(lambda: not gateway.driver.active_requests)
+    await wait_until(lambda: not gateway.driver.active_requests)
     assert not decisions.flights
     assert not decisions.parked
     assert not decisions.young
@@ -240,10 +243,10 @@
 
     def reply(words):
         long = b"v" * 60_000 if int(words[2], 16) in LONG else words[2]
-        return None if words[2] in silent else array(long)
+        return None if words[2] in silent else encode_reply(long)
 
-    servers = [FakeServer(reply) for _ in range(3)]
-    async with node(*servers, classes=CLASSES, plans=PLANS, limits=LIMITS) as gateway:
+    servers = [FakeUpstream(reply) for _ in range(3)]
+    async with run_gateway(*servers, classes=CLASSES, plans=PLANS, limits=LIMITS) as gateway:
         await open_idle_connections(gateway, len(servers))
         silent.update(map(request_id, (FIRST, SECOND, OTHER)))
         client = await DisconnectingClient(how, *servers).open(gateway)
@@ -264,12 +267,12 @@
         made(self, transport)
 
     monkeypatch.setattr(UpstreamConnection, "connection_made", disconnect_first)
-    server = FakeServer()
-    async with node(server, classes=CLASSES, plans=PLANS) as gateway:
+    server = FakeUpstream()
+    async with run_gateway(server, classes=CLASSES, plans=PLANS) as gateway:
         client = await DisconnectingClient(how, server).open(gateway)
         client.socket.sendall(encode_request(FIRST))
         clients.append(client)
-        await until(lambda: not clients)
+        await wait_until(lambda: not clients)
         await expect_nothing_forwarded(gateway, client, [])
 
 
@@ -277,14 +280,14 @@
 async def test_disconnect_while_reading_is_paused_forwards_nothing_before_it_is_noticed(how, monkeypatch):
     monkeypatch.setattr(client_listener, "SWEEP_INTERVAL_S", 3600.0)
     monkeypatch.setattr(command_intake, "MAX_PIPELINED_COMMANDS", 8)
-    server = FakeServer()
-    async with node(classes=CLASSES, plans=PLANS) as gateway:
+    server = FakeUpstream()
+    async with run_gateway(classes=CLASSES, plans=PLANS) as gateway:
         await server.start()
         client = await DisconnectingClient(how, server).open(gateway)
         client.socket.sendall(b"".join(map(encode_request, range(10, 22))))
-        await until(lambda: client.connection.intake.is_read_paused)
+        await wait_until(lambda: client.connection.intake.is_read_paused)
         client.disconnect()
-        gateway.told(server.entry(1))
+        gateway.update_endpoints(server.endpoint(1))
         await expect_nothing_forwarded(gateway, client, [])
         assert client.connection.intake.request_count == 8  # and nothing is read on
 
@@ -294,14 +297,14 @@
     loop = asyncio.get_running_loop()
     listener.setblocking(False)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    gateway.told((Endpoint(1, "a"), listener.getsockname()))
+    gateway.update_endpoints((Endpoint(1, "a"), listener.getsockname()))
     await client.open(gateway)
     client.socket.setblocking(False)
-    await loop.sock_sendall(client.socket, encode_request(FIRST, kind="buy", body=b"x" * 4_000_000))
+    await loop.sock_sendall(client.socket, encode_request(FIRST, class_name="buy", body=b"x" * 4_000_000))
     accepted, _ = await loop.sock_accept(listener)
-    await until(lambda: client.connection.intake.is_read_paused and bool(gateway.driver.active_requests))
+    await wait_until(lambda: client.connection.intake.is_read_paused and bool(gateway.driver.active_requests))
     (connection,) = upstream_connections(gateway, FIRST)
-    await until(lambda: connection.transport and connection.transport.get_write_buffer_size() > 0)
+    await wait_until(lambda: connection.transport and connection.transport.get_write_buffer_size() > 0)
     return accepted
 
 
@@ -310,7 +313,7 @@
     how, monkeypatch
 ):
     monkeypatch.setattr(client_listener, "SWEEP_INTERVAL_S", 3600.0)
-    async with node(classes=CLASSES, plans=PLANS) as gateway:
+    async with run_gateway(classes=CLASSES, plans=PLANS) as gateway:
         with socket.create_server(("127.0.0.1", 0)) as listener:
             client, reader = DisconnectingClient(how), hiredis.Reader()
             accepted = await send_half_a_command(gateway, listener, client)
@@ -320,17 +323,17 @@
                 reader.feed(data)
                 command = reader.gets()
             assert command is False
-            await until(lambda: not gateway.driver.active_requests)
+            await wait_until(lambda: not gateway.driver.active_requests)
             accepted.close()
 
 
 async def test_connection_with_a_reply_before_the_whole_command_was_written_is_not_reused():
-    async with node(classes=CLASSES, plans=PLANS) as gateway:
+    async with run_gateway(classes=CLASSES, plans=PLANS) as gateway:
         with socket.create_server(("127.0.0.1", 0)) as listener:
             client = DisconnectingClient("end")
             accepted = await send_half_a_command(gateway, listener, client)
             accepted.send(b"-ERR\r\n")
-            await until(lambda: not gateway.driver.active_requests)
+            await wait_until(lambda: not gateway.driver.active_requests)
             assert not gateway.upstream_pool.hosts[1].idle
             assert not gateway.upstream_pool.connections
             accepted.close()
--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -12,17 +12,19 @@
 from quota_gateway.net.command_intake import MAX_PIPELINED_COMMANDS
 from quota_gateway.net.driver import Driver
 from quota_gateway.net.upstream_pool import UpstreamConnection
-from tests.support.fakes import FakeServer, array, call, node, resp, slow_reader, until
+from tests.support.fake_upstream import FakeUpstream
+from tests.support.gateway_node import connect_slow_reader, run_gateway, wait_until
+from tests.support.resp_encoding import encode_call, encode_command, encode_reply
 
 VALID_FIELDS = "c=read,t=free,d=4000,units=1,spread=2,first=0"
 CUSTOMER, REQUEST_ID = "00000000b4d65521", "00000000000000aa"
 
 
 async def test_request_is_forwarded_unchanged_but_for_the_timeout():
-    server = FakeServer(lambda _words: array(b"val\r\nue"))
-    async with node(server) as gateway:
-        peer = await gateway.peer()
-        assert await peer.ask(call(1, "post", body=b"\x00\r\nx")) == b"val\r\nue"
+    server = FakeUpstream(lambda _words: encode_reply(b"val\r\nue"))
+    async with run_gateway(server) as gateway:
+        peer = await gateway.connect_client()
+        assert await peer.request(encode_call(1, "post", body=b"\x00\r\nx")) == b"val\r\nue"
         name, customer, request_id, fields, body = server.commands[0]
         assert (name, customer, request_id, body) == (
             b"CALL.POST",
@@ -43,32 +45,34 @@
 
 
 async def test_command_in_single_bytes_and_one_with_a_large_body_are_forwarded():
-    server = FakeServer(lambda words: array(words[4]))
-    async with node(server) as gateway:
-        peer, body = await gateway.peer(), bytes(range(256)) * 1600
-        for byte in call(1, "buy", body=b"small"):
+    server = FakeUpstream(lambda words: encode_reply(words[4]))
+    async with run_gateway(server) as gateway:
+        peer, body = await gateway.connect_client(), bytes(range(256)) * 1600
+        for byte in encode_call(1, "buy", body=b"small"):
             peer.send(bytes([byte]))
             await peer.writer.drain()
             await asyncio.sleep(0)
-        assert await peer.reply() == b"small"
-        assert await peer.ask(call(2, "buy", body=body)) == body
+        assert await peer.read_reply() == b"small"
+        assert await peer.request(encode_call(2, "buy", body=body)) == body
 
 
 async def test_pipelined_replies_come_in_the_order_of_their_commands():
-    server = FakeServer(lambda words: None if words[2].endswith(b"1") else array(words[2]))
-    async with node(server) as gateway:
-        peer = await gateway.peer()
-        peer.send(call(1), call(2), resp("PING"))
-        await server.until(lambda: len(server.commands) == 2)
+    server = FakeUpstream(lambda words: None if words[2].endswith(b"1") else encode_reply(words[2]))
+    async with run_gateway(server) as gateway:
+        peer = await gateway.connect_client()
+        peer.send(encode_call(1), encode_call(2), encode_command("PING"))
+        await server.wait_until(lambda: len(server.commands) == 2)
         first = next(
-            n for n, words in zip(server.by, server.commands, strict=True) if words[2].endswith(b"1")
+            n
+            for n, words in zip(server.connection_numbers, server.commands, strict=True)
+            if words[2].endswith(b"1")
         )
         # The second is answered first: it waits for its turn.
-        await until(lambda: len(gateway.driver.active_requests) == 1)
-        server.writers[first].write(array(b"late"))
-        assert await peer.reply() == b"late"
-        assert await peer.reply() == b"0000000000000002"
-        assert await peer.reply() == b"PONG"
+        await wait_until(lambda: len(gateway.driver.active_requests) == 1)
+        server.writers[first].write(encode_reply(b"late"))
+        assert await peer.read_reply() == b"late"
+        assert await peer.read_reply() == b"0000000000000002"
+        assert await peer.read_reply() == b"PONG"
 
 
 @pytest.mark.parametrize(
@@ -103,12 +107,12 @@
     ],
 )
 async def test_malformed_command_gets_an_error_and_the_connection_stays_open(words):
-    server = FakeServer()
-    async with node(server) as gateway:
-        peer = await gateway.peer()
-        peer.send(resp(*words), call(7))
-        assert (await peer.reply()).startswith("-ERR ")
-        assert await peer.reply() == b"0000000000000007"
+    server = FakeUpstream()
+    async with run_gateway(server) as gateway:
+        peer = await gateway.connect_client()
+        peer.send(encode_command(*words), encode_call(7))
+        assert (await peer.read_reply()).startswith("-ERR ")
+        assert await peer.read_reply() == b"0000000000000007"
         assert len(server.commands) == 1
 
 
@@ -128,40 +132,40 @@
     ],
 )
 async def test_protocol_error_is_answered_after_the_replies_owed_and_closes_the_connection(junk):
-    server = FakeServer(lambda _words: None)
-    async with node(server) as gateway:
-        peer, other = await gateway.peer(), await gateway.peer()
-        peer.send(call(1), junk)
-        await server.until(lambda: len(server.commands) == 1)
-        server.writers[0].write(array(b"value"))
-        assert await peer.reply() == b"value"
-        assert (await peer.reply()).startswith("-ERR ")
-        assert await peer.reply() is None
-        assert await other.ask(resp("PING")) == b"PONG"
+    server = FakeUpstream(lambda _words: None)
+    async with run_gateway(server) as gateway:
+        peer, other = await gateway.connect_client(), await gateway.connect_client()
+        peer.send(encode_call(1), junk)
+        await server.wait_until(lambda: len(server.commands) == 1)
+        server.writers[0].write(encode_reply(b"value"))
+        assert await peer.read_reply() == b"value"
+        assert (await peer.read_reply()).startswith("-ERR ")
+        assert await peer.read_reply() is None
+        assert await other.request(encode_command("PING")) == b"PONG"
 
 
 async def test_second_request_with_an_id_in_hand_is_an_error_and_the_first_is_served():
-    server = FakeServer(lambda _words: None)
-    async with node(server) as gateway:
-        peer, other = await gateway.peer(), await gateway.peer()
-        peer.send(call(1))
-        await server.until(lambda: len(server.commands) == 1)
-        assert (await other.ask(call(1))).startswith("-ERR ")
-        server.writers[0].write(array(b"value"))
-        assert await peer.reply() == b"value"
+    server = FakeUpstream(lambda _words: None)
+    async with run_gateway(server) as gateway:
+        peer, other = await gateway.connect_client(), await gateway.connect_client()
+        peer.send(encode_call(1))
+        await server.wait_until(lambda: len(server.commands) == 1)
+        assert (await other.request(encode_call(1))).startswith("-ERR ")
+        server.writers[0].write(encode_reply(b"value"))
+        assert await peer.read_reply() == b"value"
 
 
 async def test_client_that_disconnects_ends_its_attempts_and_leaves_no_state():
-    server = FakeServer(lambda _words: None)
-    async with node(server) as gateway:
-        peer = await gateway.peer()
-        peer.send(call(1), call(2))
-        await server.until(lambda: len(server.commands) == 2)
+    server = FakeUpstream(lambda _words: None)
+    async with run_gateway(server) as gateway:
+        peer = await gateway.connect_client()
+        peer.send(encode_call(1), encode_call(2))
+        await server.wait_until(lambda: len(server.commands) == 2)
         peer.writer.close()
-        await until(lambda: not gateway.client_listener.connections)
+        await wait_until(lambda: not gateway.client_listener.connections)
         assert not gateway.driver.active_requests
         assert not gateway.upstream_pool.connections
-        await server.until(lambda: server.ended == 2)
+        await server.wait_until(lambda: server.closed_connections == 2)
 
 
 def disconnect(peer, how: str) -> None:
@@ -186,31 +190,31 @@
         await up.wait()
         await plain(self)
 
-    server = FakeServer()
-    async with node(plans=PLANS_WITH_DELAY) as gateway:
+    server = FakeUpstream()
+    async with run_gateway(plans=PLANS_WITH_DELAY) as gateway:
         await server.start()
-        peer, last = await gateway.peer(), 1
+        peer, last = await gateway.connect_client(), 1
         if wait != "queued":
-            gateway.told(server.entry(1))
+            gateway.update_endpoints(server.endpoint(1))
         if wait == "delayed by the bucket":
             up.set()
-            assert await peer.ask(call(0, plan="held")) == b"0000000000000000"
+            assert await peer.request(encode_call(0, plan="held")) == b"0000000000000000"
         elif wait == "for a connection":
             monkeypatch.setattr(UpstreamConnection, "open", open_late)
-        peer.send(call(last, plan="held"))
-        await until(lambda: len(gateway.driver.active_requests) == 1)
+        peer.send(encode_call(last, plan="held"))
+        await wait_until(lambda: len(gateway.driver.active_requests) == 1)
         (flight,) = gateway.driver.engine.flights.values()
         customer = flight.customer
         assert flight.waiting == (wait == "delayed by the bucket")
         assert customer.excess >= 1000.0
         before = customer.excess
         disconnect(peer, how)
-        await until(lambda: not gateway.driver.active_requests)
+        await wait_until(lambda: not gateway.driver.active_requests)
         assert customer.excess == before - 1000.0
-        gateway.told(server.entry(1))
+        gateway.update_endpoints(server.endpoint(1))
         up.set()
         gateway.driver.engine._end_hold(flight)  # as its timer would
-        assert await (await gateway.peer()).ask(call(9)) == b"0000000000000009"
+        assert await (await gateway.connect_client()).request(encode_call(9)) == b"0000000000000009"
         assert b"%016x" % last not in [words[2] for words in server.commands]
 
 
@@ -219,22 +223,22 @@
 async def test_disconnect_is_noticed_while_reading_is_paused(many, body, how, monkeypatch):
     answered: list[str] = []
     monkeypatch.setattr(Driver, "_answer", lambda _self, call, _answer: answered.append(call.request_id))
-    server = FakeServer()
-    async with node() as gateway:
-        peer = await gateway.peer()
-        peer.send(*(call(number, "post", body=body) for number in range(many)))
-        await until(
+    server = FakeUpstream()
+    async with run_gateway() as gateway:
+        peer = await gateway.connect_client()
+        peer.send(*(encode_call(number, "post", body=body) for number in range(many)))
+        await wait_until(
             lambda: any(client.intake.is_read_paused for client in gateway.client_listener.connections)
         )
         await peer.writer.drain()
         disconnect(peer, how)
-        await until(lambda: not gateway.driver.active_requests or bool(answered))
+        await wait_until(lambda: not gateway.driver.active_requests or bool(answered))
         assert not answered  # they have ended before their time was up
         await server.start()
-        gateway.told(server.entry(1))
-        other = await gateway.peer()
-        other.send(call(99))
-        await server.until(lambda: len(server.commands) > 0)
+        gateway.update_endpoints(server.endpoint(1))
+        other = await gateway.connect_client()
+        other.send(encode_call(99))
+        await server.wait_until(lambda: len(server.commands) > 0)
         assert [words[2] for words in server.commands] == [b"%016x" % 99]
 
 
@@ -245,57 +249,60 @@
         "_answer",
         lambda self, call, answer: (answered.append(call.request_id), plain(self, call, answer)),
     )
-    server = FakeServer(lambda words: array(b"v" * 65_000) if words[2].endswith(b"0") else None)
-    async with node(server) as gateway:
-        peer, client = await slow_reader(gateway)
-        peer.send(*(call(16 * number, wait=60_000) for number in range(MAX_PIPELINED_COMMANDS - 1)), call(1))
-        await until(lambda: client.is_write_blocked)
+    server = FakeUpstream(lambda words: encode_reply(b"v" * 65_000) if words[2].endswith(b"0") else None)
+    async with run_gateway(server) as gateway:
+        peer, client = await connect_slow_reader(gateway)
+        peer.send(
+            *(encode_call(16 * number, timeout_ms=60_000) for number in range(MAX_PIPELINED_COMMANDS - 1)),
+            encode_call(1),
+        )
+        await wait_until(lambda: client.is_write_blocked)
         peer.writer.write_eof()
-        await until(lambda: not gateway.driver.active_requests)
+        await wait_until(lambda: not gateway.driver.active_requests)
         assert "0000000000000001" not in answered
 
 
 async def test_client_that_disconnects_before_its_connection_is_accepted_is_not_served(monkeypatch):
     monkeypatch.setattr(idle_connections, "IDLE_GRACE_S", 0.0)
-    server = FakeServer(lambda words: None if words[2].endswith(b"1") else array(words[2]))
-    async with node(server, max_connections=1) as gateway:
-        busy = await gateway.peer()
-        busy.send(call(1))
-        await server.until(lambda: len(server.commands) == 1)
-        gone = await gateway.peer()
-        gone.send(call(2))
+    server = FakeUpstream(lambda words: None if words[2].endswith(b"1") else encode_reply(words[2]))
+    async with run_gateway(server, max_connections=1) as gateway:
+        busy = await gateway.connect_client()
+        busy.send(encode_call(1))
+        await server.wait_until(lambda: len(server.commands) == 1)
+        gone = await gateway.connect_client()
+        gone.send(encode_call(2))
         await gone.writer.drain()
         gone.writer.close()
         await gone.writer.wait_closed()
-        last = await gateway.peer()
-        last.send(call(3))
-        server.writers[0].write(array(b"v"))
-        assert await busy.reply() == b"v"
-        assert await last.reply() == b"0000000000000003"
+        last = await gateway.connect_client()
+        last.send(encode_call(3))
+        server.writers[0].write(encode_reply(b"v"))
+        assert await busy.read_reply() == b"v"
+        assert await last.read_reply() == b"0000000000000003"
         assert [words[2][-1:] for words in server.commands] == [b"1", b"3"]
 
 
 async def test_reading_is_paused_for_a_slow_reader_which_loses_no_reply():
     value = b"v" * 65000
-    server = FakeServer(lambda words: array(words[2] + value))
-    async with node(server) as gateway:
-        peer, many = await gateway.peer(), 300
+    server = FakeUpstream(lambda words: encode_reply(words[2] + value))
+    async with run_gateway(server) as gateway:
+        peer, many = await gateway.connect_client(), 300
         peer.reader._limit = 1  # the stream stops reading at once
-        peer.send(*(call(number, wait=60_000) for number in range(many)))
+        peer.send(*(encode_call(number, timeout_ms=60_000) for number in range(many)))
         (client,) = gateway.client_listener.connections
-        await until(lambda: client.is_write_blocked)
+        await wait_until(lambda: client.is_write_blocked)
         assert client.intake.is_read_paused
         assert len(client.pending_replies) <= MAX_PIPELINED_COMMANDS
         assert client.transport.get_write_buffer_size() <= (MAX_PIPELINED_COMMANDS + 2) * (len(value) + 100)
         for number in range(many):
-            assert await peer.reply() == b"%016x" % number + value
+            assert await peer.read_reply() == b"%016x" % number + value
 
 
 async def test_request_beyond_the_quota_is_rejected_at_once_and_not_forwarded():
-    server = FakeServer()
-    async with node(server) as gateway:
-        peer = await gateway.peer()
-        answers = [await peer.ask(call(number, plan="tiny")) for number in range(4)]
+    server = FakeUpstream()
+    async with run_gateway(server) as gateway:
+        peer = await gateway.connect_client()
+        answers = [await peer.request(encode_call(number, plan="tiny")) for number in range(4)]
         assert answers[0] == b"0000000000000000"
         assert set(answers[1:]) == {"-BUSY"}
         assert len(server.commands) == 1
@@ -303,22 +310,22 @@
 
 async def test_connection_beyond_the_limit_evicts_an_idle_one_or_else_waits(monkeypatch):
     monkeypatch.setattr(idle_connections, "IDLE_GRACE_S", 0.0)
-    server = FakeServer(lambda _words: None)
-    async with node(server, max_connections=2) as gateway:
-        idle, busy = await gateway.peer(), await gateway.peer()
-        assert await idle.ask(resp("PING")) == b"PONG"
-        busy.send(call(1))
-        await server.until(lambda: len(server.commands) == 1)
-        third = await gateway.peer()
-        third.send(call(2))
-        assert await idle.reply() is None
-        await server.until(lambda: len(server.commands) == 2)
-        fourth = await gateway.peer()
-        fourth.send(call(3))
-        await until(lambda: not gateway.client_listener.is_accepting)
-        server.writers[0].write(array(b"value"))
-        assert await busy.reply() == b"value"  # and it is idle now, and makes room
-        await server.until(lambda: len(server.commands) == 3)
+    server = FakeUpstream(lambda _words: None)
+    async with run_gateway(server, max_connections=2) as gateway:
+        idle, busy = await gateway.connect_client(), await gateway.connect_client()
+        assert await idle.request(encode_command("PING")) == b"PONG"
+        busy.send(encode_call(1))
+        await server.wait_until(lambda: len(server.commands) == 1)
+        third = await gateway.connect_client()
+        third.send(encode_call(2))
+        assert await idle.read_reply() is None
+        await server.wait_until(lambda: len(server.commands) == 2)
+        fourth = await gateway.connect_client()
+        fourth.send(encode_call(3))
+        await wait_until(lambda: not gateway.client_listener.is_accepting)
+        server.writers[0].write(encode_reply(b"value"))
+        assert await busy.read_reply() == b"value"  # and it is idle now, and makes room
+        await server.wait_until(lambda: len(server.commands) == 3)
         assert gateway.client_listener.descriptors_in_use == 2 == len(gateway.client_listener.connections)
 
 
@@ -327,18 +334,22 @@
     monkeypatch.setattr(idle_connections, "IDLE_GRACE_S", 0.0)
     monkeypatch.setattr(idle_connections, "MAX_CLOSED_FOR_ROOM", 1)
     monkeypatch.setattr(idle_connections, "COMMAND_TIMEOUT_S", 3600.0)
-    async with node(FakeServer(), max_connections=3) as gateway:
-        idle, within, silent = await gateway.peer(), await gateway.peer(), await gateway.peer()
-        assert await idle.ask(resp("PING")) == b"PONG"
-        within.send(call(1)[:-3])
-        await until(
+    async with run_gateway(FakeUpstream(), max_connections=3) as gateway:
+        idle, within, silent = (
+            await gateway.connect_client(),
+            await gateway.connect_client(),
+            await gateway.connect_client(),
+        )
+        assert await idle.request(encode_command("PING")) == b"PONG"
+        within.send(encode_call(1)[:-3])
+        await wait_until(
             lambda: any(client.buffers.buffered_bytes for client in gateway.client_listener.connections)
         )
-        assert await (await gateway.peer()).ask(resp("PING")) == b"PONG"
-        assert await silent.reply() is None
-        within.send(call(1)[-3:])
-        assert await within.reply() == b"0000000000000001"
-        assert await idle.ask(resp("PING")) == b"PONG"
+        assert await (await gateway.connect_client()).request(encode_command("PING")) == b"PONG"
+        assert await silent.read_reply() is None
+        within.send(encode_call(1)[-3:])
+        assert await within.read_reply() == b"0000000000000001"
+        assert await idle.request(encode_command("PING")) == b"PONG"
 
 
 async def test_connection_with_one_request_is_evicted_before_one_with_more_that_is_idle_for_longer(
@@ -346,27 +357,29 @@
 ):
     monkeypatch.setattr(idle_connections, "IDLE_GRACE_S", 0.0)
     monkeypatch.setattr(idle_connections, "MAX_CLOSED_FOR_ROOM", 1)
-    async with node(FakeServer(), max_connections=2) as gateway:
-        usual, once = await gateway.peer(), await gateway.peer()
+    async with run_gateway(FakeUpstream(), max_connections=2) as gateway:
+        usual, once = await gateway.connect_client(), await gateway.connect_client()
         for number in (1, 2):
-            assert await usual.ask(call(number)) == b"%016x" % number
-        assert await once.ask(call(3)) == b"0000000000000003"
+            assert await usual.request(encode_call(number)) == b"%016x" % number
+        assert await once.request(encode_call(3)) == b"0000000000000003"
         await asyncio.sleep(0.01)  # both are idle for long enough now
-        assert await (await gateway.peer()).ask(call(4)) == b"0000000000000004"
-        assert await once.reply() is None
-        assert await usual.ask(call(5)) == b"0000000000000005"
+        assert await (await gateway.connect_client()).request(encode_call(4)) == b"0000000000000004"
+        assert await once.read_reply() is None
+        assert await usual.request(encode_call(5)) == b"0000000000000005"
 
 
 async def test_idle_connection_with_an_unread_command_is_not_evicted():
-    async with node(FakeServer()) as gateway:
-        peer = await gateway.peer()
-        assert await peer.ask(resp("PING")) == b"PONG"
+    async with run_gateway(FakeUpstream()) as gateway:
+        peer = await gateway.connect_client()
+        assert await peer.request(encode_command("PING")) == b"PONG"
         (client,) = gateway.client_listener.connections
-        os.write(peer.writer.get_extra_info("socket").fileno(), call(1))  # before the loop could read it
+        os.write(
+            peer.writer.get_extra_info("socket").fileno(), encode_call(1)
+        )  # before the loop could read it
         assert not client.close_to_make_room()
-        assert await peer.reply() == b"0000000000000001"
+        assert await peer.read_reply() == b"0000000000000001"
         assert client.close_to_make_room()
-        assert await peer.reply() is None
+        assert await peer.read_reply() is None
 
 
 @pytest.mark.parametrize(
@@ -374,22 +387,22 @@
     [
         (b"", None),
         (b"*4\r\n$8\r\nCALL", None),
-        (call(1) + b"*4\r", "-ERR failed"),
+        (encode_call(1) + b"*4\r", "-ERR failed"),
     ],
 )
 async def test_silence_before_or_within_a_command_times_out_with_an_error_and_a_close(
     sent, first, monkeypatch
 ):
     monkeypatch.setattr(idle_connections, "COMMAND_TIMEOUT_S", 0.05)
-    server = FakeServer(lambda _words: None)
-    async with node(server) as gateway:
-        peer = await gateway.peer()
+    server = FakeUpstream(lambda _words: None)
+    async with run_gateway(server) as gateway:
+        peer = await gateway.connect_client()
         peer.send(sent)
         if first:
-            assert await peer.reply() == first
-        assert await peer.reply() == "-ERR timeout"
-        assert await peer.reply() is None
-        await until(lambda: not gateway.client_listener.connections)
+            assert await peer.read_reply() == first
+        assert await peer.read_reply() == "-ERR timeout"
+        assert await peer.read_reply() is None
+        await wait_until(lambda: not gateway.client_listener.connections)
         assert not gateway.driver.active_requests
         assert not gateway.client_listener.budget.buffered_bytes
         assert not gateway.client_listener.idle_connections.awaiting_command
@@ -397,15 +410,15 @@
 
 async def test_commands_that_keep_arriving_in_parts_do_not_time_out(monkeypatch):
     monkeypatch.setattr(idle_connections, "COMMAND_TIMEOUT_S", 2.0)
-    async with node(FakeServer()) as gateway:
-        peer, rest = await gateway.peer(), b""
+    async with run_gateway(FakeUpstream()) as gateway:
+        peer, rest = await gateway.connect_client(), b""
         for number in range(25):
-            whole = rest + call(number)
+            whole = rest + encode_call(number)
             peer.send(whole[:-3])
             rest = whole[-3:]
             await asyncio.sleep(0.1)
             if number:
-                assert await peer.reply() == b"%016x" % (number - 1)
+                assert await peer.read_reply() == b"%016x" % (number - 1)
 
 
 @pytest.mark.parametrize(
@@ -417,7 +430,7 @@
         b"*4\r\n$60000000\r\n",
         b"*4\r\n$-1\r\n",
         b"x" * 100,
-        call(1, "buy", body=b"x" * 4_194_305)[:200],
+        encode_call(1, "buy", body=b"x" * 4_194_305)[:200],
         b"*00000000000000000000000",
         b"*1\r\n$4\r\nPINGxx",
         b"*1\r\n$+4\r\n",
@@ -425,48 +438,48 @@
 )
 async def test_header_beyond_the_bounds_is_a_protocol_error_at_once(head, monkeypatch):
     monkeypatch.setattr(idle_connections, "COMMAND_TIMEOUT_S", 3600.0)
-    async with node(FakeServer()) as gateway:
-        peer = await gateway.peer()
+    async with run_gateway(FakeUpstream()) as gateway:
+        peer = await gateway.connect_client()
         peer.send(head)
-        assert (await peer.reply()).startswith("-ERR Protocol error")
-        assert await peer.reply() is None
+        assert (await peer.read_reply()).startswith("-ERR Protocol error")
+        assert await peer.read_reply() is None
 
 
 async def test_client_that_goes_on_sending_still_reads_its_error():
-    async with node(FakeServer()) as gateway:
-        peer = await gateway.peer()
+    async with run_gateway(FakeUpstream()) as gateway:
+        peer = await gateway.connect_client()
         peer.send(b"*5\r\n$60000000\r\n", b"x" * 4_000_000)
-        assert (await peer.reply()).startswith("-ERR ")
+        assert (await peer.read_reply()).startswith("-ERR ")
 
 
 async def test_consecutive_errors_close_the_connection_and_a_good_command_resets_their_count():
-    async with node(FakeServer()) as gateway:
-        peer = await gateway.peer()
+    async with run_gateway(FakeUpstream()) as gateway:
+        peer = await gateway.connect_client()
         for number in range(3 * command_intake.MAX_CONSECUTIVE_ERRORS):
-            assert (await peer.ask(resp("NONSENSE"))).startswith("-ERR ")
+            assert (await peer.request(encode_command("NONSENSE"))).startswith("-ERR ")
             if number % 8 == 7:
-                assert await peer.ask(call(number)) == b"%016x" % number
-        peer.send(resp("NONSENSE") * 10 * command_intake.MAX_CONSECUTIVE_ERRORS)
+                assert await peer.request(encode_call(number)) == b"%016x" % number
+        peer.send(encode_command("NONSENSE") * 10 * command_intake.MAX_CONSECUTIVE_ERRORS)
         for _ in range(command_intake.MAX_CONSECUTIVE_ERRORS):
-            assert (await peer.reply()).startswith("-ERR ")
-        assert await peer.reply() is None
+            assert (await peer.read_reply()).startswith("-ERR ")
+        assert await peer.read_reply() is None
 
 
 async def test_bytes_buffered_for_all_clients_are_bounded():
-    server = FakeServer(lambda _words: None)
-    async with node(server) as gateway:
+    server = FakeUpstream(lambda _words: None)
+    async with run_gateway(server) as gateway:
         gateway.client_listener.max_buffered_bytes = 150_000
-        first, second, third = [await gateway.peer() for _ in range(3)]
+        first, second, third = [await gateway.connect_client() for _ in range(3)]
         for number, peer in enumerate((first, second)):
-            peer.send(call(number, "buy", body=b"x" * 60_000))
-        await server.until(lambda: len(server.commands) == 2)
-        third.send(call(3, "buy", body=b"x" * 60_000)[:50_000])
-        assert await third.reply() == "-ERR out of memory"
-        assert await third.reply() is None
+            peer.send(encode_call(number, "buy", body=b"x" * 60_000))
+        await server.wait_until(lambda: len(server.commands) == 2)
+        third.send(encode_call(3, "buy", body=b"x" * 60_000)[:50_000])
+        assert await third.read_reply() == "-ERR out of memory"
+        assert await third.read_reply() is None
         for writer in server.writers:
-            writer.write(array(b"v"))
-        assert await first.reply() == await second.reply() == b"v"
-        await until(lambda: gateway.client_listener.budget.buffered_bytes == 0)
+            writer.write(encode_reply(b"v"))
+        assert await first.read_reply() == await second.read_reply() == b"v"
+        await wait_until(lambda: gateway.client_listener.budget.buffered_bytes == 0)
 
 
 @pytest.mark.parametrize(
@@ -491,60 +504,64 @@
     ],
 )
 async def test_field_out_of_range_is_an_error_and_charges_nobody(old, new):
-    server = FakeServer()
-    async with node(server) as gateway:
-        peer = await gateway.peer()
+    server = FakeUpstream()
+    async with run_gateway(server) as gateway:
+        peer = await gateway.connect_client()
         fields = VALID_FIELDS.replace("free", "tiny")
-        assert (await peer.ask(resp("CALL.GET", CUSTOMER, REQUEST_ID, fields.replace(old, new)))).startswith(
-            "-ERR "
-        )
+        assert (
+            await peer.request(encode_command("CALL.GET", CUSTOMER, REQUEST_ID, fields.replace(old, new)))
+        ).startswith("-ERR ")
         assert not gateway.driver.engine.customers
         assert not server.commands
 
 
 async def test_timeout_is_bounded_by_the_deadline_of_the_class():
-    server = FakeServer()
-    async with node(server) as gateway:
-        peer = await gateway.peer()
-        assert await peer.ask(call(1, wait=999_999_999)) == b"0000000000000001"
+    server = FakeUpstream()
+    async with run_gateway(server) as gateway:
+        peer = await gateway.connect_client()
+        assert await peer.request(encode_call(1, timeout_ms=999_999_999)) == b"0000000000000001"
         (fields,) = [part for part in server.commands[0][3].split(b",") if part.startswith(b"d=")]
         assert 0 < int(fields[2:]) <= 4000
         assert all(due <= gateway.driver.clock() + 4000.0 for due, *_ in gateway.driver.timers.entries)
 
 
 async def test_ping_is_answered_with_loading_until_the_listener_is_ready():
-    async with node() as gateway:
+    async with run_gateway() as gateway:
         gateway.client_listener.is_ready = False
-        peer = await gateway.peer()
-        assert (await peer.ask(resp("PING"))).startswith("-LOADING")
+        peer = await gateway.connect_client()
+        assert (await peer.request(encode_command("PING"))).startswith("-LOADING")
         gateway.client_listener.is_ready = True
-        assert await peer.ask(resp("PING")) == b"PONG"
+        assert await peer.request(encode_command("PING")) == b"PONG"
 
 
 async def test_command_beyond_the_bounds_closes_its_own_connection_alone():
-    async with node(FakeServer()) as gateway:
-        peer = await gateway.peer()
+    async with run_gateway(FakeUpstream()) as gateway:
+        peer = await gateway.connect_client()
         peer.send(b"*4\r\n$500000000\r\n", b"x" * 2_000_000)
-        assert (await peer.reply()).startswith("-ERR ")
-        assert await (await gateway.peer()).ask(resp("PING")) == b"PONG"
+        assert (await peer.read_reply()).startswith("-ERR ")
+        assert await (await gateway.connect_client()).request(encode_command("PING")) == b"PONG"
 
 
 async def test_commands_read_but_not_taken_yet_are_served_when_the_gateway_stops():
     held = []
-    server = FakeServer(
-        lambda words: held.append(words) if len(held) < MAX_PIPELINED_COMMANDS else array(b"v")
+    server = FakeUpstream(
+        lambda words: held.append(words) if len(held) < MAX_PIPELINED_COMMANDS else encode_reply(b"v")
     )
-    async with node(server) as gateway:
-        peer, more = await gateway.peer(), 6
-        peer.send(*(call(number) for number in range(MAX_PIPELINED_COMMANDS + more)))
-        await server.until(lambda: len(held) == MAX_PIPELINED_COMMANDS)
+    async with run_gateway(server) as gateway:
+        peer, more = await gateway.connect_client(), 6
+        peer.send(*(encode_call(number) for number in range(MAX_PIPELINED_COMMANDS + more)))
+        await server.wait_until(lambda: len(held) == MAX_PIPELINED_COMMANDS)
         gateway.client_listener.stop_listening()
-        first = next(n for n, words in zip(server.by, server.commands, strict=True) if int(words[2], 16) == 0)
+        first = next(
+            n
+            for n, words in zip(server.connection_numbers, server.commands, strict=True)
+            if int(words[2], 16) == 0
+        )
         for number, writer in enumerate(server.writers):
             if number != first:
-                writer.write(array(b"v"))
-        await until(lambda: len(gateway.driver.active_requests) == 1)
-        server.writers[first].write(array(b"v"))  # all that are in hand are written at once
+                writer.write(encode_reply(b"v"))
+        await wait_until(lambda: len(gateway.driver.active_requests) == 1)
+        server.writers[first].write(encode_reply(b"v"))  # all that are in hand are written at once
         for _ in range(MAX_PIPELINED_COMMANDS + more):
-            assert await peer.reply() == b"v"
-        assert await peer.reply() is None
+            assert await peer.read_reply() == b"v"
+        assert await peer.read_reply() is None
--- a/tests/net/test_large_replies.py
+++ b/tests/net/test_large_replies.py
@@ -7,7 +7,9 @@
 from quota_gateway.errors import ProtocolError
 from quota_gateway.net import upstream_pool as servers_module
 from quota_gateway.net.resp import ReplyReader
-from tests.support.fakes import FakeServer, array, call, node, until
+from tests.support.fake_upstream import FakeUpstream
+from tests.support.gateway_node import run_gateway, wait_until
+from tests.support.resp_encoding import encode_call, encode_reply
 
 LARGE_VALUE = bytes(range(256)) * 16_384  # 4 MiB
 VALUE_HEADER = b"*3\r\n$%d\r\n" % len(LARGE_VALUE)
@@ -32,7 +34,9 @@
 @pytest.mark.parametrize("size", [1, 7, 65_536, 10_000_000])
 def test_reader_gathers_short_values_and_streams_large_ones(size):
     large = LARGE_VALUE[:70_000]
-    value, answers = read_in_pieces(b"*3\r\n$70000\r\n" + large + VALUE_END + array(b"short") * 2, size)
+    value, answers = read_in_pieces(
+        b"*3\r\n$70000\r\n" + large + VALUE_END + encode_reply(b"short") * 2, size
+    )
     assert value == large
     first, *rest = answers
     assert first == [b"", b"used=1", None]
@@ -46,153 +50,155 @@
 
 
 async def test_large_value_is_streamed_to_the_client_and_the_connection_is_reused():
-    server = FakeServer(lambda words: None if words[2].endswith(b"1") else array(words[2]))
-    async with node(server) as gateway:
-        peer = await gateway.peer()
-        peer.send(call(1))
-        await server.until(lambda: server.commands)
+    server = FakeUpstream(lambda words: None if words[2].endswith(b"1") else encode_reply(words[2]))
+    async with run_gateway(server) as gateway:
+        peer = await gateway.connect_client()
+        peer.send(encode_call(1))
+        await server.wait_until(lambda: server.commands)
         server.writers[0].write(VALUE_HEADER + LARGE_VALUE[:10])
         head = b"$%d\r\n" % len(LARGE_VALUE)
         assert await peer.reader.readexactly(len(head) + 10) == head + LARGE_VALUE[:10]
         server.writers[0].write(LARGE_VALUE[10:] + VALUE_END)
         assert await peer.reader.readexactly(len(LARGE_VALUE) - 8) == LARGE_VALUE[10:] + b"\r\n"
-        assert await peer.ask(call(2)) == b"0000000000000002"
-        await until(lambda: not gateway.driver.active_requests)
+        assert await peer.request(encode_call(2)) == b"0000000000000002"
+        await wait_until(lambda: not gateway.driver.active_requests)
         assert gateway.client_listener.budget.buffered_bytes == gateway.upstream_pool.buffered_bytes == 0
 
 
 async def test_large_value_is_read_ahead_of_a_slow_client_and_ends_its_request():
-    server = FakeServer(lambda _words: None)
-    async with node(server) as gateway:
-        peer = await gateway.peer()
+    server = FakeUpstream(lambda _words: None)
+    async with run_gateway(server) as gateway:
+        peer = await gateway.connect_client()
         peer.writer.transport.pause_reading()
-        peer.send(call(1))
-        await server.until(lambda: server.commands)
+        peer.send(encode_call(1))
+        await server.wait_until(lambda: server.commands)
         server.writers[0].write(
             b"*3\r\n$%d\r\n" % (2 * len(LARGE_VALUE)) + LARGE_VALUE + LARGE_VALUE + VALUE_END
         )
-        await until(lambda: not gateway.driver.active_requests)
+        await wait_until(lambda: not gateway.driver.active_requests)
         assert gateway.client_listener.budget.buffered_bytes > 100_000
         peer.writer.transport.resume_reading()
-        assert await peer.reply() == LARGE_VALUE + LARGE_VALUE
-        await until(lambda: not gateway.client_listener.budget.buffered_bytes)
+        assert await peer.read_reply() == LARGE_VALUE + LARGE_VALUE
+        await wait_until(lambda: not gateway.client_listener.budget.buffered_bytes)
 
 
 async def test_slow_client_pauses_its_server_where_the_buffer_budget_is_short():
-    server = FakeServer(lambda _words: None)
-    async with node(server) as gateway:
+    server = FakeUpstream(lambda _words: None)
+    async with run_gateway(server) as gateway:
         gateway.client_listener.max_buffered_bytes = 200_000
-        peer = await gateway.peer()
+        peer = await gateway.connect_client()
         peer.writer.transport.pause_reading()
         many = 4 * LARGE_VALUE
-        peer.send(call(1))
-        await server.until(lambda: server.commands)
+        peer.send(encode_call(1))
+        await server.wait_until(lambda: server.commands)
         server.writers[0].write(b"*3\r\n$%d\r\n" % (len(many) // 2) + many[: len(many) // 2] + VALUE_END)
         (connection,) = gateway.upstream_pool.connections
-        await until(lambda: connection.paused)
+        await wait_until(lambda: connection.paused)
         assert gateway.client_listener.budget.buffered_bytes < 300_000
         assert gateway.upstream_pool.buffered_bytes < 100_000
         peer.writer.transport.resume_reading()
-        assert await peer.reply() == many[: len(many) // 2]
+        assert await peer.read_reply() == many[: len(many) // 2]
 
 
 async def test_large_value_behind_another_reply_waits_for_its_turn():
-    server = FakeServer(lambda _words: None)
-    async with node(server) as gateway:
+    server = FakeUpstream(lambda _words: None)
+    async with run_gateway(server) as gateway:
         gateway.client_listener.max_buffered_bytes = 200_000
-        peer = await gateway.peer()
-        peer.send(call(1), call(2))
-        await server.until(lambda: len(server.commands) == 2)
+        peer = await gateway.connect_client()
+        peer.send(encode_call(1), encode_call(2))
+        await server.wait_until(lambda: len(server.commands) == 2)
         first, second = (
-            server.writers[server.by[server.commands.index(words)]]
+            server.writers[server.connection_numbers[server.commands.index(words)]]
             for words in sorted(server.commands, key=lambda words: words[2])
         )
         second.write(VALUE_HEADER + LARGE_VALUE + VALUE_END)
-        await until(lambda: any(connection.paused for connection in gateway.upstream_pool.connections))
+        await wait_until(lambda: any(connection.paused for connection in gateway.upstream_pool.connections))
         assert gateway.client_listener.budget.buffered_bytes < 300_000
-        first.write(array(b"first"))
-        assert await peer.reply() == b"first"
-        assert await peer.reply() == LARGE_VALUE
+        first.write(encode_reply(b"first"))
+        assert await peer.read_reply() == b"first"
+        assert await peer.read_reply() == LARGE_VALUE
 
 
 @pytest.mark.parametrize(
     "rest", [None, LARGE_VALUE[10:] + b"xx$-1\r\n$-1\r\n", LARGE_VALUE[10:] + b"\r\n$9999\r\n"]
 )
 async def test_large_value_that_breaks_off_closes_the_client_connection(rest):
-    server = FakeServer(lambda _words: None)
-    async with node(server) as gateway:
-        peer = await gateway.peer()
-        peer.send(call(1))
-        await server.until(lambda: server.commands)
+    server = FakeUpstream(lambda _words: None)
+    async with run_gateway(server) as gateway:
+        peer = await gateway.connect_client()
+        peer.send(encode_call(1))
+        await server.wait_until(lambda: server.commands)
         server.writers[0].write(VALUE_HEADER + LARGE_VALUE[:10])
-        await until(lambda: any(call.body_writer for call in gateway.driver.active_requests.values()))
+        await wait_until(lambda: any(call.body_writer for call in gateway.driver.active_requests.values()))
         server.writers[0].write(rest) if rest else server.writers[0].close()
-        assert await peer.reply() is None
-        await until(lambda: not gateway.driver.active_requests and not gateway.client_listener.connections)
+        assert await peer.read_reply() is None
+        await wait_until(
+            lambda: not gateway.driver.active_requests and not gateway.client_listener.connections
+        )
         assert gateway.client_listener.budget.buffered_bytes == gateway.upstream_pool.buffered_bytes == 0
 
 
 async def test_large_value_that_breaks_off_before_its_turn_spares_the_replies_before_it():
-    server = FakeServer(lambda _words: None)
-    async with node(server) as gateway:
-        peer = await gateway.peer()
-        peer.send(call(1), call(2))
-        await server.until(lambda: len(server.commands) == 2)
+    server = FakeUpstream(lambda _words: None)
+    async with run_gateway(server) as gateway:
+        peer = await gateway.connect_client()
+        peer.send(encode_call(1), encode_call(2))
+        await server.wait_until(lambda: len(server.commands) == 2)
         first, second = (
-            server.writers[server.by[server.commands.index(words)]]
+            server.writers[server.connection_numbers[server.commands.index(words)]]
             for words in sorted(server.commands, key=lambda words: words[2])
         )
         second.write(VALUE_HEADER + LARGE_VALUE[:10])
-        await until(lambda: any(call.body_writer for call in gateway.driver.active_requests.values()))
+        await wait_until(lambda: any(call.body_writer for call in gateway.driver.active_requests.values()))
         second.close()
-        first.write(array(b"first"))
-        assert [await peer.reply(), await peer.reply()] == [b"first", None]
+        first.write(encode_reply(b"first"))
+        assert [await peer.read_reply(), await peer.read_reply()] == [b"first", None]
 
 
 async def test_server_that_stalls_within_a_large_value_times_out(monkeypatch):
     monkeypatch.setattr(servers_module, "STALL_TIMEOUT_S", 0.2)
     monkeypatch.setattr(servers_module, "SWEEP_INTERVAL_S", 0.05)
-    server = FakeServer(lambda _words: None)
-    async with node(server) as gateway:
-        peer = await gateway.peer()
-        peer.send(call(1))
-        await server.until(lambda: server.commands)
+    server = FakeUpstream(lambda _words: None)
+    async with run_gateway(server) as gateway:
+        peer = await gateway.connect_client()
+        peer.send(encode_call(1))
+        await server.wait_until(lambda: server.commands)
         server.writers[0].write(VALUE_HEADER + LARGE_VALUE[:10])
-        assert await peer.reply() is None
-        await server.until(lambda: server.ended)
+        assert await peer.read_reply() is None
+        await server.wait_until(lambda: server.closed_connections)
 
 
 async def test_large_value_that_has_begun_may_exceed_the_request_timeout():
-    server = FakeServer(lambda _words: None)
-    async with node(server) as gateway:
-        peer = await gateway.peer()
-        peer.send(call(1, wait=300))
-        await server.until(lambda: server.commands)
+    server = FakeUpstream(lambda _words: None)
+    async with run_gateway(server) as gateway:
+        peer = await gateway.connect_client()
+        peer.send(encode_call(1, timeout_ms=300))
+        await server.wait_until(lambda: server.commands)
         server.writers[0].write(VALUE_HEADER + LARGE_VALUE[:10])
         await asyncio.sleep(0.5)
         server.writers[0].write(LARGE_VALUE[10:] + VALUE_END)
-        assert await peer.reply() == LARGE_VALUE
+        assert await peer.read_reply() == LARGE_VALUE
 
 
 async def test_client_that_disconnects_within_a_large_value_ends_the_attempt():
-    server = FakeServer(lambda _words: None)
-    async with node(server) as gateway:
-        peer = await gateway.peer()
-        peer.send(call(1))
-        await server.until(lambda: server.commands)
+    server = FakeUpstream(lambda _words: None)
+    async with run_gateway(server) as gateway:
+        peer = await gateway.connect_client()
+        peer.send(encode_call(1))
+        await server.wait_until(lambda: server.commands)
         server.writers[0].write(VALUE_HEADER + LARGE_VALUE[:10])
-        await until(lambda: any(call.body_writer for call in gateway.driver.active_requests.values()))
+        await wait_until(lambda: any(call.body_writer for call in gateway.driver.active_requests.values()))
         peer.writer.transport.abort()
-        await server.until(lambda: server.ended)
-        await until(lambda: not gateway.driver.active_requests)
+        await server.wait_until(lambda: server.closed_connections)
+        await wait_until(lambda: not gateway.driver.active_requests)
 
 
 async def test_hedged_request_is_answered_by_the_attempt_whose_large_value_begins_first():
-    server, other = FakeServer(lambda _words: None), FakeServer(lambda _words: None)
-    async with node(server, other) as gateway:
-        peer = await gateway.peer()
-        peer.send(call(1))
-        await until(lambda: gateway.driver.active_requests)
+    server, other = FakeUpstream(lambda _words: None), FakeUpstream(lambda _words: None)
+    async with run_gateway(server, other) as gateway:
+        peer = await gateway.connect_client()
+        peer.send(encode_call(1))
+        await wait_until(lambda: gateway.driver.active_requests)
         (held,) = gateway.driver.active_requests.values()
         (first,) = held.attempts.values()
         flight = gateway.driver.engine.flights[held.request_id]
@@ -202,11 +208,11 @@
         for action in gateway.driver.engine.actions:
             gateway.driver._perform(action)
         for fake in (server, other):
-            await fake.until(lambda fake=fake: fake.commands)
+            await fake.wait_until(lambda fake=fake: fake.commands)
         fakes = {1: server, 2: other}
         quick = fakes.pop(at)
         (slow,) = fakes.values()
         quick.writers[0].write(VALUE_HEADER + LARGE_VALUE + VALUE_END)
-        assert await peer.reply() == LARGE_VALUE
-        await slow.until(lambda: slow.ended)
+        assert await peer.read_reply() == LARGE_VALUE
+        await slow.wait_until(lambda: slow.closed_connections)
         assert first.on_done is None
