--- /dev/null
+++ b/quota_gateway/config.py
@@ -0,0 +1,134 @@
+"""From the environment and the configuration file to a typed ``Config``."""
+
+from __future__ import annotations
+
+import json
+import re
+from collections.abc import Mapping
+from dataclasses import dataclass
+from pathlib import Path
+
+from quota_gateway.errors import ConfigError
+from quota_gateway.json_document import JsonObject, invalid_field
+from quota_gateway.model import Settings
+from quota_gateway.net.address import Address
+from quota_gateway.resources import MEGABYTE, count_open_descriptors
+from quota_gateway.settings_format import settings_from_document
+
+DOCUMENT = "config"  # the name of the configuration file's object in error messages
+MAX_PORT = (1 << 16) - 1
+PORT_DIGITS = re.compile("0*[0-9]{1,5}")  # a longer number is no port, and costs time to convert
+SEED_BASE = 16  # the seed is written in hexadecimal digits
+
+
+@dataclass(frozen=True)
+class Config:
+    """What a gateway is told at its start.
+
+    Attributes:
+        path: The configuration file, which is read again at SIGHUP.
+        listen: Where clients connect.
+        discovery: Where endpoint lists come from.
+        admin: Where operators call, if they do.
+        seed: Of all random numbers.
+        max_descriptors: Limit of open descriptors of the process.
+        inherited_descriptors: How many of them the process was started with.
+        memory_bytes: Limit of resident memory of the process.
+        known_endpoints: The endpoint list to start with, as it stands in the file; it may be old.
+        settings: For the policy engine.
+    """
+
+    path: Path
+    listen: Address
+    discovery: Address
+    admin: Address | None
+    seed: int
+    max_descriptors: int
+    inherited_descriptors: int
+    memory_bytes: int
+    known_endpoints: object
+    settings: Settings
+
+
+def parse_address(field: str, text: object) -> Address:
+    """Parse ``HOST:PORT``.
+
+    Raises:
+        ConfigError: It is anything else, or the port can't be one; the message names the field.
+    """
+    host, _, digits = text.rpartition(":") if isinstance(text, str) else ("", "", "")
+    port = int(digits) if PORT_DIGITS.fullmatch(digits) else 0
+    if not host or not 0 < port <= MAX_PORT:
+        raise invalid_field(field, text, "is not an address of the form HOST:PORT")
+    return host, port
+
+
+def _integer(section: JsonObject, key: str) -> int:
+    value = section.required(key)
+    try:
+        return int(value)
+    except (TypeError, ValueError, OverflowError):
+        raise invalid_field(section.path_of(key), value, "is not a number") from None
+
+
+def _seed(document: JsonObject) -> int:
+    text = document.text("seed")
+    try:
+        return int(text, SEED_BASE)
+    except ValueError:
+        raise invalid_field(document.path_of("seed"), text, "is not a hexadecimal number") from None
+
+
+def _read_document(path: Path) -> JsonObject:
+    try:
+        content = json.loads(path.read_text())
+    except OSError as error:
+        raise ConfigError(f"EDGE_CONFIG: the file can not be read: {error}") from None
+    except (ValueError, RecursionError) as error:
+        raise ConfigError(f"EDGE_CONFIG: {str(path)!r} is not JSON: {error}") from None
+    return JsonObject(content, DOCUMENT)
+
+
+def _address(environment: Mapping[str, str], variable: str, document: JsonObject, key: str) -> Address:
+    """The address in the environment, where it is set there, else in the document."""
+    override = environment.get(variable)
+    if override:
+        return parse_address(f"{variable} ({key})", override)
+    return parse_address(document.path_of(key), document.required(key))
+
+
+def load_config(environment: Mapping[str, str]) -> Config:
+    """Read the file that EDGE_CONFIG names; addresses in the environment outrank those in the file.
+
+    Raises:
+        ConfigError: Something is missing or malformed; the message is one line that names field and value.
+    """
+    file_name = environment.get("EDGE_CONFIG")
+    if file_name is None:
+        raise ConfigError("EDGE_CONFIG: is not set; it names the configuration file")
+    path = Path(file_name)
+    document = _read_document(path)
+    limits = document.nested("limits")
+    has_admin = environment.get("EDGE_MGMT") or document.optional("mgmt")
+    return Config(
+        path=path,
+        listen=_address(environment, "EDGE_LISTEN", document, "listen"),
+        discovery=_address(environment, "EDGE_DISCOVERY", document, "discovery"),
+        admin=_address(environment, "EDGE_MGMT", document, "mgmt") if has_admin else None,
+        seed=_seed(document),
+        max_descriptors=_integer(limits, "sockets"),
+        inherited_descriptors=count_open_descriptors(),
+        memory_bytes=_integer(limits, "memory_mb") * MEGABYTE,
+        known_endpoints=document.required("known"),
+        settings=settings_from_document(document.required("settings")),
+    )
+
+
+def read_discovery_address(path: Path) -> Address:
+    """The address of discovery as the configuration file names it now.
+
+    Raises:
+        ConfigError: The file is missing, half-written or malformed.
+    """
+    document = _read_document(path)
+    return parse_address(document.path_of("discovery"), document.required("discovery"))
--- /dev/null
+++ b/quota_gateway/json_document.py
@@ -0,0 +1,107 @@
+"""Reading of JSON objects that people write: an error names the path of the field and its value."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from typing import Any, TypeVar
+
+from quota_gateway.errors import ConfigError
+
+MAX_SHOWN_CHARACTERS = 100  # of a wrong value in an error message, which has to stay a readable line
+
+Choice = TypeVar("Choice")
+
+
+def invalid_field(field: str, value: object, reason: str) -> ConfigError:
+    """The error for a field whose value can't be used.
+
+    Args:
+        field: Path of the field, such as ``settings.limits.open_cap``.
+        value: What stands there.
+        reason: What is wrong with it, as the end of a sentence: ``is not a list``.
+    """
+    shown = repr(value)
+    if len(shown) > MAX_SHOWN_CHARACTERS:
+        shown = f"{shown[:MAX_SHOWN_CHARACTERS]}..."
+    return ConfigError(f"{field}: {shown} {reason}")
+
+
+class JsonObject:
+    """A JSON object together with its path in the document."""
+
+    __slots__ = ("_fields", "path")
+
+    def __init__(self, value: object, path: str) -> None:
+        if not isinstance(value, dict):
+            raise invalid_field(path, value, "is not an object")
+        self._fields: dict[str, Any] = value
+        self.path = path
+
+    def path_of(self, key: str) -> str:
+        """The path of one of its fields, as errors name it."""
+        return f"{self.path}.{key}"
+
+    def optional(self, key: str) -> Any:  # noqa: ANN401 - foreign JSON
+        """The value of a field, None where it is missing."""
+        return self._fields.get(key)
+
+    def required(self, key: str) -> Any:  # noqa: ANN401 - foreign JSON
+        """The value of a field.
+
+        Raises:
+            ConfigError: The field is missing.
+        """
+        try:
+            return self._fields[key]
+        except KeyError:
+            raise ConfigError(f"{self.path_of(key)}: is missing") from None
+
+    def nested(self, key: str) -> JsonObject:
+        """The object in a field.
+
+        Raises:
+            ConfigError: The field is missing or no object.
+        """
+        return JsonObject(self.required(key), self.path_of(key))
+
+    def elements(self, key: str) -> list[Any]:
+        """The list in a field.
+
+        Raises:
+            ConfigError: The field is missing or no list.
+        """
+        value = self.required(key)
+        if not isinstance(value, list):
+            raise invalid_field(self.path_of(key), value, "is not a list")
+        return value
+
+    def nested_elements(self, key: str) -> list[JsonObject]:
+        """The objects in the list in a field.
+
+        Raises:
+            ConfigError: The field is missing, no list, or an item is no object.
+        """
+        path = self.path_of(key)
+        return [JsonObject(item, f"{path}[{number}]") for number, item in enumerate(self.elements(key))]
+
+    def text(self, key: str) -> str:
+        """The string in a field.
+
+        Raises:
+            ConfigError: The field is missing or no string.
+        """
+        value = self.required(key)
+        if not isinstance(value, str):
+            raise invalid_field(self.path_of(key), value, "is not a string")
+        return value
+
+    def choice(self, key: str, choices: Mapping[str, Choice]) -> Choice:
+        """What one of a few strings in a field stands for.
+
+        Raises:
+            ConfigError: The field is missing or holds another value.
+        """
+        value = self.required(key)
+        if not isinstance(value, str) or value not in choices:
+            raise invalid_field(self.path_of(key), value, f"is none of {', '.join(sorted(choices))}")
+        return choices[value]
--- /dev/null
+++ b/quota_gateway/log_rate_limiter.py
@@ -0,0 +1,41 @@
+"""A bound on the lines of the log."""
+
+from __future__ import annotations
+
+import logging
+from math import inf
+
+LOG_PERIOD_S = 10.0
+MAX_LINES_PER_PERIOD = 50  # enough to see what is wrong; see docs/decisions/resource-limits.md
+
+
+class LogRateLimiter(logging.Filter):
+    """Lets a limited number of records through in each period and reports how many it suppressed.
+
+    The first record of the next period ends with ``suppressed_lines=N``. A peer that sends garbage at full
+    speed would fill the log otherwise: docs/decisions/resource-limits.md.
+    """
+
+    def __init__(self) -> None:
+        super().__init__()
+        self._period_end_s = -inf  # as ``LogRecord.created``
+        self._passed_lines = 0
+        self._suppressed_lines = 0
+
+    def filter(self, record: logging.LogRecord) -> bool:
+        """Whether the record is written."""
+        if record.created >= self._period_end_s:
+            self._start_period(record)
+        self._passed_lines += 1
+        if self._passed_lines > MAX_LINES_PER_PERIOD:
+            self._suppressed_lines += 1
+            return False
+        return True
+
+    def _start_period(self, record: logging.LogRecord) -> None:
+        if self._suppressed_lines:
+            record.msg = f"{record.getMessage()} suppressed_lines={self._suppressed_lines}"
+            record.args = ()
+        self._period_end_s = record.created + LOG_PERIOD_S
+        self._passed_lines = 0
+        self._suppressed_lines = 0
--- /dev/null
+++ b/quota_gateway/resources.py
@@ -0,0 +1,119 @@
+"""How the descriptors and the memory that a gateway may use are divided.
+
+The reasons for the figures are in docs/decisions/resource-limits.md.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from pathlib import Path
+
+from quota_gateway.net.admin import MOST_CALLERS
+from quota_gateway.net.handover import MOST_QUEUED
+
+OWN_DESCRIPTORS = Path("/proc/self/fd")
+STANDARD_STREAMS = 3  # standard input, output and error, which is the log
+EVENT_LOOP_DESCRIPTORS = (
+    10  # epoll and its ring, the wake-up, two pipes and a socket pair for signals, one spare
+)
+DISCOVERY_DESCRIPTORS = 4  # watches at discovery's old and new address, and as many that are closing
+LISTENER_DESCRIPTORS = 2  # for clients, and for a process that takes over
+HANDOVER_DESCRIPTORS = (
+    2 + MOST_QUEUED + 1
+)  # channels to both peers; queued connections; the listener handed over
+FILE_DESCRIPTORS = 2  # open for a moment: the configuration at SIGHUP, a folder
+SPARE_DESCRIPTORS = 8
+OTHER_DESCRIPTORS = (
+    EVENT_LOOP_DESCRIPTORS
+    + DISCOVERY_DESCRIPTORS
+    + LISTENER_DESCRIPTORS
+    + HANDOVER_DESCRIPTORS
+    + FILE_DESCRIPTORS
+    + SPARE_DESCRIPTORS
+)
+ADMIN_DESCRIPTORS = 2 * MOST_CALLERS + 1  # one that makes room is closed a little later; the listener
+UPSTREAM_SHARE = 0.25  # of the rest; clients need more, most of them without a request in flight
+MIN_CONNECTIONS = 2  # one client and one upstream, however low the limit is
+
+MEGABYTE = 1 << 20
+PROGRAM_BYTES = 20 * MEGABYTE  # 14 measured, and what an endpoint list and its customers take
+BUFFER_SHARE = 0.4  # of the rest of the memory, for clients' commands; as much again for upstream replies
+MIN_BUFFERED_BYTES = 2 * MEGABYTE
+
+
+@dataclass(frozen=True)
+class DescriptorBudget:
+    """How many connections there may be on either side of the gateway."""
+
+    clients: int
+    upstream: int
+
+
+@dataclass(frozen=True)
+class ResourceLimits:
+    """What the parts of a gateway may use.
+
+    ``max_buffered_bytes`` holds for clients and for upstream replies, each. ``handover_spare_bytes`` is what
+    both give up while a process that was taken over from still runs beside this one.
+    """
+
+    max_client_connections: int
+    max_upstream_connections: int
+    max_buffered_bytes: int
+    handover_spare_bytes: int
+
+
+def count_open_descriptors() -> int:
+    """How many descriptors the process holds now; the standard streams alone where that can't be told."""
+    try:
+        listed = len(list(OWN_DESCRIPTORS.iterdir()))
+    except OSError:
+        return STANDARD_STREAMS
+    return max(STANDARD_STREAMS, listed - 1)  # one of them is open to read the folder
+
+
+def divide_descriptors(limit: int, inherited: int, has_admin: bool) -> DescriptorBudget:
+    """Split the descriptors that the process does not need otherwise between clients and upstream.
+
+    Idle clients can so never take the descriptors of the discovery watch, of upstream or of operators.
+
+    Args:
+        limit: Of the whole process.
+        inherited: How many of them it was started with.
+        has_admin: Whether operators are served.
+    """
+    reserved = inherited + OTHER_DESCRIPTORS + (ADMIN_DESCRIPTORS if has_admin else 0)
+    available = max(MIN_CONNECTIONS, limit - reserved)
+    upstream = int(available * UPSTREAM_SHARE)
+    return DescriptorBudget(clients=available - upstream, upstream=upstream)
+
+
+def divide_memory(limit_bytes: int) -> int:
+    """The bytes that clients' commands, and as many that upstream replies, may take while they wait."""
+    return max(MIN_BUFFERED_BYTES, int((limit_bytes - PROGRAM_BYTES) * BUFFER_SHARE))
+
+
+def handover_spare_bytes(max_buffered_bytes: int) -> int:
+    """The buffered bytes given up while two processes run: room for the program of the other one."""
+    return max(0, min(int(PROGRAM_BYTES * BUFFER_SHARE), max_buffered_bytes - MIN_BUFFERED_BYTES))
+
+
+def divide_resources(
+    descriptors: int, inherited_descriptors: int, memory_bytes: int, has_admin: bool
+) -> ResourceLimits:
+    """Divide what the whole process may use among its parts.
+
+    Args:
+        descriptors: Limit of open descriptors.
+        inherited_descriptors: How many of them the process was started with.
+        memory_bytes: Limit of resident memory.
+        has_admin: Whether operators are served.
+    """
+    budget = divide_descriptors(descriptors, inherited_descriptors, has_admin)
+    max_buffered_bytes = divide_memory(memory_bytes)
+    return ResourceLimits(
+        max_client_connections=budget.clients,
+        max_upstream_connections=budget.upstream,
+        max_buffered_bytes=max_buffered_bytes,
+        handover_spare_bytes=handover_spare_bytes(max_buffered_bytes),
+    )
--- /dev/null
+++ b/quota_gateway/server.py
@@ -0,0 +1,249 @@
+"""A real gateway: its parts made, joined, started, and shut down in order.
+
+The order of the steps matters: docs/decisions/start-and-shutdown.md.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import errno
+import logging
+import signal
+from collections.abc import Callable
+from pathlib import Path
+
+from quota_gateway import model
+from quota_gateway.config import Config, read_discovery_address
+from quota_gateway.errors import ConfigError
+from quota_gateway.net.address import Address
+from quota_gateway.net.admin import AdminServer
+from quota_gateway.net.client_listener import ClientListener
+from quota_gateway.net.detachments import Detachments
+from quota_gateway.net.discovery_client import DiscoveryClient
+from quota_gateway.net.driver import Clock, Driver
+from quota_gateway.net.endpoint_registry import EndpointRegistry
+from quota_gateway.net.handover import Handover, HandoverState, rendezvous_path, request_handover
+from quota_gateway.net.peer_processes import PeerProcesses
+from quota_gateway.net.upstream_pool import UpstreamPool
+from quota_gateway.policy.engine import PolicyEngine
+from quota_gateway.resources import divide_resources
+
+log = logging.getLogger("quota_gateway")
+
+HANDLED_SIGNALS = frozenset({signal.SIGTERM, signal.SIGINT, signal.SIGHUP})
+
+LISTEN_TIMEOUT_S = 5.0  # for an address in use to become free: a new version is due to be ready in 6 s
+LISTEN_RETRY_S = 0.05
+FIRST_UPDATE_TIMEOUT_S = 1.0  # how long the known list, which may be old, waits for discovery's
+
+ACCEPT_PERIOD_S = 0.45  # after SIGTERM: new connections go on coming for 0.4 s
+MAX_DEADLINE_S = 3.0  # SIGKILL follows SIGTERM after the longest deadline, this at most, ...
+KILL_GRACE_S = 0.7  # ... and so much more
+ANSWERED_BEFORE_KILL_S = 0.3  # of that time, in which all is answered but not yet killed
+FLUSH_TIMEOUT_S = 0.2  # of that, for replies on their way to clients that still send or read slowly
+SHUTDOWN_CHECK_S = 0.01  # between two looks at whether all is answered
+
+
+class GatewayServer:
+    """One gateway of its own process. It makes all parts and closes them; it has to be made on the loop."""
+
+    def __init__(self, config: Config) -> None:
+        self.config = config
+        self._stop_requested = asyncio.Event()
+        self._reload_requested = asyncio.Event()
+        self._reload_task: asyncio.Task[None] | None = None
+        self._make_upstream_side()
+        self._make_client_side()
+
+    def _make_upstream_side(self) -> None:
+        """The engine, and what it drives."""
+        settings = self.config.settings
+        self.limits = divide_resources(
+            self.config.max_descriptors,
+            self.config.inherited_descriptors,
+            self.config.memory_bytes,
+            self.config.admin is not None,
+        )
+        self.engine = PolicyEngine(settings, self.config.seed)
+        self.upstream = UpstreamPool(
+            settings, self.limits.max_upstream_connections, self.limits.max_buffered_bytes
+        )
+        self.peers = PeerProcesses()
+        self.driver = Driver(self.engine, self.upstream, Clock(), self.peers.notify_usage)
+        self.registry = EndpointRegistry(self.engine.subset)
+        self.discovery = DiscoveryClient(
+            self.registry, self._on_endpoint_update, self._on_discovery_unavailable, self.config.seed
+        )
+
+    def _make_client_side(self) -> None:
+        """What clients, operators and other processes of this gateway reach."""
+        self.clients = ClientListener(
+            self.driver,
+            self.config.settings,
+            self.limits.max_client_connections,
+            self.limits.max_buffered_bytes,
+        )
+        self.detachments = Detachments(self.registry, self.driver, self.peers)
+        self.handover = Handover(
+            rendezvous_path(self.config.listen),
+            self.driver,
+            self.clients,
+            self.upstream,
+            self.registry,
+            self.detachments,
+            self.peers,
+        )
+        self.admin = AdminServer(self._is_ready, self.detachments.set_detached)
+
+    async def run(self) -> None:
+        """Serve until a signal asks to stop, then answer what was accepted and return."""
+        self._install_signal_handlers()
+        try:
+            await self._start()
+            await self._stop_requested.wait()
+            await shut_down_gracefully(self.config.settings, self.driver, self.clients, self.handover)
+        finally:
+            self._close()
+
+    def _install_signal_handlers(self) -> None:
+        """Handle the signals that ``main`` has blocked until now."""
+        loop = asyncio.get_running_loop()
+        loop.add_signal_handler(signal.SIGTERM, self._stop_requested.set)
+        loop.add_signal_handler(signal.SIGINT, self._stop_requested.set)
+        loop.add_signal_handler(signal.SIGHUP, self._reload_requested.set)
+        signal.pthread_sigmask(signal.SIG_UNBLOCK, HANDLED_SIGNALS)
+
+    async def _start(self) -> None:
+        state = await request_handover(self.handover.path)
+        self.discovery.load_known(self._initial_endpoints(state))
+        self.discovery.watch(self.config.discovery)
+        if self.config.admin:
+            await self.admin.listen(self.config.admin)
+        self._reload_task = asyncio.create_task(self._reload_on_request(), name="reload-configuration")
+        self._reload_task.add_done_callback(_log_failure)
+        if not (state and self._take_over(state)):
+            await self._start_alone()
+        self.handover.wait()
+        log.info("listening host=%s port=%d", *self.config.listen)
+
+    def _initial_endpoints(self, state: HandoverState | None) -> object:
+        """The list to start with: what the process before had, else what the configuration says."""
+        if state:
+            try:
+                return self.registry.restore_state(state.registry)
+            except ValueError as error:
+                state.channel.close(str(error))
+        return self.config.known_endpoints
+
+    def _take_over(self, state: HandoverState) -> bool:
+        """Serve in place of the process before; False where its state can't be restored."""
+        if state.channel.closed or not self.driver.restore_state(state.state):
+            state.channel.close("its state can not be restored")
+            state.listener.close()
+            return False
+        self.clients.adopt(state.listener)
+        self.clients.is_ready = True
+        self.handover.took_over(state, self.limits.handover_spare_bytes)
+        return True
+
+    async def _start_alone(self) -> None:
+        """Listen without a process before; ready with discovery's list, or after a while without it."""
+        self.detachments.repeat()
+        await listen(self.clients, self.config.listen)
+        asyncio.get_running_loop().call_later(FIRST_UPDATE_TIMEOUT_S, self._set_ready)
+
+    def _set_ready(self) -> None:
+        self.clients.is_ready = True
+
+    def _is_ready(self) -> bool:
+        is_serving = self.clients.is_ready and not self.clients.is_suspended
+        return is_serving and not self._stop_requested.is_set()
+
+    def _on_endpoint_update(self, update: model.EndpointUpdate, addresses: dict[int, Address]) -> None:
+        self.upstream.update(update, addresses)
+        self.driver.post(update)
+        if update.kind is not model.UpdateKind.CACHED:
+            self.clients.is_ready = True
+
+    def _on_discovery_unavailable(self) -> None:
+        """A known list is all there is for now: serve by it at once."""
+        self.clients.is_ready = self.clients.is_ready or bool(self.registry.rows)
+
+    async def _reload_on_request(self) -> None:
+        while True:
+            await self._reload_requested.wait()
+            self._reload_requested.clear()
+            reload_discovery_address(self.config.path, self.discovery)
+
+    def _close(self) -> None:
+        """Close all parts, also where the start has failed."""
+        if self._reload_task:
+            self._reload_task.cancel()
+        self.handover.close()
+        self.admin.close()
+        self.discovery.end()
+        self.upstream.close()
+
+
+def _log_failure(task: asyncio.Task[None]) -> None:
+    if not task.cancelled() and task.exception():
+        log.error("task failed task=%s", task.get_name(), exc_info=task.exception())
+
+
+def reload_discovery_address(path: Path, discovery: DiscoveryClient) -> None:
+    """Watch discovery where the configuration file names it now, which outranks the environment.
+
+    A file that is missing, half-written or malformed is logged, and the watch stays where it is.
+    """
+    try:
+        address = read_discovery_address(path)
+    except ConfigError as error:
+        log.error('configuration reload failed error="%s"', error)
+        return
+    log.info("discovery address changed host=%s port=%d", *address)
+    discovery.watch(address)
+
+
+async def listen(clients: ClientListener, address: Address) -> None:
+    """Listen for clients; an address that is still in use is waited for.
+
+    Raises:
+        OSError: The address can't be had, or is still in use after ``LISTEN_TIMEOUT_S``.
+    """
+    loop = asyncio.get_running_loop()
+    give_up_at = loop.time() + LISTEN_TIMEOUT_S
+    while True:
+        try:
+            clients.listen(*address)
+            return
+        except OSError as error:
+            if error.errno != errno.EADDRINUSE or loop.time() > give_up_at:
+                raise
+        await asyncio.sleep(LISTEN_RETRY_S)
+
+
+async def shut_down_gracefully(
+    settings: model.Settings, driver: Driver, clients: ClientListener, handover: Handover
+) -> None:
+    """Accept for a stated period more, answer all that was accepted, close; all before SIGKILL comes.
+
+    Where another process has taken over, connections are passed on to it in place of being closed.
+    """
+    loop = asyncio.get_running_loop()
+    longest_deadline_s = max(request_class.deadline_ms for request_class in settings.classes) / 1000.0
+    timeout_s = min(MAX_DEADLINE_S, longest_deadline_s) + KILL_GRACE_S - ANSWERED_BEFORE_KILL_S
+    end = loop.time() + timeout_s
+    log.info("shutdown started timeout_s=%.3f connections=%d", timeout_s, len(clients.connections))
+    driver.post(model.ShutdownStarted(timeout_s * 1000.0))
+    await asyncio.sleep(ACCEPT_PERIOD_S)
+    clients.stop_listening()
+    await _wait_while(lambda: bool(clients.connections) or handover.busy(), until=end)
+    clients.finish()
+    await _wait_while(lambda: bool(clients.connections), until=end + FLUSH_TIMEOUT_S)
+    clients.abort()
+
+
+async def _wait_while(is_busy: Callable[[], bool], until: float) -> None:
+    loop = asyncio.get_running_loop()
+    while is_busy() and loop.time() < until:  # noqa: ASYNC110 - an event for it would cost each request
+        await asyncio.sleep(SHUTDOWN_CHECK_S)
--- a/quota_gateway/simulator.py
+++ b/quota_gateway/simulator.py
@@ -1,7 +1,7 @@
-"""Speaks the simulator's wire on standard input and output; decides nothing.
+"""The simulator's wire on standard input and output; decides nothing.
 
-One process hosts many gateways, which share only the table of numbered server lists that the wire
-declares for the whole process.
+One process hosts many gateways, which share only the table of numbered endpoint lists that the wire
+declares for the whole process. The words of the wire are translated here and nowhere else.
 """
 
 from __future__ import annotations
@@ -11,212 +11,283 @@
 from collections.abc import Callable
 from typing import Any, TextIO
 
-from quota_gateway import model as api
+from quota_gateway import model
+from quota_gateway.errors import ProtocolError
 from quota_gateway.policy.engine import PolicyEngine
-from quota_gateway.settings_format import Fields, settings_from_document
-
-STATUS = {
-    200: api.AttemptStatus.OK,
-    500: api.AttemptStatus.ERROR,
-    503: api.AttemptStatus.OVERLOADED,
-    504: api.AttemptStatus.TIMEOUT,
-    502: api.AttemptStatus.CONNECT_FAILED,
-    598: api.AttemptStatus.RESET,
-    499: api.AttemptStatus.CANCELLED,
-    410: api.AttemptStatus.NOT_SENT,
+from quota_gateway.settings_format import settings_from_document
+
+Fields = dict[str, Any]  # of one message, by the wire's names
+EventReader = Callable[[Fields], model.Event]
+ActionWriter = Callable[[Any], tuple[str, Fields]]  # the name of the message and its fields
+
+STATUS_CODES = {
+    200: model.AttemptStatus.OK,
+    500: model.AttemptStatus.ERROR,
+    503: model.AttemptStatus.OVERLOADED,
+    504: model.AttemptStatus.TIMEOUT,
+    502: model.AttemptStatus.CONNECT_FAILED,
+    598: model.AttemptStatus.RESET,
+    499: model.AttemptStatus.CANCELLED,
+    410: model.AttemptStatus.NOT_SENT,
 }
-STATE = {
-    "U": api.EndpointLifecycle.READY,
-    "L": api.EndpointLifecycle.DRAINING,
-    "D": api.EndpointLifecycle.GONE,
+LIFECYCLES = {
+    "U": model.EndpointLifecycle.READY,
+    "L": model.EndpointLifecycle.DRAINING,
+    "D": model.EndpointLifecycle.GONE,
 }
-LIST_KIND = {
-    "Partial": api.UpdateKind.DELTA,
-    "Complete": api.UpdateKind.SNAPSHOT,
-    "Persisted": api.UpdateKind.CACHED,
-    "Error": api.UpdateKind.FAILED,
+UPDATE_KINDS = {
+    "Partial": model.UpdateKind.DELTA,
+    "Complete": model.UpdateKind.SNAPSHOT,
+    "Persisted": model.UpdateKind.CACHED,
+    "Error": model.UpdateKind.FAILED,
 }
+EXIT_OK = 0
+EXIT_MALFORMED_INPUT = 1
 
 
-class WireError(Exception):
-    """What came in is not the wire."""
-
-
-def _entry(row: Fields) -> api.Endpoint:
-    return api.Endpoint(
+def _endpoint(row: Fields) -> model.Endpoint:
+    return model.Endpoint(
         server=row["server"],
         zone=row["locality"],
         kind=row["generation_hw"],
         cell=row["cluster"],
-        state=STATE[row["phase"]],
+        state=LIFECYCLES[row["phase"]],
         size=row["size"],
         started_ms=row["since_ms"] or 0.0,
     )
 
 
-def _load(row: list[float] | None) -> tuple[float, ...] | None:
+def _load_report(row: list[float] | None) -> tuple[float, ...] | None:
     return tuple(row) if row else None
 
 
-def _request(f: Fields) -> api.Request:
-    return api.Request(
-        f["op_id"],
-        f["priority"],
-        f["plan"],
-        f["member"],
-        f["patience_left_ms"],
-        f["units"],
-        f["width"],
-        f["base"],
-        bool(f["retry"]),
-        bool(f["update"]),
+def _request(fields: Fields) -> model.Request:
+    return model.Request(
+        request_id=fields["op_id"],
+        class_name=fields["priority"],
+        plan=fields["plan"],
+        customer=fields["member"],
+        timeout_ms=fields["patience_left_ms"],
+        units=fields["units"],
+        gateway_set_size=fields["width"],
+        first_gateway=fields["base"],
+        is_retry=bool(fields["retry"]),
+        is_write=bool(fields["update"]),
     )
 
 
-def _outcome(f: Fields) -> api.Outcome:
-    return api.Outcome(
-        f["op_id"],
-        f["seq_no"],
-        f["server"],
-        STATUS[f["code"]],
-        f["delay_seen_ms"],
-        bool(f["final"]),
-        f["metered"] - 1 if f["metered"] else None,
-        f["final_units"] or None,
-        _load(f["gauge"]),
+def _outcome(fields: Fields) -> model.Outcome:
+    metered = fields["metered"]  # one more than the percentage, so that 0 means none
+    return model.Outcome(
+        request_id=fields["op_id"],
+        attempt=fields["seq_no"],
+        server=fields["server"],
+        status=STATUS_CODES[fields["code"]],
+        latency_ms=fields["delay_seen_ms"],
+        closed=bool(fields["final"]),
+        usage_percent=metered - 1 if metered else None,
+        final_units=fields["final_units"] or None,
+        load=_load_report(fields["gauge"]),
+    )
+
+
+def _timer_fired(fields: Fields) -> model.TimerFired:
+    return model.TimerFired(fields["mark"])
+
+
+def _client_disconnected(fields: Fields) -> model.ClientDisconnected:
+    return model.ClientDisconnected(fields["op_id"])
+
+
+def _stream_started(fields: Fields) -> model.StreamStarted:
+    return model.StreamStarted(fields["op_id"], fields["seq_no"], fields["server"], fields["delay_seen_ms"])
+
+
+def _health_check_result(fields: Fields) -> model.HealthCheckResult:
+    return model.HealthCheckResult(
+        fields["server"],
+        STATUS_CODES[fields["code"]],
+        fields["delay_seen_ms"],
+        _load_report(fields["gauge"]),
     )
 
 
-EVENTS: dict[str, Callable[[Fields], api.Event]] = {
+def _peer_message(fields: Fields) -> model.PeerMessage:
+    return model.PeerMessage(fields["origin_peer"], bytes.fromhex(fields["body"]))
+
+
+def _counter_reply(fields: Fields) -> model.CounterReply:
+    return model.CounterReply(
+        fields["counter_key"],
+        STATUS_CODES[fields["code"]],
+        fields["reading"] or 0.0,
+        fields["delay_seen_ms"],
+    )
+
+
+EVENT_READERS: dict[str, EventReader] = {
     "Knock": _request,
     "Outcome": _outcome,
-    "Alarm": lambda f: api.TimerFired(f["mark"]),
-    "Vanished": lambda f: api.ClientDisconnected(f["op_id"]),
-    "Flowing": lambda f: api.StreamStarted(f["op_id"], f["seq_no"], f["server"], f["delay_seen_ms"]),
-    "Sampled": lambda f: api.HealthCheckResult(
-        f["server"], STATUS[f["code"]], f["delay_seen_ms"], _load(f["gauge"])
-    ),
-    "Memo": lambda f: api.PeerMessage(f["origin_peer"], bytes.fromhex(f["body"])),
-    "Reckoned": lambda f: api.CounterReply(
-        f["counter_key"], STATUS[f["code"]], f["reading"] or 0.0, f["delay_seen_ms"]
-    ),
+    "Alarm": _timer_fired,
+    "Vanished": _client_disconnected,
+    "Flowing": _stream_started,
+    "Sampled": _health_check_result,
+    "Memo": _peer_message,
+    "Reckoned": _counter_reply,
 }
 
-ACTIONS: dict[type, Callable[[Any], tuple[str, Fields]]] = {
-    api.StartAttempt: lambda a: (
+ACTION_WRITERS: dict[type, ActionWriter] = {
+    model.StartAttempt: lambda action: (
         "Try",
-        {"op_id": a.request_id, "server": a.server, "within_ms": a.timeout_ms},
+        {"op_id": action.request_id, "server": action.server, "within_ms": action.timeout_ms},
     ),
-    api.Reject: lambda a: ("OverloadReply", {"op_id": a.request_id, "stay_away_ms": a.retry_after_ms}),
-    api.Fail: lambda a: ("RespondError", {"op_id": a.request_id}),
-    api.CancelAttempt: lambda a: ("AbortAttempt", {"op_id": a.request_id, "seq_no": a.attempt}),
-    api.SetTimer: lambda a: ("Schedule", {"after_ms": a.delay_ms, "mark": a.token}),
-    api.LogMessage: lambda a: ("Debug", {"what": a.text}),
-    api.Subscribe: lambda a: ("Follow", {"active": a.active}),
-    api.PollEndpoints: lambda a: ("Fetch", {}),
-    api.HealthCheck: lambda a: ("Touch", {"server": a.server}),
-    api.CloseIdle: lambda a: ("DropConns", {"server": a.server}),
-    api.SendPeerMessage: lambda a: ("Share", {"dst": a.peer, "body": a.data.hex()}),
-    api.IncrementCounter: lambda a: (
+    model.Reject: lambda action: (
+        "OverloadReply",
+        {"op_id": action.request_id, "stay_away_ms": action.retry_after_ms},
+    ),
+    model.Fail: lambda action: ("RespondError", {"op_id": action.request_id}),
+    model.CancelAttempt: lambda action: (
+        "AbortAttempt",
+        {"op_id": action.request_id, "seq_no": action.attempt},
+    ),
+    model.SetTimer: lambda action: ("Schedule", {"after_ms": action.delay_ms, "mark": action.token}),
+    model.LogMessage: lambda action: ("Debug", {"what": action.text}),
+    model.Subscribe: lambda action: ("Follow", {"active": action.active}),
+    model.PollEndpoints: lambda action: ("Fetch", {}),  # noqa: ARG005 - one form for all writers
+    model.HealthCheck: lambda action: ("Touch", {"server": action.server}),
+    model.CloseIdle: lambda action: ("DropConns", {"server": action.server}),
+    model.SendPeerMessage: lambda action: ("Share", {"dst": action.peer, "body": action.data.hex()}),
+    model.IncrementCounter: lambda action: (
         "Add",
-        {"counter_key": a.name, "add": a.amount, "expire_in_ms": a.lifetime_ms},
+        {"counter_key": action.name, "add": action.amount, "expire_in_ms": action.lifetime_ms},
     ),
 }
 
 
-class Host:
-    """The gateways of one process and the server lists that the wire has declared to it."""
+class SimulatorSession:
+    """The gateways of one process and the endpoint lists that the wire has declared to it.
 
-    def __init__(self) -> None:
-        self.now_ms = 0.0
-        self.gateways: dict[str, PolicyEngine] = {}
-        self.lists: dict[int, tuple[api.Endpoint, ...]] = {}
-        self.reply: list[str] = []
+    Attributes:
+        replies: Lines to be written once the batch is complete.
+    """
 
-    def message(self, name: str, fields: Fields) -> bool:
-        """Take one message in; true when the batch is complete and ``reply`` is to be written."""
+    def __init__(self) -> None:
+        self.replies: list[str] = []
+        self._now_ms = 0.0
+        self._turn: Any = None  # of the current batch, handed back with its end
+        self._engines: dict[str, PolicyEngine] = {}
+        self._endpoint_lists: dict[int, tuple[model.Endpoint, ...]] = {}
+
+    def receive(self, name: str, fields: Fields) -> bool:
+        """Take one message in.
+
+        Returns:
+            Whether the batch is complete and ``replies`` are to be written.
+        """
         if name == "Batch":
-            self.now_ms, self.turn = float(fields["t_ms"]), fields["turn"]
+            self._now_ms = float(fields["t_ms"])
+            self._turn = fields["turn"]
         elif name == "Commit":
-            self._write("Ack", {"turn": self.turn})
+            self._reply("Ack", {"turn": self._turn})
             return True
         elif name == "Roster":
-            self.lists[fields["ref"]] = tuple(_entry(row) for row in fields["members_list"])
+            self._endpoint_lists[fields["ref"]] = tuple(_endpoint(row) for row in fields["members_list"])
         else:
-            self._instance(name, fields)
+            self._receive_for_instance(name, fields)
         return False
 
-    def _instance(self, name: str, fields: Fields) -> None:
+    def _receive_for_instance(self, name: str, fields: Fields) -> None:
         instance = fields["i"]
         if name == "OpenInstance":
-            env = fields["env"]
-            settings = settings_from_document(json.loads(env) if isinstance(env, str) else env)
-            self.gateways[instance] = PolicyEngine(settings, fields["rng_seed"])
+            self._open_instance(instance, fields)
         elif name == "Destroy":
-            self.gateways.pop(instance, None)
+            self._engines.pop(instance, None)
         elif name == "Discovery":
-            kind = LIST_KIND[fields["scope"]]
-            endpoints = () if kind is api.UpdateKind.FAILED else self.lists[fields["ref"]]
-            self._deliver(instance, api.EndpointUpdate(kind, endpoints, fields["epoch"] or 0))
-        elif name in EVENTS:
-            self._deliver(instance, EVENTS[name](fields))
+            self._deliver(instance, self._endpoint_update(fields))
+        elif name in EVENT_READERS:
+            self._deliver(instance, EVENT_READERS[name](fields))
         else:
-            raise WireError(f"unknown event {name!r}")
-
-    def _deliver(self, instance: str, event: api.Event) -> None:
-        gateway = self.gateways.get(instance)
-        if gateway is None:
-            raise WireError(f"event for instance {instance!r}, which is not open")
+            raise ProtocolError(f"unknown event {name!r}")
+
+    def _open_instance(self, instance: str, fields: Fields) -> None:
+        env = fields["env"]
+        settings = settings_from_document(json.loads(env) if isinstance(env, str) else env, "env")
+        self._engines[instance] = PolicyEngine(settings, fields["rng_seed"])
+
+    def _endpoint_update(self, fields: Fields) -> model.EndpointUpdate:
+        kind = UPDATE_KINDS[fields["scope"]]
+        endpoints = () if kind is model.UpdateKind.FAILED else self._endpoint_lists[fields["ref"]]
+        return model.EndpointUpdate(kind, endpoints, fields["epoch"] or 0)
+
+    def _deliver(self, instance: str, event: model.Event) -> None:
+        engine = self._engines.get(instance)
+        if engine is None:
+            raise ProtocolError(f"event for instance {instance!r}, which is not open")
         try:
-            actions = gateway.handle(self.now_ms, event)
-        except Exception as error:  # the wire wants any fault of the module told, whatever it is
-            self._write("BailOut", {"i": instance, "what": f"{type(error).__name__}: {error}"})
+            actions = engine.handle(self._now_ms, event)
+        except Exception as error:  # the wire wants any fault of the engine told, whatever it is
+            self._reply("BailOut", {"i": instance, "what": f"{type(error).__name__}: {error}"})
             return
         for action in actions:
-            name, fields = ACTIONS[type(action)](action)
-            self._write(name, {"i": instance, **fields})
+            name, fields = ACTION_WRITERS[type(action)](action)
+            self._reply(name, {"i": instance, **fields})
 
-    def _write(self, name: str, fields: Fields) -> None:
-        self.reply.append(json.dumps({name: fields}, separators=(",", ":")))
+    def _reply(self, name: str, fields: Fields) -> None:
+        self.replies.append(json.dumps({name: fields}, separators=(",", ":")))
 
 
-def _take(host: Host, line: str) -> bool:
-    """One line into the host; what is wrong with it becomes a WireError in plain words."""
+def _parse_message(line: str) -> tuple[str, Fields]:
     try:
         message = json.loads(line)
     except ValueError as error:
-        raise WireError(f"not JSON: {error}") from None
+        raise ProtocolError(f"not JSON: {error}") from None
     if not isinstance(message, dict) or len(message) != 1:
-        raise WireError("a message is an object with a single key")
+        raise ProtocolError("a message is an object with a single key")
     ((name, fields),) = message.items()
     if not isinstance(fields, dict):
-        raise WireError(f"{name}: its fields are not an object")
+        raise ProtocolError(f"{name}: its fields are not an object")
+    return name, fields
+
+
+def _receive_line(session: SimulatorSession, line: str) -> bool:
+    """Hand one line to the session; what is wrong with it becomes a ProtocolError that names the message."""
+    name, fields = _parse_message(line)
     try:
-        return host.message(name, fields)
+        return session.receive(name, fields)
+    except ProtocolError:
+        raise
     except KeyError as error:
-        raise WireError(f"{name}: missing field or unknown value {error}") from None
+        raise ProtocolError(f"{name}: missing field or unknown value {error}") from None
     except (TypeError, ValueError, AttributeError) as error:
-        raise WireError(f"{name}: {error}") from None
+        raise ProtocolError(f"{name}: {error}") from None
 
 
 def serve(source: TextIO, sink: TextIO) -> None:
-    """Answer batches until the input ends."""
-    host = Host()
+    """Answer batches until the input ends.
+
+    Raises:
+        ProtocolError: A line is not the wire.
+    """
+    session = SimulatorSession()
     for line in source:
-        if line.strip() and _take(host, line):
-            sink.write("\n".join(host.reply) + "\n")
+        if line.strip() and _receive_line(session, line):
+            sink.write("\n".join(session.replies) + "\n")
             sink.flush()
-            host.reply.clear()
+            session.replies.clear()
 
 
 def main() -> int:
-    """Run the adapter; 0 at the end of input, 1 with a message on what is malformed."""
+    """Serve the simulator.
+
+    Returns:
+        0 at the end of input, 1 after a message on what is malformed.
+    """
     try:
         serve(sys.stdin, sys.stdout)
-    except WireError as error:
-        print(f"quota_gateway adapter: {error}", file=sys.stderr)
-        return 1
-    return 0
+    except ProtocolError as error:
+        print(f"quota_gateway simulator: {error}", file=sys.stderr)
+        return EXIT_MALFORMED_INPUT
+    return EXIT_OK
 
 
 if __name__ == "__main__":
--- a/tests/net/test_descriptors.py
+++ b/tests/net/test_descriptors.py
@@ -11,7 +11,7 @@
 import pytest
 
 from quota_gateway import AttemptStatus, Endpoint, EndpointUpdate, UpdateKind
-from quota_gateway import __main__ as program_module
+from quota_gateway import resources
 from quota_gateway.net.upstream_pool import Attempt, UpstreamPool
 from tests.process import test_process as process_module
 from tests.support.fakes import (
@@ -122,8 +122,9 @@
 @pytest.mark.parametrize("managed", [False, True])
 @pytest.mark.parametrize("limit", [256, 1024])
 def test_sum_of_all_shares_is_the_limit(limit, managed):
-    others = program_module.OTHER_DESCRIPTORS + (program_module.FOR_CALLERS if managed else 0)
-    assert sum(program_module.shares(limit, 7, managed)) + 7 + others == limit
+    others = resources.OTHER_DESCRIPTORS + (resources.ADMIN_DESCRIPTORS if managed else 0)
+    budget = resources.divide_descriptors(limit, 7, managed)
+    assert budget.clients + budget.upstream + 7 + others == limit
 
 
 class Crowd:
--- a/tests/process/test_process.py
+++ b/tests/process/test_process.py
@@ -13,7 +13,10 @@
 
 import pytest
 
-from quota_gateway import __main__ as program_module
+from quota_gateway import config as config_module
+from quota_gateway import log_rate_limiter
+from quota_gateway import server as server_module
+from quota_gateway.errors import ConfigError
 from quota_gateway.net.client_listener import MOST_PIPELINED
 from tests.support.fakes import SETTINGS as FAKE_SETTINGS
 from tests.support.fakes import (
@@ -152,15 +155,11 @@
 
 
 def test_while_stopping_it_accepts_for_a_while_and_then_closes_between_requests(monkeypatch):
-    monkeypatch.setattr(program_module, "ACCEPT_S", 2.0)
+    monkeypatch.setattr(server_module, "ACCEPT_PERIOD_S", 2.0)
 
     async def test():
         async with node(FakeServer()) as gateway:
-            leaving = asyncio.ensure_future(
-                program_module._leave(
-                    FAKE_SETTINGS, gateway.driver, gateway.client_listener, gateway.handover
-                )
-            )
+            leaving = leave(gateway)
             await asyncio.sleep(0)
             late = await gateway.peer()
             assert await late.ask(call(3)) == b"0000000000000003"
@@ -173,16 +172,19 @@
 
 def leave(gateway):
     return asyncio.ensure_future(
-        program_module._leave(FAKE_SETTINGS, gateway.driver, gateway.client_listener, gateway.handover)
+        server_module.shut_down_gracefully(
+            FAKE_SETTINGS, gateway.driver, gateway.client_listener, gateway.handover
+        )
     )
 
 
 @pytest.fixture
 def soon(monkeypatch):
     """The end comes soon, and what is on its way then has long enough."""
-    monkeypatch.setattr(program_module, "ACCEPT_S", 0.05)
-    monkeypatch.setattr(program_module, "KILL_S", (0.1, program_module.SPARE_S + 0.1))
-    monkeypatch.setattr(program_module, "FLUSH_S", 30.0)
+    monkeypatch.setattr(server_module, "ACCEPT_PERIOD_S", 0.05)
+    monkeypatch.setattr(server_module, "MAX_DEADLINE_S", 0.1)
+    monkeypatch.setattr(server_module, "KILL_GRACE_S", server_module.ANSWERED_BEFORE_KILL_S + 0.1)
+    monkeypatch.setattr(server_module, "FLUSH_TIMEOUT_S", 30.0)
 
 
 def test_answers_that_a_client_has_not_taken_at_the_end_still_reach_it(soon):
@@ -282,9 +284,9 @@
     async def test():
         code = (
             "import os, signal; from quota_gateway import __main__ as program\n"
-            "load = program.Config.load\n"
+            "load = program.load_config\n"
             "def slow(env):\n    os.kill(os.getpid(), signal.SIGHUP)\n    return load(env)\n"
-            "program.Config.load = slow\n"
+            "program.load_config = slow\n"
             "raise SystemExit(program.main())"
         )
         monkeypatch.setattr(sys.modules[__name__], "command", lambda: f'exec {sys.executable} -c "$CODE"')
@@ -299,28 +301,28 @@
     run(test())
 
 
-def test_lines_of_the_log_are_rationed_and_what_was_left_out_is_told():
-    ration, lines = program_module.LogRateLimiter(), []
-    for number in range(3 * program_module.LOG_LINES):
+def test_log_lines_are_limited_and_suppressed_ones_are_counted():
+    limiter, lines = log_rate_limiter.LogRateLimiter(), []
+    for number in range(3 * log_rate_limiter.MAX_LINES_PER_PERIOD):
         record = logging.makeLogRecord({"msg": "bad %d", "args": (number,), "created": 1000.0})
-        lines += [record.getMessage()] if ration.filter(record) else []
-    assert len(lines) == program_module.LOG_LINES
-    record = logging.makeLogRecord({"msg": "later", "created": 1000.0 + program_module.LOG_SPAN_S})
-    assert ration.filter(record)
-    assert record.getMessage() == f"later ({2 * program_module.LOG_LINES} lines left out before)"
+        lines += [record.getMessage()] if limiter.filter(record) else []
+    assert len(lines) == log_rate_limiter.MAX_LINES_PER_PERIOD
+    record = logging.makeLogRecord({"msg": "later", "created": 1000.0 + log_rate_limiter.LOG_PERIOD_S})
+    assert limiter.filter(record)
+    assert record.getMessage() == f"later suppressed_lines={2 * log_rate_limiter.MAX_LINES_PER_PERIOD}"
 
 
 @pytest.mark.parametrize(
     "text", ["127.0.0.1:99999", "127.0.0.1:0", "127.0.0.1", ":80", "127.0.0.1:", "h:1_0", 7]
 )
-def test_address_that_can_not_be_is_told_by_its_field_and_the_watch_stays_where_it_is(text, tmp_path, caplog):
+def test_malformed_address_is_reported_by_its_field_and_the_watch_stays(text, tmp_path, caplog):
     class Watched:
         def watch(self, address):
             raise AssertionError(address)
 
     path = tmp_path / "config.json"
     path.write_text(json.dumps({"discovery": text}))
-    program_module._reload(path, Watched())
+    server_module.reload_discovery_address(path, Watched())
     assert "discovery" in caplog.text and repr(text) in caplog.text
-    with pytest.raises(ValueError, match="listen"):
-        program_module._address("listen", text)
+    with pytest.raises(ConfigError, match="listen"):
+        config_module.parse_address("listen", text)
--- a/tests/process/test_restarts.py
+++ b/tests/process/test_restarts.py
@@ -73,7 +73,8 @@
 @pytest.mark.parametrize("trouble", ["refused", "turned away"])
 def test_one_who_is_turned_away_serves_by_the_known_list_at_once(trouble, tmp_path, monkeypatch):
     code = (
-        "from quota_gateway import __main__ as program\nprogram.FIRST_LIST_S = 3600.0\n"
+        "from quota_gateway import __main__ as program, server\n"
+        "server.FIRST_UPDATE_TIMEOUT_S = 3600.0\n"
         "raise SystemExit(program.main())"
     )
     monkeypatch.setattr(process_module, "command", lambda: f'exec {sys.executable} -c "$CODE"')
