--- a/quota_gateway/resources.py
+++ b/quota_gateway/resources.py
@@ -33,7 +33,7 @@
 )
 ADMIN_DESCRIPTORS = 2 * MOST_CALLERS + 1  # one that makes room is closed a little later; the listener
 UPSTREAM_SHARE = 0.25  # of the rest; clients need more, most of them without a request in flight
-MIN_CONNECTIONS = 2  # one client and one upstream, however low the limit is
+MIN_CONNECTIONS = 2  # of both sides together, however low the limit is
 
 MEGABYTE = 1 << 20
 PROGRAM_BYTES = 20 * MEGABYTE  # 14 measured, and what an endpoint list and its customers take
--- /dev/null
+++ b/tests/process/test_invalid_configuration.py
@@ -0,0 +1,63 @@
+"""A start with a malformed configuration: exit code 2 and one line that names the field."""
+
+import os
+import subprocess
+from pathlib import Path
+
+import pytest
+
+from quota_gateway.__main__ import EXIT_INVALID_CONFIGURATION
+from tests.process.test_process import ROOT, command
+from tests.unit.test_config import DOCUMENT, MALFORMED_FIELDS, MALFORMED_FILES, write
+
+
+def start(environment: dict[str, str]) -> subprocess.CompletedProcess[str]:
+    """The program, run to its end, with none of our own variables but these."""
+    inherited = {name: value for name, value in os.environ.items() if not name.startswith("EDGE_")}
+    return subprocess.run(
+        ["/bin/sh", "-c", command()],
+        cwd=ROOT,
+        env={**inherited, **environment},
+        capture_output=True,
+        text=True,
+        timeout=60,
+        check=False,
+    )
+
+
+def assert_refused(done: subprocess.CompletedProcess[str], *words: str) -> None:
+    assert done.returncode == EXIT_INVALID_CONFIGURATION == 2
+    (line,) = done.stderr.splitlines()
+    assert "configuration invalid error=" in line
+    for word in words:
+        assert word in line
+    assert done.stdout == ""
+
+
+def test_missing_variable_ends_the_start():
+    assert_refused(start({}), "EDGE_CONFIG: is not set")
+
+
+@pytest.mark.parametrize("name", ["missing.json", "."])
+def test_file_that_can_not_be_read_ends_the_start(name: str, tmp_path: Path):
+    path = tmp_path / name
+    assert_refused(start({"EDGE_CONFIG": str(path)}), "EDGE_CONFIG: the file can not be read", str(path))
+
+
+@pytest.mark.parametrize("name", MALFORMED_FILES)
+def test_file_that_is_no_json_object_ends_the_start(name, tmp_path):
+    content, words = MALFORMED_FILES[name]
+    path = tmp_path / "config.json"
+    path.write_bytes(content)
+    assert_refused(start({"EDGE_CONFIG": str(path)}), words)
+
+
+@pytest.mark.parametrize("malformed", MALFORMED_FIELDS, ids=str)
+def test_malformed_field_ends_the_start(malformed, tmp_path):
+    assert_refused(start(write(tmp_path, malformed.document())), *malformed.words)
+
+
+@pytest.mark.parametrize("variable", ["EDGE_LISTEN", "EDGE_DISCOVERY", "EDGE_MGMT"])
+def test_malformed_address_of_the_environment_ends_the_start(variable, tmp_path):
+    done = start({**write(tmp_path, DOCUMENT), variable: "nowhere"})
+    assert_refused(done, variable, "'nowhere' is not an address")
--- a/tests/process/test_process.py
+++ b/tests/process/test_process.py
@@ -57,6 +57,12 @@
         return listener.getsockname()[1]
 
 
+async def until_ready(peer: Peer) -> None:
+    """Ask until the program serves."""
+    while await peer.ask(resp("PING")) != b"PONG":  # noqa: ASYNC110 - the answer is all that tells
+        await asyncio.sleep(0.01)
+
+
 async def connect(port: int) -> Peer:
     """Connect as soon as the program listens."""
     while True:
@@ -115,13 +121,12 @@
 
 def test_starts_is_ready_once_it_has_a_list_and_serves(tmp_path):
     async def test():
-        server = await FakeServer(lambda words: array(b"v")).start()
+        server = await FakeServer(lambda _words: array(b"v")).start()
         async with program(tmp_path, server) as (process, port, discovery):
             peer = await connect(port)
             _, watch = await discovery.watch()
             watch.write(chunk(listing(2, row("s-1", server.port), reset=True)))
-            while await peer.ask(resp("PING")) != b"PONG":
-                await asyncio.sleep(0.01)
+            await until_ready(peer)
             assert await peer.ask(call(1)) == b"v"
             process.send_signal(signal.SIGTERM)
             assert await process.wait() == 0
@@ -146,9 +151,11 @@
                 if words[2] == b"0000000000000001"
             )
             server.writers[number].write(array(b"late"))
-            assert await busy.reply() == b"late" and await busy.reply() is None
+            assert await busy.reply() == b"late"
+            assert await busy.reply() is None
             # The server stays silent on this one, whose client would wait for a minute: refused in time.
-            assert await silent.reply() == "-BUSY" and await silent.reply() is None
+            assert await silent.reply() == "-BUSY"
+            assert await silent.reply() is None
             assert await process.wait() == 0
 
     run(test())
@@ -159,18 +166,18 @@
 
     async def test():
         async with node(FakeServer()) as gateway:
-            leaving = leave(gateway)
+            shutdown = start_shutdown(gateway)
             await asyncio.sleep(0)
             late = await gateway.peer()
             assert await late.ask(call(3)) == b"0000000000000003"
             assert await late.reply() is None
-            await leaving
+            await shutdown
             assert not gateway.client_listener.connections
 
     run(test())
 
 
-def leave(gateway):
+def start_shutdown(gateway):
     return asyncio.ensure_future(
         server_module.shut_down_gracefully(
             FAKE_SETTINGS, gateway.driver, gateway.client_listener, gateway.handover
@@ -179,7 +186,7 @@
 
 
 @pytest.fixture
-def soon(monkeypatch):
+def short_shutdown(monkeypatch):
     """The end comes soon, and what is on its way then has long enough."""
     monkeypatch.setattr(server_module, "ACCEPT_PERIOD_S", 0.05)
     monkeypatch.setattr(server_module, "MAX_DEADLINE_S", 0.1)
@@ -187,26 +194,28 @@
     monkeypatch.setattr(server_module, "FLUSH_TIMEOUT_S", 30.0)
 
 
-def test_answers_that_a_client_has_not_taken_at_the_end_still_reach_it(soon):
+@pytest.mark.usefixtures("short_shutdown")
+def test_answers_that_a_client_has_not_taken_at_the_end_still_reach_it():
     async def test():
         value, many = b"v" * 65_000, MOST_PIPELINED
-        async with node(FakeServer(lambda words: array(value))) as gateway:
+        async with node(FakeServer(lambda _words: array(value))) as gateway:
             peer, client = await slow_reader(gateway)
             peer.send(*(call(number) for number in range(many)))
             await until(lambda: client.stuck and all(slot.answer for slot in client.slots))
-            leaving = leave(gateway)
+            shutdown = start_shutdown(gateway)
             await until(lambda: client.ending or not gateway.client_listener.connections)
             for _ in range(many):
                 assert await peer.reply() == value
             assert await peer.reply() is None
-            await leaving
+            await shutdown
 
     run(test())
 
 
-def test_command_that_is_read_in_the_last_instant_is_answered(soon, monkeypatch):
+@pytest.mark.usefixtures("short_shutdown")
+def test_command_that_is_read_in_the_last_instant_is_answered(monkeypatch):
     async def test():
-        server = FakeServer(lambda words: None)
+        server = FakeServer(lambda _words: None)
         async with node(server) as gateway:
             peer = await gateway.peer()
             peer.send(call(1, wait=60_000))
@@ -224,10 +233,11 @@
                 "_leave_if_done",
                 lambda plain=client._leave_if_done: plain() if client.ending else None,
             )  # as if it sent on and on
-            leaving = leave(gateway)
+            shutdown = start_shutdown(gateway)
             assert await peer.reply() == "-BUSY"
-            assert await peer.reply() == "-BUSY" and await peer.reply() is None
-            await leaving
+            assert await peer.reply() == "-BUSY"
+            assert await peer.reply() is None
+            await shutdown
 
     run(test())
 
@@ -239,21 +249,21 @@
             assert await peer.ask(call(1)) == b"0000000000000001"
             os.write(peer.writer.get_extra_info("socket").fileno(), call(2))  # before the loop could read it
             gateway.client_listener.stop_listening()
-            assert await peer.reply() == b"0000000000000002" and await peer.reply() is None
+            assert await peer.reply() == b"0000000000000002"
+            assert await peer.reply() is None
 
     run(test())
 
 
 def test_sighup_moves_the_watch_to_where_the_file_names_discovery_now(tmp_path):
     async def test():
-        first = await FakeServer(lambda words: array(b"1")).start()
-        second = await FakeServer(lambda words: array(b"2")).start()
+        first = await FakeServer(lambda _words: array(b"1")).start()
+        second = await FakeServer(lambda _words: array(b"2")).start()
         async with program(tmp_path, first) as (process, port, discovery):
             _, watch = await discovery.watch()
             watch.write(chunk(listing(2, row("s-1", first.port), reset=True)))
             peer = await connect(port)
-            while await peer.ask(resp("PING")) != b"PONG":
-                await asyncio.sleep(0.01)
+            await until_ready(peer)
             path = tmp_path / "config.json"
             document = json.loads(path.read_text())
             for text in ("{half", json.dumps({**document, "discovery": 7}), None):
@@ -291,8 +301,8 @@
         )
         monkeypatch.setattr(sys.modules[__name__], "command", lambda: f'exec {sys.executable} -c "$CODE"')
         monkeypatch.setenv("CODE", code)
-        server = await FakeServer(lambda words: array(b"v")).start()
-        async with program(tmp_path, server) as (process, port, discovery):
+        server = await FakeServer(lambda _words: array(b"v")).start()
+        async with program(tmp_path, server) as (process, port, _):
             peer = await connect(port)
             assert await peer.ask(call(1)) == b"v"
             process.send_signal(signal.SIGTERM)
@@ -323,6 +333,7 @@
     path = tmp_path / "config.json"
     path.write_text(json.dumps({"discovery": text}))
     server_module.reload_discovery_address(path, Watched())
-    assert "discovery" in caplog.text and repr(text) in caplog.text
+    assert "discovery" in caplog.text
+    assert repr(text) in caplog.text
     with pytest.raises(ConfigError, match="listen"):
         config_module.parse_address("listen", text)
--- a/tests/unit/test_simulator.py
+++ b/tests/unit/test_simulator.py
@@ -1,4 +1,4 @@
-"""The adapter as a subprocess, started as deploy/balancer.toml says."""
+"""The simulator's wire in a subprocess, started as deploy/balancer.toml says."""
 
 import json
 import os
@@ -169,10 +169,11 @@
     rows = replies(done)
     assert [row["turn"] for row in only(rows, "Ack")] == [1, 2, 3, 4, 5]
     assert [(row["op_id"], row["server"]) for row in only(rows, "Try")] == [("aa", 7)]
-    assert rows[-1] == {"Ack": {"turn": 5}} and rows[-2] == {"Ack": {"turn": 4}}
+    assert rows[-1] == {"Ack": {"turn": 5}}
+    assert rows[-2] == {"Ack": {"turn": 4}}
 
 
-def test_a_list_number_recycled_in_one_batch_is_resolved_in_order():
+def test_list_number_reused_in_one_batch_is_resolved_in_order():
     rows = replies(
         talk(
             *batch(
@@ -217,11 +218,12 @@
     assert alone == only(replies(talk(*script, seed="77")), "Try")
     other = opening("gateway-2", 9)
     beside = only(replies(talk(*batch(0, 0.0, other), *script)), "Try")
-    assert alone == beside and len(alone) >= 2
+    assert alone == beside
+    assert len(alone) >= 2
 
 
 @pytest.mark.parametrize(
-    "bad, word",
+    ("bad", "word"),
     [
         ("{not json", "JSON"),
         ("[1]", "single key"),
@@ -233,13 +235,14 @@
         ({"OpenInstance": {"i": "x", "rng_seed": 1, "env": {**ENV, "balancers": 0}}}, "gateways"),
     ],
 )
-def test_bad_input_gets_a_plain_message_and_a_failing_exit(bad, word):
+def test_malformed_input_ends_with_one_line_and_exit_code_1(bad, word):
     done = talk(*batch(1, 0.0, opening(), registry(0, 7), listing("gateway-1", 0)), bad)
-    assert done.returncode == 1 and word in done.stderr
+    assert done.returncode == 1
+    assert word in done.stderr
     assert len(done.stderr.splitlines()) == 1
 
 
-def test_a_fault_of_the_module_is_told_as_bail_out():
+def test_error_of_the_engine_is_reported_as_bail_out():
     rows = replies(
         talk(
             *batch(1, 9.0, opening(), {"Alarm": {"i": "gateway-1", "mark": 1}}),
