--- a/tests/process/test_process.py
+++ b/tests/process/test_process.py
@@ -17,7 +17,7 @@
 from quota_gateway import log_rate_limiter
 from quota_gateway import server as server_module
 from quota_gateway.errors import ConfigError
-from quota_gateway.net.client_listener import MOST_PIPELINED
+from quota_gateway.net.command_intake import MAX_PIPELINED_COMMANDS
 from tests.support.fakes import SETTINGS as FAKE_SETTINGS
 from tests.support.fakes import (
     FakeDiscovery,
@@ -197,13 +197,15 @@
 @pytest.mark.usefixtures("short_shutdown")
 def test_answers_that_a_client_has_not_taken_at_the_end_still_reach_it():
     async def test():
-        value, many = b"v" * 65_000, MOST_PIPELINED
+        value, many = b"v" * 65_000, MAX_PIPELINED_COMMANDS
         async with node(FakeServer(lambda _words: array(value))) as gateway:
             peer, client = await slow_reader(gateway)
             peer.send(*(call(number) for number in range(many)))
-            await until(lambda: client.stuck and all(slot.answer for slot in client.slots))
+            await until(
+                lambda: client.is_write_blocked and all(reply.reply for reply in client.pending_replies)
+            )
             shutdown = start_shutdown(gateway)
-            await until(lambda: client.ending or not gateway.client_listener.connections)
+            await until(lambda: client.is_closing or not gateway.client_listener.connections)
             for _ in range(many):
                 assert await peer.reply() == value
             assert await peer.reply() is None
@@ -230,8 +232,8 @@
             monkeypatch.setattr(gateway.client_listener, "finish", last)
             monkeypatch.setattr(
                 client,
-                "_leave_if_done",
-                lambda plain=client._leave_if_done: plain() if client.ending else None,
+                "close_if_done",
+                lambda plain=client.close_if_done: plain() if client.is_closing else None,
             )  # as if it sent on and on
             shutdown = start_shutdown(gateway)
             assert await peer.reply() == "-BUSY"
