--- a/tests/net/test_descriptors.py
+++ b/tests/net/test_descriptors.py
@@ -11,8 +11,7 @@
 
 import pytest
 
-from quota_gateway import AttemptStatus, Endpoint, EndpointUpdate, UpdateKind
-from quota_gateway import __main__ as program_module
+from quota_gateway import AttemptStatus, Endpoint, EndpointUpdate, UpdateKind, resources
 from quota_gateway.net.attempt import Attempt
 from quota_gateway.net.upstream_pool import UpstreamPool
 from tests.support import gateway_process
@@ -139,8 +138,9 @@
 @pytest.mark.parametrize("managed", [False, True])
 @pytest.mark.parametrize("limit", [256, 1024])
 def test_sum_of_all_shares_is_the_limit(limit, managed):
-    others = program_module.OTHER_DESCRIPTORS + (program_module.FOR_CALLERS if managed else 0)
-    assert sum(program_module.shares(limit, 7, managed)) + 7 + others == limit
+    others = resources.OTHER_DESCRIPTORS + (resources.ADMIN_DESCRIPTORS if managed else 0)
+    budget = resources.divide_descriptors(limit, 7, managed)
+    assert budget.clients + budget.upstream + 7 + others == limit
 
 
 class ReconnectingClients:
