--- a/tests/net/test_client_disconnect.py
+++ b/tests/net/test_client_disconnect.py
@@ -13,8 +13,7 @@
 import pytest
 
 from quota_gateway import Endpoint, GatewayLimits, Idempotency, Plan, RequestClass, TimerFired
-from quota_gateway.net import client_connection, client_listener, command_intake
-from quota_gateway.net import upstream_pool as servers_module
+from quota_gateway.net import client_connection, client_listener, command_intake, upstream_pool
 from quota_gateway.net.upstream_pool import Attempt, UpstreamConnection
 from tests.support.fake_client import FakeClient
 from tests.support.fake_upstream import FakeUpstream
@@ -236,7 +235,7 @@
 @pytest.mark.parametrize("how", ["end", "reset"])
 @pytest.mark.parametrize("case", CASES)
 async def test_attempt_due_after_its_client_disconnected_does_not_begin(case, how, monkeypatch):
-    monkeypatch.setattr(servers_module, "REUSE_DELAY_S", 0.0)
+    monkeypatch.setattr(upstream_pool, "REUSE_DELAY_S", 0.0)
     monkeypatch.setattr(client_listener, "SWEEP_INTERVAL_S", 3600.0)
     monkeypatch.setattr(client_connection, "WRITE_STALL_TIMEOUT_S", 3600.0)
     silent = set()
--- a/tests/net/test_idle_connections.py
+++ b/tests/net/test_idle_connections.py
@@ -1,10 +1,12 @@
 """Many connections without a request, and slowly arriving commands among them."""
 
 import asyncio
+from dataclasses import dataclass, field
 
 import pytest
 
 from quota_gateway.net import command_intake, idle_connections
+from quota_gateway.net.idle_connections import IdleConnections
 from tests.support.fake_upstream import FakeUpstream
 from tests.support.gateway_node import run_gateway
 from tests.support.resp_encoding import encode_call, encode_command, encode_reply
@@ -67,3 +69,80 @@
         stopped.send(command[:1000])
         assert await stopped.read_reply() == "-ERR timeout"
         assert await stopped.read_reply() is None
+
+
+@dataclass(eq=False)
+class FakeConnection:
+    """A connection as the tracking sees it, without a socket."""
+
+    name: str
+    request_count: int = 0
+    has_sent_command: bool = True
+    last_received_s: float = 0.0
+    is_closing: bool = False
+    partial_command: bool = False
+    has_unread_command: bool = False
+    pending_replies: tuple[str, ...] = ()
+    closed: list[str] = field(default_factory=list)
+
+    @property
+    def intake(self) -> "FakeConnection":
+        """What has come on it."""
+        return self
+
+    def has_partial_command(self) -> bool:
+        """Whether a part of a command has come."""
+        return self.partial_command
+
+    def close_to_make_room(self) -> bool:
+        """Note that it was closed, unless a command waits to be read."""
+        if self.has_unread_command:
+            return False
+        self.closed.append(self.name)
+        return True
+
+
+def track(tracked: IdleConnections, *connections: FakeConnection) -> list[str]:
+    """Track connections that have been read to the end; gives the names that are closed, in order."""
+    closed: list[str] = []
+    for connection in connections:
+        connection.closed = closed
+        tracked.add(connection, 0.0)
+        if connection.has_sent_command:
+            tracked.update(connection, within_command=False, took_command=True)
+    return closed
+
+
+async def test_room_is_made_by_closing_silent_connections_then_idle_ones_by_request_count(monkeypatch):
+    monkeypatch.setattr(idle_connections, "IDLE_GRACE_S", -1.0)
+    now_s = asyncio.get_running_loop().time()
+    tracked = IdleConnections()
+    closed = track(
+        tracked,
+        FakeConnection("usual", request_count=2),
+        FakeConnection("once", request_count=1),
+        FakeConnection("once with a command", request_count=1, has_unread_command=True),
+        FakeConnection("busy", request_count=1, pending_replies=("reply",)),
+        FakeConnection("fresh", has_sent_command=False, last_received_s=now_s),
+        FakeConnection("stopped", has_sent_command=False, last_received_s=now_s - 1.0, partial_command=True),
+        FakeConnection("arriving", has_sent_command=False, last_received_s=now_s - 0.5, partial_command=True),
+        FakeConnection("silent", has_sent_command=False, last_received_s=now_s - 2.0),
+        FakeConnection("closing", has_sent_command=False, last_received_s=now_s, is_closing=True),
+    )
+    tracked.make_room()
+    assert closed == ["silent", "stopped", "closing", "once", "usual"]
+
+
+async def test_no_more_connections_are_closed_at_once_than_the_limit(monkeypatch):
+    monkeypatch.setattr(idle_connections, "IDLE_GRACE_S", -1.0)
+    monkeypatch.setattr(idle_connections, "MAX_CLOSED_FOR_ROOM", 3)
+    tracked = IdleConnections()
+    closed = track(
+        tracked,
+        *(FakeConnection(f"usual {number}", request_count=2) for number in range(2)),
+        *(FakeConnection(f"once {number}", request_count=1) for number in range(2)),
+    )
+    tracked.make_room()
+    assert closed == ["once 0", "once 1", "usual 0"]
+    tracked.make_room()
+    assert closed == ["once 0", "once 1", "usual 0", "usual 1"]
--- a/tests/net/test_large_replies.py
+++ b/tests/net/test_large_replies.py
@@ -5,7 +5,7 @@
 import pytest
 
 from quota_gateway.errors import ProtocolError
-from quota_gateway.net import upstream_pool as servers_module
+from quota_gateway.net import upstream_pool
 from quota_gateway.net.resp import ReplyReader
 from tests.support.fake_upstream import FakeUpstream
 from tests.support.gateway_node import run_gateway, wait_until
@@ -156,8 +156,8 @@
 
 
 async def test_server_that_stalls_within_a_large_value_times_out(monkeypatch):
-    monkeypatch.setattr(servers_module, "STALL_TIMEOUT_S", 0.2)
-    monkeypatch.setattr(servers_module, "SWEEP_INTERVAL_S", 0.05)
+    monkeypatch.setattr(upstream_pool, "STALL_TIMEOUT_S", 0.2)
+    monkeypatch.setattr(upstream_pool, "SWEEP_INTERVAL_S", 0.05)
     server = FakeUpstream(lambda _words: None)
     async with run_gateway(server) as gateway:
         peer = await gateway.connect_client()
