--- /dev/null
+++ b/quota_gateway/net/discovery_watch.py
@@ -0,0 +1,133 @@
+"""Keeps a watch on discovery open at one address."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import random
+from collections.abc import Callable
+from typing import Any
+
+from quota_gateway import model as api
+from quota_gateway.errors import DiscoveryError
+from quota_gateway.net.address import Address
+from quota_gateway.net.endpoint_registry import EndpointRegistry
+from quota_gateway.net.endpoint_row import RegistryChange
+from quota_gateway.net.reconnect_backoff import ReconnectBackoff
+from quota_gateway.net.watch_connection import WatchConnection, WatchEndReason
+
+log = logging.getLogger(__name__)
+
+CONNECT_TIMEOUT_S = 1.6  # some connections take a second and a half to come up
+WATCH_TARGET = "/discovery/hosts?watch=1"
+
+
+class DiscoveryWatcher:
+    """Keeps a watch open at one address, each from where the last one there ended.
+
+    Attributes:
+        address: Where discovery is watched.
+        registry: Reads the updates.
+        generation: The generation read last; None where the complete list is asked for.
+        was_rejected: Whether discovery rejected the last watch.
+    """
+
+    def __init__(
+        self,
+        address: Address,
+        registry: EndpointRegistry,
+        on_change: Callable[[DiscoveryWatcher, RegistryChange], None],
+        on_unavailable: Callable[[], None],
+        jitter_source: random.Random,
+    ) -> None:
+        """Open the first watch in the next turn of the loop.
+
+        Args:
+            address: Where discovery is watched.
+            registry: Reads the updates.
+            on_change: Called with what each update tells, or with a part of that.
+            on_unavailable: Called when a watch ends and no update has been read yet.
+            jitter_source: For the waits between watches.
+        """
+        self.address = address
+        self.registry = registry
+        self.generation: int | None = None
+        self.was_rejected = False
+        self._on_change = on_change
+        self._on_unavailable = on_unavailable
+        self._backoff = ReconnectBackoff(jitter_source)
+        self._has_ended = False
+        self._has_read_update = False
+        self._connection: WatchConnection | None = None
+        self._task = asyncio.get_running_loop().create_task(self._run(), name="discovery watch")
+
+    def read_document(self, document: Any, connection: WatchConnection) -> bool:  # noqa: ANN401 - foreign JSON
+        """Read one update at once; whether its watch goes on."""
+        if self._has_ended or connection is not self._connection:
+            return False
+        try:
+            change = self.registry.read(document)
+        except DiscoveryError as error:
+            self.reject_document(error, connection)
+            return False
+        self.pass_on(change)
+        is_complete_list = change.update.kind is api.UpdateKind.SNAPSHOT
+        return self.on_document_read(change.update.version, is_complete_list, connection)
+
+    def pass_on(self, change: RegistryChange) -> None:
+        """Hand on what an update tells, or a part of that."""
+        self._on_change(self, change)
+
+    def on_document_read(self, generation: int, is_complete_list: bool, connection: WatchConnection) -> bool:
+        """An update has been read to its end; whether its watch goes on.
+
+        Where too many of the nearest endpoints are gone, the complete list is asked for: it alone tells
+        which come next.
+        """
+        self._backoff.reset()
+        self.generation = generation
+        self._has_read_update = True
+        if is_complete_list or not self.registry.needs_complete_list():
+            return True
+        self.generation = None
+        connection.close(WatchEndReason.NEAREST_ENDPOINTS_GONE)
+        return False
+
+    def reject_document(self, error: DiscoveryError, connection: WatchConnection) -> None:
+        """Log what can't be read, keep what is known, and ask for the complete list."""
+        log.error("malformed discovery document error=%s", error)
+        self.generation = None
+        connection.close(WatchEndReason.MALFORMED_DOCUMENT)
+
+    def end(self) -> None:
+        """Watch no more."""
+        self._has_ended = True
+        self._task.cancel()
+        if self._connection:
+            self._connection.close(WatchEndReason.STOPPED)
+
+    async def _run(self) -> None:
+        loop = asyncio.get_running_loop()
+        while True:
+            self.was_rejected = False
+            started_s = loop.time()
+            await self._watch_once(loop)
+            if not self._has_read_update:
+                self._on_unavailable()
+            await asyncio.sleep(self._backoff.next_wait_s(self.was_rejected, loop.time() - started_s))
+
+    async def _watch_once(self, loop: asyncio.AbstractEventLoop) -> None:
+        try:
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                _, connection = await loop.create_connection(self._new_connection, *self.address)
+            await connection.closed
+        except (OSError, TimeoutError) as error:
+            host, port = self.address
+            log.warning("discovery not reachable host=%s port=%d error=%r", host, port, error)
+            if self._connection:  # the one before, or one that came up just as its time was over
+                self._connection.close(WatchEndReason.REPLACED)
+
+    def _new_connection(self) -> WatchConnection:
+        resume_from = "" if self.generation is None else f"&from={self.generation}"
+        self._connection = WatchConnection(self, f"{WATCH_TARGET}{resume_from}")
+        return self._connection
--- /dev/null
+++ b/quota_gateway/net/endpoint_table.py
@@ -0,0 +1,88 @@
+"""The state behind the endpoint registry: rows and names of listed endpoints, and the number of each."""
+
+from __future__ import annotations
+
+from itertools import count
+
+from quota_gateway import model as api
+from quota_gateway.net.endpoint_row import NO_ADDRESS, AddressedEndpoint, EndpointRow
+from quota_gateway.net.nearest_endpoints import NearestEndpoints
+from quota_gateway.policy.subset import Subset
+
+# Numbers of endpoints without a row that are remembered: one that returns soon is known by its old number.
+MAX_ABSENT = 256
+
+
+class EndpointTable:
+    """The endpoints that are listed; the nearest of them have a row and a number.
+
+    A number is never used for another endpoint: an attempt on one that is gone may still be in flight.
+
+    Attributes:
+        subset: Ranks endpoints by their names.
+        nearest: The names of ``rows``, ranked.
+        other_names: The names of all other endpoints that are listed.
+        numbers: By name, the numbers of endpoints with a row, as the policy engine knows them.
+        absent: By name, the numbers of endpoints without a row, the latest last.
+        detached: Names of endpoints that operators detached; their numbers are never forgotten.
+        rows: By name, the rows as discovery gave them last.
+    """
+
+    def __init__(self, subset: Subset | None = None) -> None:
+        self.subset = subset or Subset(1, 0)
+        self.nearest = NearestEndpoints(self.subset)
+        self.other_names: set[str] = set()
+        self.numbers: dict[str, int] = {}
+        self.absent: dict[str, int] = {}
+        self.detached: set[str] = set()
+        self.rows: dict[str, EndpointRow] = {}
+        self._unused_numbers = count(1)
+
+    def find(self, name: str) -> int | None:
+        """The number of an endpoint that has a row, or had one as far as is remembered."""
+        return self.numbers.get(name, self.absent.get(name))
+
+    def is_known(self, name: str) -> bool:
+        """Whether an endpoint is listed, or was, as far as is remembered."""
+        return name in self.other_names or self.find(name) is not None
+
+    def number_of(self, name: str) -> int:
+        """The number of an endpoint that is listed or known to the peer process; a new one if it has none."""
+        number = self.find(name)
+        if number is None:
+            number = self.absent[name] = next(self._unused_numbers)
+        return number
+
+    def number_for_row(self, name: str) -> int:
+        """The number of an endpoint that has a row from now on."""
+        number = self.numbers.get(name)
+        if number is None:
+            number = self.absent.pop(name, 0) or next(self._unused_numbers)
+            self.numbers[name] = number
+        return number
+
+    def needs_complete_list(self) -> bool:
+        """Whether so many of the nearest are gone that only the complete list tells which come next."""
+        return self.nearest.certain_count() < self.subset.size(self.nearest.listed)
+
+    def forget(self, name: str) -> AddressedEndpoint | None:
+        """Drop the row of an endpoint that is gone, or that others are nearer than.
+
+        Returns:
+            What the policy engine is told of it; None if it had no row.
+        """
+        row = self.rows.pop(name, None)
+        number = self.numbers.pop(name, None)
+        if row is None or number is None:
+            return None
+        self.absent[name] = number
+        self._bound_absent(latest=name)
+        gone = api.Endpoint(number, row["zone"], state=api.EndpointLifecycle.GONE, name=name)
+        return AddressedEndpoint(gone, NO_ADDRESS)
+
+    def _bound_absent(self, latest: str) -> None:
+        """Forget the oldest number that operators don't hold, if there are too many."""
+        if len(self.absent) <= MAX_ABSENT:
+            return
+        oldest = next((name for name in self.absent if name not in self.detached), None)
+        self.absent.pop(oldest or latest)
--- /dev/null
+++ b/quota_gateway/net/registry_state.py
@@ -0,0 +1,77 @@
+"""What a process tells the next one of its endpoint registry, to and from JSON."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from dataclasses import dataclass
+from typing import Any
+
+from quota_gateway.errors import StateError
+from quota_gateway.net.endpoint_row import EndpointRow
+
+# The keys on the channel between two processes: one of another version may be at its other end.
+ROWS_KEY = "rows"
+NUMBERS_KEY = "numbers"
+ABSENT_KEY = "absent"
+DETACHED_KEY = "barred"
+
+
+@dataclass(frozen=True, slots=True)
+class RegistryState:
+    """The endpoint list, and which number stands for which endpoint.
+
+    Attributes:
+        rows: As discovery gave them; foreign JSON, checked when they are read.
+        numbers: By name, the numbers of endpoints with a row.
+        absent: By name, the numbers of endpoints without a row.
+        detached: The names of endpoints that operators detached.
+    """
+
+    rows: list[EndpointRow]
+    numbers: dict[str, int]
+    absent: dict[str, int]
+    detached: set[str]
+
+    def to_json(self) -> dict[str, Any]:
+        """The state as an object of JSON."""
+        return {
+            ROWS_KEY: self.rows,
+            NUMBERS_KEY: self.numbers,
+            ABSENT_KEY: self.absent,
+            DETACHED_KEY: sorted(self.detached),
+        }
+
+    @classmethod
+    def from_json(cls, document: Any) -> RegistryState:  # noqa: ANN401 - foreign JSON
+        """Read the state from JSON of another process.
+
+        Raises:
+            StateError: A key is missing, a value has the wrong type, or the values contradict each other.
+        """
+        try:
+            state = cls(
+                rows=list(document[ROWS_KEY]),
+                numbers=_numbers(document[NUMBERS_KEY].items()),
+                absent=_numbers(document[ABSENT_KEY].items()),
+                detached={str(name) for name in document[DETACHED_KEY]},
+            )
+        except (KeyError, TypeError, ValueError, AttributeError) as error:
+            raise StateError(f"the exported endpoint registry is malformed: {error!r}") from error
+        state._require_consistent()
+        return state
+
+    def all_numbers(self) -> dict[str, int]:
+        """By name, all numbers that are in use."""
+        return {**self.numbers, **self.absent}
+
+    def _require_consistent(self) -> None:
+        numbers = self.all_numbers()
+        if len(set(numbers.values())) != len(numbers):
+            raise StateError("the exported endpoint registry gives one number to several endpoints")
+        if not self.detached <= set(numbers):
+            unnumbered = sorted(self.detached - set(numbers))
+            raise StateError(f"the exported endpoint registry has no number for detached {unnumbered!r:.200}")
+
+
+def _numbers(items: Iterable[tuple[Any, Any]]) -> dict[str, int]:
+    return {str(name): int(number) for name, number in items}
--- /dev/null
+++ b/quota_gateway/net/snapshot_document.py
@@ -0,0 +1,128 @@
+"""The JSON form of a long endpoint list, parsed in pieces: plain fields, and rows one after the other."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+import ijson
+
+from quota_gateway.errors import DiscoveryError
+
+MAX_ROW_BYTES = 64 * 1024  # of the document in which no row ends
+
+# Brackets that are open at each part of the document: {"reset": …, "instances": [{"instanceId": …}, …]}
+OUTSIDE_DEPTH = 0
+DOCUMENT_DEPTH = 1
+ROWS_DEPTH = 2
+ROW_DEPTH = 3
+ROWS_FIELD = "instances"
+
+
+class SnapshotDocumentParser:
+    """Parses one document of any length; only the row that is being read is held.
+
+    Attributes:
+        fields: The document's fields beside its rows, as far as they have come.
+        row_count: Rows that have ended.
+    """
+
+    def __init__(self, on_row: Callable[[Any], None]) -> None:
+        """Begin a document.
+
+        Args:
+            on_row: Called with each row, which may be any value of JSON, when it has ended.
+        """
+        self.fields: dict[str, Any] = {}
+        self.row_count = 0
+        self._on_row = on_row
+        self._events = ijson.sendable_list()
+        self._parser = ijson.basic_parse_coro(self._events, use_float=True)
+        self._row: dict[str, Any] = {}
+        self._key = ""
+        self._depth = OUTSIDE_DEPTH
+        self._bytes_since_row = 0
+        self._has_ended = False
+        self._is_line_blank = True  # so far
+
+    def feed(self, data: bytes) -> bytes | None:
+        """Parse the next bytes.
+
+        Returns:
+            What came behind the end of the document; None while the end has not come.
+
+        Raises:
+            DiscoveryError: The document is malformed, or a row goes on without end.
+        """
+        while data:
+            line, line_end, data = data.partition(b"\n")
+            self._is_line_blank = self._is_line_blank and not line.strip()
+            if line_end and self._is_line_blank:  # a heartbeat, which comes between documents alone
+                raise DiscoveryError("an endpoint list breaks off")
+            self._is_line_blank = self._is_line_blank or bool(line_end)
+            self._parse(line, line_end)
+            if self._has_ended:
+                return data
+        return None
+
+    def _parse(self, line: bytes, line_end: bytes) -> None:
+        row_count_before = self.row_count
+        try:
+            self._parser.send(line + line_end)
+        except (ijson.JSONError, UnicodeDecodeError) as error:
+            raise DiscoveryError(f"not JSON: {error}") from error
+        for event, value in self._events:
+            self._on_event(event, value)
+        del self._events[:]
+        has_row_ended = self.row_count != row_count_before
+        self._bytes_since_row = len(line) if has_row_ended else self._bytes_since_row + len(line)
+        if self._bytes_since_row > MAX_ROW_BYTES:
+            raise DiscoveryError(f"no row ends within {MAX_ROW_BYTES} bytes")
+
+    def _on_event(self, event: str, value: Any) -> None:  # noqa: ANN401 - foreign JSON
+        if event == "map_key":
+            self._on_key(value)
+        elif event in ("start_map", "start_array"):
+            self._on_open(event)
+        elif event in ("end_map", "end_array"):
+            self._on_close()
+        else:
+            self._on_plain_value(value)
+
+    def _on_key(self, key: str) -> None:
+        if self._depth in (DOCUMENT_DEPTH, ROW_DEPTH):
+            self._key = key
+
+    def _on_plain_value(self, value: Any) -> None:  # noqa: ANN401 - foreign JSON
+        if self._depth == ROW_DEPTH:
+            self._row[self._key] = value
+        elif self._depth == ROWS_DEPTH:
+            self._end_row(value)
+        elif self._depth == DOCUMENT_DEPTH:
+            self.fields[self._key] = value
+        elif self._depth == OUTSIDE_DEPTH:
+            raise DiscoveryError("the document is a plain value, no object")
+
+    def _on_open(self, event: str) -> None:
+        self._depth += 1
+        if self._depth == DOCUMENT_DEPTH:
+            if event != "start_map":
+                raise DiscoveryError("the document is an array, no object")
+        elif self._depth == ROWS_DEPTH:
+            if self._key != ROWS_FIELD or event != "start_array":
+                raise DiscoveryError(f"field {self._key!r} is no plain value, or the rows are no array")
+        elif self._depth == ROW_DEPTH:
+            self._row = {}
+        else:
+            self._row[self._key] = None  # no field of a row is an object or an array
+
+    def _on_close(self) -> None:
+        self._depth -= 1
+        if self._depth == ROWS_DEPTH:
+            self._end_row(self._row)
+        elif self._depth == OUTSIDE_DEPTH:
+            self._has_ended = True
+
+    def _end_row(self, row: Any) -> None:  # noqa: ANN401 - foreign JSON
+        self.row_count += 1
+        self._on_row(row)
--- /dev/null
+++ b/quota_gateway/net/watch_connection.py
@@ -0,0 +1,265 @@
+"""One watch on discovery: an HTTP exchange whose response goes on and on, an update or a heartbeat a line.
+
+How the timeouts follow from the time after which an update counts as notified:
+docs/decisions/discovery-timeouts.md. How long documents are read: docs/decisions/discovery-long-lists.md.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections.abc import Callable
+from enum import Enum
+from functools import partial
+from typing import Any, Protocol, cast
+
+import httptools
+
+from quota_gateway.errors import DiscoveryError
+from quota_gateway.net.address import Address
+from quota_gateway.net.endpoint_registry import EndpointRegistry
+from quota_gateway.net.endpoint_row import RegistryChange
+from quota_gateway.net.json_lines import HEARTBEAT, JsonLineReader
+from quota_gateway.net.snapshot_reader import StreamingSnapshotReader
+
+log = logging.getLogger(__name__)
+
+# Discovery sends a heartbeat every 2 s: two are missing. It is no longer, so that the next watch is in time.
+HEARTBEAT_TIMEOUT_S = 4.2
+# For the first line of a watch, which comes at once or when it is its turn: where a second watch in a row is
+# silent, a third one is opened before attempts to draining endpoints must have ended.
+FIRST_LINE_TIMEOUT_S = 2.5
+READ_GRACE_S = 0.1  # of either timeout, to read what came while this process was busy
+STREAMING_THRESHOLD_BYTES = 64 * 1024  # from which on a document is read in pieces
+PIECE_BYTES = 16 * 1024  # of a long document that are read in one turn of the loop: some hundred rows
+STATUS_OK = 200
+
+
+class WatchEndReason(Enum):
+    """Why a watch ended, in the words of the log."""
+
+    HEARTBEAT_TIMEOUT = "heartbeat_timeout"
+    RESPONSE_COMPLETE = "response_complete"
+    REJECTED = "rejected"
+    MALFORMED_RESPONSE = "malformed_response"
+    MALFORMED_DOCUMENT = "malformed_document"
+    NEAREST_ENDPOINTS_GONE = "nearest_endpoints_gone"
+    REPLACED = "replaced"
+    STOPPED = "stopped"
+
+
+class LivenessTimer:
+    """Falls due when a watch has given no sign of life for too long."""
+
+    def __init__(self, on_timeout: Callable[[], None]) -> None:
+        self._on_timeout = on_timeout
+        self._handle: asyncio.TimerHandle | None = None
+
+    def restart(self, timeout_s: float) -> None:
+        """Count from now on."""
+        self.cancel()
+        loop = asyncio.get_running_loop()
+        self._handle = loop.call_later(timeout_s - READ_GRACE_S, self._on_grace_begun)
+
+    def cancel(self) -> None:
+        """Count no more."""
+        if self._handle:
+            self._handle.cancel()
+
+    def _on_grace_begun(self) -> None:
+        """Let a busy process read what has come meanwhile: its timers fall due before that is read."""
+        self._handle = asyncio.get_running_loop().call_later(READ_GRACE_S, self._on_timeout)
+
+
+class UpdateReader(Protocol):
+    """What a watch needs of the watcher that opened it."""
+
+    address: Address
+    registry: EndpointRegistry
+    was_rejected: bool
+
+    def read_document(self, document: Any, connection: WatchConnection) -> bool:  # noqa: ANN401 - foreign JSON
+        """Read one update at once; whether its watch goes on."""
+
+    def pass_on(self, change: RegistryChange) -> None:
+        """Hand on what an update tells, or a part of that."""
+
+    def on_document_read(self, generation: int, is_complete_list: bool, connection: WatchConnection) -> bool:
+        """An update has been read to its end; whether its watch goes on."""
+
+    def reject_document(self, error: DiscoveryError, connection: WatchConnection) -> None:
+        """Log what can't be read, keep what is known, and ask for the complete list."""
+
+
+class WatchConnection(asyncio.Protocol):
+    """One HTTP exchange: a chunked response with a JSON object a line, which may be indented.
+
+    Attributes:
+        closed: Done once the connection is gone and all that came on it has been read.
+    """
+
+    def __init__(self, watcher: UpdateReader, target: str) -> None:
+        self.closed: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        self._watcher = watcher
+        self._target = target
+        self._parser = httptools.HttpResponseParser(self)
+        self._transport: asyncio.Transport | None = None
+        self._liveness = LivenessTimer(partial(self.close, WatchEndReason.HEARTBEAT_TIMEOUT))
+        self._incomplete_line = bytearray()
+        self._lines = JsonLineReader()
+        self._long_document: StreamingSnapshotReader | None = None  # while one is read in pieces
+        self._backlog = bytearray()  # that has come meanwhile
+        self._reading: asyncio.Task[None] | None = None
+        self._is_ended = False
+        self._is_response_complete = False
+        self._is_connection_lost = False
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Ask for the list."""
+        # uvloop's transports are not asyncio.Transport by class: no isinstance here
+        self._transport = cast(asyncio.Transport, transport)
+        if self._is_ended:
+            self._transport.abort()
+            return
+        host, port = self._watcher.address
+        self._transport.write(
+            f"GET {self._target} HTTP/1.1\r\nHost: {host}:{port}\r\nAccept: application/json\r\n\r\n".encode()
+        )
+        self._liveness.restart(FIRST_LINE_TIMEOUT_S)
+
+    def close(self, reason: WatchEndReason, detail: object = "none") -> None:
+        """End the exchange; what still comes on it counts no more."""
+        if self._is_ended:
+            return
+        self._is_ended = True
+        self._liveness.cancel()
+        host, port = self._watcher.address
+        log.warning(
+            "discovery watch ended host=%s port=%d reason=%s detail=%s", host, port, reason.value, detail
+        )
+        if self._transport:
+            self._transport.abort()
+
+    def data_received(self, data: bytes) -> None:
+        """Parse bytes of the response."""
+        try:
+            self._parser.feed_data(data)
+        except httptools.HttpParserError as error:
+            self.close(WatchEndReason.MALFORMED_RESPONSE, error)
+
+    def on_headers_complete(self) -> None:
+        """End the exchange if discovery rejects it."""
+        status = self._parser.get_status_code()
+        if status != STATUS_OK:
+            self._watcher.was_rejected = True
+            self.close(WatchEndReason.REJECTED, status)
+
+    def on_body(self, body: bytes) -> None:
+        """Read bytes of the body, at once or behind a long document that is being read."""
+        if self._parser.get_status_code() != STATUS_OK or self._is_ended:
+            return
+        if self._long_document:
+            self._backlog += body
+            self._ensure_reading()
+        else:
+            self._read_lines(body)
+
+    def on_message_complete(self) -> None:
+        """End the exchange, once all that came has been read."""
+        self._is_response_complete = True
+        if self._reading is None:
+            self.close(WatchEndReason.RESPONSE_COMPLETE)
+
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - asyncio.Protocol has it
+        """Tell that the connection is gone, once all that came has been read."""
+        self._is_connection_lost = True
+        if self._reading:
+            return  # which calls this again at its end
+        self._liveness.cancel()
+        if not self.closed.done():
+            self.closed.set_result(None)
+
+    def _read_lines(self, data: bytes) -> None:
+        *lines, rest = (bytes(self._incomplete_line) + data).split(b"\n")
+        self._incomplete_line = bytearray(rest)
+        for number, line in enumerate(lines, start=1):
+            if not self._read_line(line):
+                return
+            if self._lines.size_bytes > STREAMING_THRESHOLD_BYTES:
+                self._read_in_pieces(b"\n".join([self._lines.take_incomplete(), *lines[number:], rest]))
+                return
+        if len(rest) + self._lines.size_bytes > STREAMING_THRESHOLD_BYTES:
+            incomplete = self._lines.take_incomplete()
+            self._read_in_pieces(b"\n".join([incomplete, rest]) if incomplete else rest)
+
+    def _read_line(self, line: bytes) -> bool:
+        """Read one line; whether the watch goes on.
+
+        A document or a heartbeat is a sign of life. Bytes alone are not, as none may ever come of them.
+        """
+        try:
+            document = self._lines.add_line(line)
+        except DiscoveryError as error:
+            self._watcher.reject_document(error, self)
+            return False
+        if document is None:
+            return True
+        self._liveness.restart(HEARTBEAT_TIMEOUT_S)
+        return document is HEARTBEAT or self._watcher.read_document(document, self)
+
+    def _read_in_pieces(self, beginning: bytes) -> None:
+        """Read a long document, of which this much has come, without one long stall of all requests."""
+        self._incomplete_line.clear()
+        self._backlog = bytearray(beginning)
+        self._long_document = StreamingSnapshotReader(self._watcher.registry)
+        self._ensure_reading()
+
+    def _ensure_reading(self) -> None:
+        """Read the backlog, and take no more meanwhile: bytes may come faster than they are read."""
+        if self._reading is None:
+            if self._transport:
+                self._transport.pause_reading()
+            self._reading = asyncio.get_running_loop().create_task(
+                self._read_backlog(), name="read long endpoint list"
+            )
+
+    async def _read_backlog(self) -> None:
+        try:
+            while self._long_document and self._backlog and not self._is_ended:
+                await self._read_piece(self._long_document)
+        except DiscoveryError as error:
+            self._watcher.reject_document(error, self)
+        finally:
+            self._reading = None
+            self._on_backlog_read()
+
+    def _on_backlog_read(self) -> None:
+        if self._is_response_complete:
+            self.close(WatchEndReason.RESPONSE_COMPLETE)
+        if self._is_connection_lost:
+            self.connection_lost(None)
+        elif not self._is_ended and self._transport:
+            self._transport.resume_reading()
+
+    async def _read_piece(self, document: StreamingSnapshotReader) -> None:
+        """Read one piece; behind the last one, pass on what the document tells, some at a time."""
+        piece = bytes(self._backlog[:PIECE_BYTES])
+        del self._backlog[:PIECE_BYTES]
+        row_count_before = document.row_count
+        behind = document.feed(piece)
+        if document.row_count > row_count_before:
+            self._liveness.restart(HEARTBEAT_TIMEOUT_S)
+        await asyncio.sleep(0)
+        if behind is None:
+            return
+        for change in document.changes():
+            if self._is_ended:
+                return
+            self._watcher.pass_on(change)
+            self._liveness.restart(HEARTBEAT_TIMEOUT_S)
+            await asyncio.sleep(0)
+        rest = behind + bytes(self._backlog)
+        self._long_document = None
+        self._backlog.clear()
+        if self._watcher.on_document_read(document.generation, document.is_complete_list, self):
+            self._read_lines(rest)
--- a/quota_gateway/policy/subset.py
+++ b/quota_gateway/policy/subset.py
@@ -9,10 +9,8 @@
 
 from __future__ import annotations
 
-from bisect import bisect_left
-from collections.abc import Iterator
 from hashlib import blake2b
-from math import ceil, inf
+from math import ceil
 from struct import Struct
 
 PLACES = 6.0  # attempts out at a server over all gateways: logic.FIRST_LIMIT, before answers tell more
@@ -45,6 +43,10 @@
         """
         return min(servers, max(self.least, ceil(SPARE * PLACES * servers / self.gateways)))
 
+    def retained(self, listed: int) -> int:
+        """How many names to retain of so many listed servers: the subset and the reserve behind it."""
+        return RESERVE * self.size(listed)
+
     def distance(self, name: str) -> float:
         """How far behind this gateway the server of this name stands, in rings, from 0 to below 1.
 
@@ -57,64 +59,3 @@
     def sharers(self, servers: int) -> float:
         """How many gateways work with one of so many servers, on average; all where all servers fit."""
         return self.gateways * self.size(servers) / servers if servers > 0 else float(self.gateways)
-
-
-class NearestEndpoints:
-    """The nearest names of a list that is read row by row, RESERVE times the subset; iterates nearest first.
-
-    What a row costs depends on how many are kept, not on how many are listed. Each name is to be offered
-    once when it is listed and dropped once when it no longer is, also if it was passed over.
-    """
-
-    def __init__(self, subset: Subset) -> None:
-        self.subset, self.listed = subset, 0
-        self.rows: list[tuple[float, str]] = []  # distance and name, in order
-        self.passed: tuple[float, str] = (inf, "")  # the nearest one that was passed over or displaced
-
-    def __len__(self) -> int:
-        return len(self.rows)
-
-    def __iter__(self) -> Iterator[str]:
-        return (name for _, name in self.rows)
-
-    def __contains__(self, name: str) -> bool:
-        return self._find(name)[2]
-
-    def _find(self, name: str) -> tuple[tuple[float, str], int, bool]:
-        """The name's row, where it stands or would stand, and whether it is kept."""
-        row = self.subset.distance(name), name
-        spot = bisect_left(self.rows, row)
-        return row, spot, spot < len(self.rows) and self.rows[spot] == row
-
-    @property
-    def farthest(self) -> float:
-        """Distance of the farthest name that is kept; 0 without any."""
-        return self.rows[-1][0] if self.rows else 0.0
-
-    def offer(self, name: str) -> tuple[bool, str | None]:
-        """Take note of a name that is listed now: whether it is kept, and which one it displaced."""
-        row, spot, kept = self._find(name)
-        if kept:
-            return True, None
-        self.listed += 1
-        self.rows.insert(spot, row)
-        if len(self.rows) <= RESERVE * self.subset.size(self.listed):
-            return True, None
-        out = self.rows.pop()
-        self.passed = min(self.passed, out)
-        return (False, None) if out == row else (True, out[1])
-
-    def drop(self, name: str) -> bool:
-        """Take note of a name that is listed no more; whether it was kept."""
-        self.listed = max(0, self.listed - 1)
-        _, spot, kept = self._find(name)
-        if kept:
-            del self.rows[spot]
-        return kept
-
-    def sure(self) -> int:
-        """How many of the names, from the nearest on, are certain to be the nearest of the whole list.
-
-        Fewer than the subset's size after many have gone: then the list is to be offered anew, to another.
-        """
-        return bisect_left(self.rows, self.passed)
--- a/scale/hollow.py
+++ b/scale/hollow.py
@@ -23,6 +23,7 @@
 from quota_gateway.net.discovery_client import DiscoveryClient
 from quota_gateway.net.driver import ActiveRequest, Clock, Driver
 from quota_gateway.net.endpoint_registry import EndpointRegistry
+from quota_gateway.net.endpoint_row import RegistryChange
 from quota_gateway.net.upstream_pool import UpstreamPool
 from quota_gateway.policy.engine import PolicyEngine
 from quota_gateway.settings_format import settings_from_document
@@ -43,8 +44,8 @@
 class Versions(EndpointRegistry):
     """A roster that keeps nothing but the version: for gateways that only hold the watch."""
 
-    def read(self, document: Any, known: bool = False) -> tuple[api.EndpointUpdate, dict[int, Address]]:
-        return api.EndpointUpdate(api.UpdateKind.DELTA, (), int(document["generation"])), {}
+    def read(self, document: Any, is_cached: bool = False) -> RegistryChange:
+        return RegistryChange(api.EndpointUpdate(api.UpdateKind.DELTA, (), int(document["generation"])), {})
 
 
 class Hollow:
--- a/scale/subsets.py
+++ b/scale/subsets.py
@@ -25,6 +25,7 @@
 import numpy as np
 from numpy.typing import NDArray
 
+from quota_gateway.net.nearest_endpoints import NearestEndpoints
 from quota_gateway.policy import subset
 
 ZONES, REGIONS, RACK = 15, 4, 40  # zones, the regions they lie in, and servers in a rack
@@ -295,7 +296,7 @@
         return blake2b(f"{name} {gateway}".encode(), digest_size=8).digest()
 
     def stream() -> None:
-        nearest = subset.NearestEndpoints(chosen)
+        nearest = NearestEndpoints(chosen)
         for name in names:
             nearest.offer(name)
 
@@ -330,7 +331,7 @@
 def agree(world: World, fleet: Fleet) -> None:
     """The chosen way, as numbers here and as the gateway does it, gives the same; RuntimeError if not."""
     for gateway in range(0, world.gateways, max(1, world.gateways // 5)):
-        nearest = subset.NearestEndpoints(subset.Subset(world.gateways, gateway, world.least))
+        nearest = NearestEndpoints(subset.Subset(world.gateways, gateway, world.least))
         for index in np.flatnonzero(world.listed):
             nearest.offer(world.names[index])
         if sorted(list(nearest)[: world.size()]) != [world.names[index] for index in fleet[gateway]]:
--- a/tests/net/test_discovery_client.py
+++ b/tests/net/test_discovery_client.py
@@ -2,15 +2,17 @@
 
 import asyncio
 import json
+import random
 import re
 from contextlib import asynccontextmanager
 
 import pytest
 
 from quota_gateway import EndpointLifecycle, UpdateKind
-from quota_gateway.net import discovery_client as module
-from quota_gateway.net.discovery_client import DiscoveryClient, DiscoveryWatcher
+from quota_gateway.net import discovery_watch, reconnect_backoff, watch_connection
+from quota_gateway.net.discovery_client import DiscoveryClient
 from quota_gateway.net.endpoint_registry import EndpointRegistry
+from quota_gateway.net.reconnect_backoff import ReconnectBackoff
 from tests.support.fakes import FakeDiscovery, chunk, listing, row, run
 
 
@@ -145,7 +147,7 @@
 
 
 def test_bytes_that_never_make_a_list_are_no_sign_of_life(monkeypatch):
-    monkeypatch.setattr(module, "SILENT_S", 0.3)
+    monkeypatch.setattr(watch_connection, "HEARTBEAT_TIMEOUT_S", 0.3)
 
     async def test():
         async with watched() as (_, fake, news):
@@ -165,8 +167,8 @@
 
 
 def test_new_watch_that_says_nothing_is_given_up_sooner_than_one_that_has_spoken(monkeypatch):
-    monkeypatch.setattr(module, "SILENT_S", 3600.0)
-    monkeypatch.setattr(module, "FIRST_S", 0.05)
+    monkeypatch.setattr(watch_connection, "HEARTBEAT_TIMEOUT_S", 3600.0)
+    monkeypatch.setattr(watch_connection, "FIRST_LINE_TIMEOUT_S", 0.05)
 
     async def test():
         async with watched() as (_, fake, news):
@@ -175,7 +177,7 @@
             _, watch = await fake.watch()
             watch.write(chunk(listing(5, row("s-1", 1), reset=True)))
             await news.get()
-            await asyncio.sleep(4.0 * module.FIRST_S)
+            await asyncio.sleep(4.0 * watch_connection.FIRST_LINE_TIMEOUT_S)
             assert fake.targets.empty()  # it has spoken, and may be silent for longer
             watch.write(chunk(listing(6, row("s-1", 2))))
             await news.get()
@@ -185,15 +187,17 @@
 
 def test_agent_that_is_silent_or_refuses_is_asked_again_within_the_time_in_which_sends_must_end():
     async def test():
-        feed = DiscoveryWatcher(
-            DiscoveryClient(EndpointRegistry(), lambda *told: None, lambda: None, 1), ("127.0.0.1", 9)
-        )
-        feed.end()
-        waits = [feed._wait() for _ in range(20)]
-        assert max(waits) <= module.AGENT_S
+        backoff = ReconnectBackoff(random.Random(1))
+        waits = [backoff.next_wait_s(was_rejected=False) for _ in range(20)]
+        assert max(waits) <= reconnect_backoff.MAX_LOCAL_BACKOFF_S
         # a watch falls silent, and the next one is too, or does not come up: the third one is opened within
         # the 6 s after which its news counts as told and the 2 s in which sends must have ended
-        assert module.SILENT_S + sum(waits[:2]) + max(module.CONNECT_S, module.FIRST_S) < 6.0 + 2.0
+        assert (
+            watch_connection.HEARTBEAT_TIMEOUT_S
+            + sum(waits[:2])
+            + max(discovery_watch.CONNECT_TIMEOUT_S, watch_connection.FIRST_LINE_TIMEOUT_S)
+            < 6.0 + 2.0
+        )
 
     run(test())
 
@@ -210,7 +214,7 @@
 
 
 def test_watch_without_a_line_is_dead_and_replaced(monkeypatch):
-    monkeypatch.setattr(module, "SILENT_S", 0.05)
+    monkeypatch.setattr(watch_connection, "HEARTBEAT_TIMEOUT_S", 0.05)
 
     async def test():
         async with watched() as (_, fake, news):
@@ -283,17 +287,12 @@
 
 def test_gateways_that_are_turned_away_ask_again_later_each_time_and_not_in_step():
     async def test():
-        feeds = [
-            DiscoveryWatcher(
-                DiscoveryClient(EndpointRegistry(), lambda *told: None, lambda: None, seed), ("127.0.0.1", 9)
-            )
-            for seed in range(40)
-        ]
-        for feed in feeds:
-            feed.end()
-            feed.turned_away = True
-        waits = [[feed._wait() for _ in range(12)] for feed in feeds]
-        assert all(0.5 * module.BACKOFF_S[0] <= first[0] <= module.BACKOFF_S[0] for first in waits)
+        backoffs = [ReconnectBackoff(random.Random(seed)) for seed in range(40)]
+        waits = [[backoff.next_wait_s(was_rejected=True) for _ in range(12)] for backoff in backoffs]
+        assert all(
+            0.5 * reconnect_backoff.FIRST_BACKOFF_S <= first[0] <= reconnect_backoff.FIRST_BACKOFF_S
+            for first in waits
+        )
         # once each has been turned away often, forty gateways ask ten to twenty times a second at most
         assert 10.0 <= sum(1.0 / last[-1] for last in waits) <= 20.0
         assert max(last[-1] for last in waits) <= 4.0  # and each well within the ten seconds it has
@@ -303,9 +302,9 @@
 
 
 def test_server_that_is_gone_is_forgotten_by_name():
-    registry = module.EndpointRegistry()
+    registry = EndpointRegistry()
     registry.read({"generation": 1, "reset": True, "instances": [row("s-1", 1), row("s-2", 2)]})
-    told, _ = registry.read({"generation": 2, "reset": False, "instances": [row("s-1", 1, "Gone")]})
+    told = registry.read({"generation": 2, "reset": False, "instances": [row("s-1", 1, "Gone")]}).update
     assert told.endpoints[0].state is EndpointLifecycle.GONE and set(registry.numbers) == {"s-2"}
     (second,) = registry.numbers.values()
     registry.read({"generation": 3, "reset": False, "instances": [row("s-2", 2, "Gone")]})
@@ -335,7 +334,7 @@
                     2,
                     3,
                 ]  # s-2 keeps its number
-                assert discovery.feed.address == ("127.0.0.1", other.port) and discovery.next is None
+                assert discovery.active.address == ("127.0.0.1", other.port) and discovery.candidate is None
                 await fake.ended.get()  # the old one has been closed
                 fake, old = other, watch
 
--- a/tests/net/test_large_endpoint_lists.py
+++ b/tests/net/test_large_endpoint_lists.py
@@ -20,10 +20,10 @@
     StartAttempt,
     UpdateKind,
 )
-from quota_gateway.net import discovery_client as module
-from quota_gateway.net import endpoint_registry as roster_module
+from quota_gateway.net import snapshot_reader, watch_connection
 from quota_gateway.net.discovery_client import DiscoveryClient
-from quota_gateway.net.endpoint_registry import EndpointRegistry, StreamingSnapshotReader
+from quota_gateway.net.endpoint_registry import EndpointRegistry
+from quota_gateway.net.snapshot_reader import StreamingSnapshotReader
 from quota_gateway.policy.subset import Subset
 from tests.support.engine_harness import SETTINGS, Rig
 from tests.support.fakes import FakeDiscovery, FakeServer, call, chunk, listing, node, row, run, until
@@ -59,7 +59,7 @@
     """Wait until this version has been read; how many turns others have had meanwhile."""
     turns = 0
     async with asyncio.timeout(30.0):
-        while not (discovery.feed and discovery.feed.generation == generation):
+        while not (discovery.active and discovery.active.generation == generation):
             await asyncio.sleep(0)
             turns += 1
     return turns
@@ -92,11 +92,13 @@
         whole = listing(7, *rows(*range(SERVERS)), reset=True)
         watch.write(chunk(whole))
         turns = await read_up(discovery, 7)
-        assert turns >= len(whole) / module.PIECE  # the others have had a turn after each piece
+        assert (
+            turns >= len(whole) / watch_connection.PIECE_BYTES
+        )  # the others have had a turn after each piece
         names = [line["instanceId"] for line in rows(*range(SERVERS))]
         assert set(known) == nearest(subset, names, 2 * SIZE) == set(discovery.registry.rows)
         # a server that is not near costs its name: no row, no number, nothing told
-        assert len(discovery.registry.others) == SERVERS - 2 * SIZE
+        assert len(discovery.registry.other_names) == SERVERS - 2 * SIZE
         assert len(discovery.registry.numbers) == 2 * SIZE
         watch.write(chunk(listing(8, *rows(SERVERS + 1, *range(0, 200)))))
         await read_up(discovery, 8)
@@ -164,14 +166,14 @@
 
 
 def test_rows_without_end_are_given_up_within_a_bound_on_memory(monkeypatch):
-    monkeypatch.setattr(roster_module, "MOST_LISTED", 2000)
+    monkeypatch.setattr(snapshot_reader, "MAX_LISTED", 2000)
     long = StreamingSnapshotReader(EndpointRegistry(FEW))
     with pytest.raises(ValueError):
-        long.take(
+        long.feed(
             b'{"generation":2,"reset":true,"instances":['
             + b",".join(json.dumps(line).encode() for line in rows(*range(3000)))
         )
-    assert len(long.reading.others) <= 2001
+    assert len(long.reader.other_names) <= 2001
 
 
 NUMBERS = st.integers(0, 120)
@@ -198,10 +200,10 @@
     long, text = StreamingSnapshotReader(registry), json.dumps(document, indent=indent).encode() + b"\nrest"
     try:
         for at in range(0, len(text), cut):
-            if (behind := long.take(text[at : at + cut])) is not None:
+            if (behind := long.feed(text[at : at + cut])) is not None:
                 break
         assert behind is not None and b"rest".startswith(behind)
-        news = [listing for listing, _ in long.news()]
+        news = [change.update for change in long.changes()]
     except ValueError:
         return None
     return [entry for told in news for entry in told.endpoints]
@@ -216,7 +218,7 @@
         document = {"generation": generation, "reset": reset, "instances": lines}
         told = told_in_parts(in_pieces, document, indent, cut)
         try:
-            listing, _ = at_once.read(document)
+            listing = at_once.read(document).update
         except ValueError:
             assert told is None
             return
@@ -224,12 +226,12 @@
         for entry in told:
             known[entry.name] = entry.state
         assert in_pieces.rows == at_once.rows and list(in_pieces.nearest) == list(at_once.nearest)
-        assert in_pieces.others == at_once.others and set(in_pieces.rows) == set(in_pieces.nearest)
-        assert in_pieces.nearest.listed == len(in_pieces.rows) + len(in_pieces.others)
+        assert in_pieces.other_names == at_once.other_names and set(in_pieces.rows) == set(in_pieces.nearest)
+        assert in_pieces.nearest.listed == len(in_pieces.rows) + len(in_pieces.other_names)
         left = {name for name, state in known.items() if state is not EndpointLifecycle.GONE}
         assert left == set(in_pieces.rows) == set(in_pieces.numbers)
-    at_once_names = at_once.others | set(at_once.rows)
-    if not at_once.used_up():
+    at_once_names = at_once.other_names | set(at_once.rows)
+    if not at_once.needs_complete_list():
         size = FEW.size(len(at_once_names))
         assert set(list(at_once.nearest)[:size]) == nearest(FEW, at_once_names, size)
 
@@ -246,7 +248,10 @@
             watch.write(chunk(listing(2, *rows(*left), reset=True)))
             await read_up(discovery, 2)
             names = [line["instanceId"] for line in rows(*left)]
-            assert nearest(FEW, names, FEW.size(len(left))) <= set(known) and not discovery.registry.used_up()
+            assert (
+                nearest(FEW, names, FEW.size(len(left))) <= set(known)
+                and not discovery.registry.needs_complete_list()
+            )
 
     run(test())
 
@@ -254,7 +259,7 @@
 def test_server_of_which_no_row_is_kept_is_known_to_operators_and_keeps_its_number_when_it_is_near():
     registry = EndpointRegistry(FEW)
     registry.read({"generation": 1, "reset": True, "instances": rows(*range(1000))})
-    name = sorted(registry.others, key=FEW.distance)[0]
+    name = sorted(registry.other_names, key=FEW.distance)[0]
     assert registry.is_known(name) and registry.find(name) is None and not registry.is_known("s-none")
     number = registry.number_of(name)
     gone = [int(near[2:]) for near in list(registry.nearest)[:3]]
@@ -374,7 +379,7 @@
     def tell(self, whole: bool, numbers: list[int]) -> None:
         started = int(self.now) if self.draw.random() < 0.3 else 0
         lines = [row(f"s-{number}", 1, self.states[number], started) for number in numbers]
-        self.do(self.registry.read({"generation": 1, "reset": whole, "instances": lines})[0])
+        self.do(self.registry.read({"generation": 1, "reset": whole, "instances": lines}).update)
 
     def do(self, event) -> list:
         actions = super().do(event)
@@ -416,9 +421,7 @@
     rig = Crossing(seed)
     for _ in range(600):
         rig.step()
-        assert {server.id for server in rig.gateway.servers.values()} == set(
-            rig.registry.numbers.values()
-        )
+        assert {server.id for server in rig.gateway.servers.values()} == set(rig.registry.numbers.values())
         most = FEW.size(rig.gateway.listed)
         assert len(rig.gateway.ready) <= 2 * most
     rig.run(10_000.0)
--- /dev/null
+++ b/tests/net/test_registry_state.py
@@ -0,0 +1,82 @@
+"""The endpoint registry on the channel between two processes, also of different versions."""
+
+import json
+
+import pytest
+
+from quota_gateway import Endpoint, EndpointLifecycle, EndpointUpdate, UpdateKind
+from quota_gateway.errors import StateError
+from quota_gateway.net.endpoint_registry import EndpointRegistry
+from quota_gateway.net.registry_state import RegistryState
+from tests.support.fakes import row
+
+# Recorded from the version before these modules were split (commit 4431b5a): s-1 and s-2 were listed, s-1
+# went, s-3 came, s-1 was taken out by operators.
+RECORDED = (
+    '{"rows": [{"instanceId": "s-2", "hostPort": "127.0.0.1:2", "zone": "a", "machineType": "m"'
+    ', "cell": 0, "lifecycle": "Ready", "weight": 1.0, "startedAtMs": 0}, {"instanceId": "s-3",'
+    ' "hostPort": "127.0.0.1:3", "zone": "a", "machineType": "m", "cell": 0, "lifecycle": "Read'
+    'y", "weight": 1.0, "startedAtMs": 0}], "numbers": {"s-2": 2, "s-3": 3}, "absent": {"s-1": '
+    '1}, "barred": ["s-1"]}'
+)
+
+
+def registry_with_history() -> EndpointRegistry:
+    registry = EndpointRegistry()
+    registry.read({"generation": 1, "reset": True, "instances": [row("s-1", 1), row("s-2", 2)]})
+    registry.read({"generation": 2, "reset": False, "instances": [row("s-1", 1, "Gone"), row("s-3", 3)]})
+    registry.detached.add("s-1")
+    return registry
+
+
+def test_exported_state_is_to_the_byte_what_the_version_before_wrote():
+    assert json.dumps(registry_with_history().export_state()) == RECORDED
+
+
+def test_state_that_the_version_before_wrote_is_restored():
+    registry = EndpointRegistry()
+    known_list = registry.restore_state(json.loads(RECORDED))
+    assert registry.detached == {"s-1"}
+    change = registry.read(known_list, is_cached=True)
+    assert change.update == EndpointUpdate(
+        UpdateKind.CACHED,
+        (
+            Endpoint(2, "a", kind="m", state=EndpointLifecycle.READY, name="s-2"),
+            Endpoint(3, "a", kind="m", state=EndpointLifecycle.READY, name="s-3"),
+        ),
+        version=0,
+        listed=2,
+    )
+    assert change.addresses == {2: ("127.0.0.1", 2), 3: ("127.0.0.1", 3)}
+    assert registry.numbers == {"s-2": 2, "s-3": 3}
+    assert registry.absent == {"s-1": 1}
+    assert registry.number_of("s-4") == 4  # no number is given twice
+    assert json.dumps(RegistryState.from_json(json.loads(RECORDED)).to_json()) == RECORDED
+
+
+@pytest.mark.parametrize(
+    "changes",
+    [
+        {"numbers": None},
+        {"numbers": {"s-2": "two"}},
+        {"numbers": {"s-2": 1}},
+        {"absent": []},
+        {"rows": 7},
+        {"barred": None},
+        {"barred": ["s-9"]},
+    ],
+)
+def test_malformed_state_is_rejected_and_nothing_of_it_is_restored(changes):
+    registry = registry_with_history()
+    before = json.dumps(registry.export_state())
+    with pytest.raises(StateError, match="endpoint registry"):
+        registry.restore_state({**json.loads(RECORDED), **changes})
+    assert json.dumps(registry.export_state()) == before
+
+
+@pytest.mark.parametrize("key", ["rows", "numbers", "absent", "barred"])
+def test_state_without_one_of_its_keys_is_rejected(key):
+    document = json.loads(RECORDED)
+    del document[key]
+    with pytest.raises(StateError, match=key):
+        EndpointRegistry().restore_state(document)
--- a/tests/unit/test_subset.py
+++ b/tests/unit/test_subset.py
@@ -6,9 +6,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from quota_gateway.net.nearest_endpoints import NearestEndpoints
 from quota_gateway.policy import engine as logic
 from quota_gateway.policy import subset
-from quota_gateway.policy.subset import NearestEndpoints, Subset
+from quota_gateway.policy.subset import Subset
 
 FLEETS = st.tuples(st.integers(1, 400), st.integers(1, 400), st.integers(1, 40))  # gateways, servers, least
 SEEDS = st.integers(0, 1 << 30)
@@ -143,7 +144,7 @@
     assert list(nearest) == sorted(kept, key=lambda name: (view.distance(name), name))
     assert nearest.listed == len(listed)
     assert nearest.farthest == max((view.distance(name) for name in kept), default=0.0)
-    sure = nearest.sure()
+    sure = nearest.certain_count()
     assert list(nearest)[:sure] == ranked[:sure]
     if steps == 0 and view.size(servers) in (least, servers):
         assert sure >= view.size(servers)
@@ -159,7 +160,7 @@
             nearest = NearestEndpoints(view)
             for name in order:
                 nearest.offer(name)
-            assert nearest.sure() >= view.size(servers)
+            assert nearest.certain_count() >= view.size(servers)
             assert list(nearest)[: view.size(servers)] == own(view, names)
 
 
@@ -170,8 +171,8 @@
     nearest = NearestEndpoints(view)
     for name in ranked:
         nearest.offer(name)
-    assert 0 < nearest.sure() < view.size(3000)
-    assert list(nearest)[: nearest.sure()] == ranked[: nearest.sure()]
+    assert 0 < nearest.certain_count() < view.size(3000)
+    assert list(nearest)[: nearest.certain_count()] == ranked[: nearest.certain_count()]
 
 
 def test_a_name_that_is_offered_twice_is_kept_once():
