--- /dev/null
+++ b/quota_gateway/net/endpoint_row.py
@@ -0,0 +1,115 @@
+"""One row of discovery's endpoint list: foreign JSON in, a checked endpoint with its address out."""
+
+from __future__ import annotations
+
+import socket
+from collections.abc import Callable
+from dataclasses import dataclass
+from math import isfinite
+from typing import Any, NamedTuple
+
+from quota_gateway import model as api
+from quota_gateway.errors import DiscoveryError
+from quota_gateway.net.address import Address
+
+MAX_NAME_LENGTH = 256  # characters: names are kept for each listed endpoint, also where no row is
+PORT_LIMIT = 1 << 16  # the first number that is no TCP port
+LIFECYCLE_GONE = "Gone"  # discovery's word for an endpoint that is listed no more
+LIFECYCLES = {  # by discovery's words
+    "Ready": api.EndpointLifecycle.READY,
+    "Terminating": api.EndpointLifecycle.DRAINING,
+    LIFECYCLE_GONE: api.EndpointLifecycle.GONE,
+}
+NO_ADDRESS: Address = ("", 0)  # of an endpoint that is gone: nothing connects to it any more
+
+EndpointRow = dict[str, Any]  # a row as discovery gave it
+
+
+class AddressedEndpoint(NamedTuple):
+    """An endpoint as the policy engine knows it, and where it is reached.
+
+    A named tuple, as one is made for each row and a frozen dataclass takes twice as long to make.
+    """
+
+    endpoint: api.Endpoint
+    address: Address
+
+
+@dataclass(frozen=True, slots=True)
+class RegistryChange:
+    """What an update of the endpoint list tells.
+
+    Attributes:
+        update: What the policy engine is told.
+        addresses: By its number, where each endpoint of the update is reached.
+    """
+
+    update: api.EndpointUpdate
+    addresses: dict[int, Address]
+
+
+def name_in(row: object) -> str | None:
+    """The name that a row gives its endpoint; None if it has none that can be used."""
+    if not isinstance(row, dict):
+        return None
+    name = row.get("instanceId")
+    return name if isinstance(name, str) and 0 < len(name) <= MAX_NAME_LENGTH else None
+
+
+def parse_row(row: EndpointRow, number_for: Callable[[str], int]) -> AddressedEndpoint:
+    """Read one row.
+
+    Args:
+        row: The row as discovery gave it.
+        number_for: Gives an endpoint its number by its name; called once everything else is checked.
+
+    Raises:
+        DiscoveryError: A field is missing, of another type, or out of range.
+    """
+    try:
+        return _parse_fields(row, number_for)
+    except (ValueError, KeyError, TypeError, AttributeError, OverflowError, OSError) as error:
+        raise DiscoveryError(f"endpoint row is malformed: {error!r}") from error
+
+
+def _parse_fields(row: EndpointRow, number_for: Callable[[str], int]) -> AddressedEndpoint:
+    address = _parse_address(row["hostPort"])
+    name = row["instanceId"]
+    zone = row["zone"]
+    kind = row.get("machineType") or ""
+    size = float(row.get("weight") or 1.0)
+    started_ms = float(row.get("startedAtMs") or 0.0)
+    lifecycle = LIFECYCLES[row["lifecycle"]]
+    cell = row.get("cell") or 0
+    if not (
+        name_in(row) is not None
+        and isinstance(zone, str)
+        and isinstance(kind, str)
+        and isinstance(cell, int)
+        and isfinite(size)
+        and isfinite(started_ms)
+    ):
+        raise DiscoveryError(
+            f"out of range: instanceId {name!r:.80}, zone {zone!r:.80}, machineType {kind!r:.80}, "
+            f"cell {cell!r:.80}, weight {size}, startedAtMs {started_ms}"
+        )
+    endpoint = api.Endpoint(
+        server=number_for(name),
+        zone=zone,
+        kind=kind,
+        cell=cell,
+        state=lifecycle,
+        size=size,
+        started_ms=started_ms,
+        name=name,
+    )
+    return AddressedEndpoint(endpoint, address)
+
+
+def _parse_address(host_port: str) -> Address:
+    host, _, port_text = host_port.rpartition(":")
+    canonical_host = socket.inet_ntoa(socket.inet_aton(host))
+    port = int(port_text)
+    if not 0 < port < PORT_LIMIT:
+        raise DiscoveryError(f"hostPort {host_port!r} has a port out of range")
+    return canonical_host, port
--- a/scale/hollow.py
+++ b/scale/hollow.py
@@ -14,6 +14,7 @@
 from quota_gateway.net.discovery_client import DiscoveryClient
 from quota_gateway.net.driver import ActiveRequest, Clock, Driver
 from quota_gateway.net.endpoint_registry import EndpointRegistry
+from quota_gateway.net.endpoint_row import RegistryChange
 from quota_gateway.net.upstream_pool import UpstreamPool
 from quota_gateway.policy.engine import PolicyEngine
 from quota_gateway.settings_format import settings_from_document
@@ -47,10 +48,11 @@
 
     def read(  # noqa: D102 - documented by EndpointRegistry
         self,
-        document: Any,  # noqa: ANN401 - foreign JSON
-        known: bool = False,  # noqa: ARG002 - EndpointRegistry's signature
-    ) -> tuple[model.EndpointUpdate, dict[int, Address]]:
-        return model.EndpointUpdate(model.UpdateKind.DELTA, (), int(document["generation"])), {}
+        document: Any,
+        is_cached: bool = False,  # noqa: ARG002 - EndpointRegistry's signature
+    ) -> RegistryChange:
+        version = int(document["generation"])
+        return RegistryChange(model.EndpointUpdate(model.UpdateKind.DELTA, (), version), {})
 
 
 class HollowGateway:
--- a/scale/subsets.py
+++ b/scale/subsets.py
@@ -16,6 +16,7 @@
 import msgspec
 import numpy as np
 
+from quota_gateway.net.nearest_endpoints import NearestEndpoints
 from quota_gateway.policy import subset
 from scale.subset_metrics import (
     SERVERS_PER_RACK,
@@ -56,7 +57,7 @@
         RuntimeError: They differ for some gateway.
     """
     for gateway in range(0, topology.gateways, max(1, topology.gateways // VERIFIED_GATEWAYS)):
-        nearest = subset.NearestEndpoints(subset.Subset(topology.gateways, gateway, topology.minimum_size))
+        nearest = NearestEndpoints(subset.Subset(topology.gateways, gateway, topology.minimum_size))
         for index in topology.listed_indexes():
             nearest.offer(topology.names[index])
         chosen = sorted(list(nearest)[: topology.subset_size()])
