--- a/tests/net/test_large_endpoint_lists.py
+++ b/tests/net/test_large_endpoint_lists.py
@@ -68,7 +68,7 @@
 
 @asynccontextmanager
 async def few_known():
-    """A client that has read a list of a thousand endpoints; the fake it watches, its watch, what is known."""
+    """A client that has read a list of 1,000 endpoints; the fake it watches, its watch, what is known."""
     fake = await FakeDiscovery().start()
     discovery, known = follow(FEW, fake.port)
     _, watch = await fake.watch()
