--- a/scale/subset_timing.py
+++ b/scale/subset_timing.py
@@ -11,6 +11,7 @@
 from math import ceil
 from typing import NamedTuple
 
+from quota_gateway.net.nearest_endpoints import NearestEndpoints
 from quota_gateway.policy import subset
 from scale.subset_strategies import CHOSEN_STRATEGY, Topology
 
@@ -44,7 +45,7 @@
     sharers = min(topology.gateways, ceil(own_subset.sharers(rows)))
 
     def offer_all() -> None:
-        nearest = subset.NearestEndpoints(own_subset)
+        nearest = NearestEndpoints(own_subset)
         for name in names:
             nearest.offer(name)
 
