--- a/quota_gateway/net/handover_sender.py
+++ b/quota_gateway/net/handover_sender.py
@@ -183,8 +183,10 @@
         if released is None:
             return
         descriptor, resumed = released
-        connection = PassedConnection(resumed.spoke, resumed.asked, resumed.owing_s)
-        channel.send(ChannelMessage(connection.to_json(), resumed.read, descriptor))
+        connection = PassedConnection(
+            resumed.has_sent_command, resumed.request_count, resumed.command_due_for_s
+        )
+        channel.send(ChannelMessage(connection.to_json(), resumed.partial_command, descriptor))
 
     def _report_descriptors(self, channel: ProcessChannel) -> None:
         """Tell what this process still has of the limits that both share, when it has changed."""
--- a/tests/process/test_upgrade.py
+++ b/tests/process/test_upgrade.py
@@ -145,7 +145,7 @@
             old.send_signal(signal.SIGTERM)
             assert await idle.request(encode_call(number + 1)) == b"%016x" % (
                 number + 1
-            )  # at the very moment
+            )  # as the previous process begins to stop
             at = next(
                 n
                 for n, words in enumerate(host.upstream.commands)
@@ -235,13 +235,15 @@
         command = encode_call(1, "post", body=b"x" * 100_000)
         half.send(command[:70_000])
         await wait_until(
-            lambda: any(len(client.reader.buffer) > 60_000 for client in old.client_listener.connections)
+            lambda: any(
+                len(client.intake.reader.buffer) > 60_000 for client in old.client_listener.connections
+            )
         )
         busy.send(encode_call(7), encode_call(8))
         await wait_until(lambda: len(old.driver.active_requests) == 2 or len(server.commands) == 2)
         handover_state = await request_handover(new.handover.path)
         new.client_listener.stop_listening()
-        new.client_listener.leaving = False
+        new.client_listener.is_stopping = False
         new.client_listener.adopt(handover_state.listener)
         new.handover.took_over(handover_state, 0)
         half.send(command[70_000:])
