--- a/tests/net/test_descriptors.py
+++ b/tests/net/test_descriptors.py
@@ -11,8 +11,7 @@
 
 import pytest
 
-from quota_gateway import AttemptStatus, Endpoint, EndpointUpdate, UpdateKind
-from quota_gateway import resources
+from quota_gateway import AttemptStatus, Endpoint, EndpointUpdate, UpdateKind, resources
 from quota_gateway.net.attempt import Attempt
 from quota_gateway.net.upstream_pool import UpstreamPool
 from tests.support import gateway_process
