--- a/tests/process/test_invalid_configuration.py
+++ b/tests/process/test_invalid_configuration.py
@@ -7,7 +7,7 @@
 import pytest
 
 from quota_gateway.__main__ import EXIT_INVALID_CONFIGURATION
-from tests.process.test_process import ROOT, command
+from tests.support.gateway_process import ROOT, command
 from tests.unit.test_config import DOCUMENT, MALFORMED_FIELDS, MALFORMED_FILES, write
 
 
--- a/tests/process/test_restarts.py
+++ b/tests/process/test_restarts.py
@@ -1,13 +1,15 @@
 """Readiness after a start, whatever state discovery is in and whether any server is known."""
 
 import asyncio
-import sys
+from typing import Self
 
 import pytest
 
-from tests.process import test_process as process_module
-from tests.process.test_process import connect, program, until_ready
-from tests.support.fakes import FakeDiscovery, FakeServer, array, call, chunk, listing, row, run
+from tests.process.test_process import POLL_INTERVAL_S, run_by_code, until_ready
+from tests.support.fake_discovery import FakeDiscovery, encode_chunk, encode_update, make_instance
+from tests.support.fake_upstream import FakeUpstream
+from tests.support.gateway_process import connect, program
+from tests.support.resp_encoding import encode_call, encode_reply
 
 FAULTS = ("connection refused", "status 503", "silent")
 
@@ -19,7 +21,7 @@
         super().__init__()
         self.fault = fault
 
-    async def start(self) -> FakeDiscovery:
+    async def start(self) -> Self:
         """Begin, refusing connections where that is the fault."""
         await super().start()
         if self.fault == "connection refused":
@@ -39,45 +41,43 @@
     async def recover(self) -> None:
         """Serve as discovery should from now on."""
         if self.fault == "connection refused":
-            self.server = await asyncio.start_server(self._serve, "127.0.0.1", self.port)
+            self.server = await asyncio.start_server(self._accept, "127.0.0.1", self.port)
         self.fault = ""
 
 
 async def restart(folder, fault: str, known: int) -> None:
     """One process from its start until it has heard discovery again and serves by that."""
     folder.mkdir()
-    old = await FakeServer(lambda _words: array(b"old")).start()
-    new = await FakeServer(lambda _words: array(b"new")).start()
-    discovery = await FaultyDiscovery(fault).start()
-    async with program(folder, old, known=known, discovery=discovery) as (process, port, _):
-        peer, number = await connect(port), 1
-        await until_ready(peer)
-        assert discovery.targets.empty()  # it has heard nothing
+    async with (
+        FakeUpstream(lambda _: encode_reply(b"old")) as old,
+        FakeUpstream(lambda _: encode_reply(b"new")) as new,
+        FaultyDiscovery(fault) as discovery,
+        program(folder, old, known=known, discovery=discovery) as (process, port, _),
+    ):
+        client, number = await connect(port), 1
+        await until_ready(client)
+        assert discovery.request_targets.empty()  # it has heard nothing
         if known:
-            assert await peer.ask(call(number)) == b"old"
+            assert await client.request(encode_call(number)) == b"old"
         await discovery.recover()
-        _, watch = await discovery.watch()
-        watch.write(chunk(listing(2, row("s-new", new.port), reset=True)))
-        while await peer.ask(call(number := number + 1)) != b"new":  # noqa: ASYNC110 - asked from outside
-            await asyncio.sleep(0.01)
+        _, watch = await discovery.next_watch()
+        watch.write(encode_chunk(encode_update(2, make_instance("s-new", new.port), reset=True)))
+        while await client.request(encode_call(number := number + 1)) != b"new":  # noqa: ASYNC110 - asked from outside
+            await asyncio.sleep(POLL_INTERVAL_S)
         assert process.returncode is None
 
 
 @pytest.mark.parametrize("known", [2, 0])
-def test_restarted_process_is_ready_and_serves_whatever_state_discovery_is_in(known, tmp_path):
-    async def test():
-        await asyncio.gather(*(restart(tmp_path / fault, fault, known) for fault in FAULTS))
-
-    run(test())
+async def test_restarted_process_is_ready_and_serves_whatever_state_discovery_is_in(known, tmp_path):
+    await asyncio.gather(*(restart(tmp_path / fault, fault, known) for fault in FAULTS))
 
 
 @pytest.mark.parametrize("fault", ["connection refused", "status 503"])
-def test_process_that_discovery_refuses_serves_by_the_known_list_at_once(fault, tmp_path, monkeypatch):
+async def test_process_that_discovery_refuses_serves_by_the_known_list_at_once(fault, tmp_path, monkeypatch):
     code = (
         "from quota_gateway import __main__ as program, server\n"
         "server.FIRST_UPDATE_TIMEOUT_S = 3600.0\n"
         "raise SystemExit(program.main())"
     )
-    monkeypatch.setattr(process_module, "command", lambda: f'exec {sys.executable} -c "$CODE"')
-    monkeypatch.setenv("CODE", code)
-    run(restart(tmp_path / fault, fault, 2))
+    run_by_code(monkeypatch, code)
+    await restart(tmp_path / fault, fault, 2)
--- a/tests/process/test_upgrade.py
+++ b/tests/process/test_upgrade.py
@@ -25,7 +25,6 @@
 )
 from quota_gateway.net.handover import rendezvous_path, request_handover
 from tests.net.test_detachments import http, post
-from tests.process.test_process import ROOT, SETTINGS, command, connect, free_port
 from tests.support.engine_harness import Rig, entry, rig_with
 from tests.support.fakes import (
     FakeDiscovery,
@@ -41,6 +40,8 @@
     run,
     until,
 )
+from tests.support.gateway_process import PROCESS_SETTINGS as SETTINGS
+from tests.support.gateway_process import ROOT, command, connect, free_port
 
 
 class Platform:
--- a/tests/unit/test_config.py
+++ b/tests/unit/test_config.py
@@ -13,7 +13,7 @@
 from quota_gateway.errors import ConfigError
 from quota_gateway.json_document import MAX_SHOWN_CHARACTERS, invalid_field
 from quota_gateway.resources import MEGABYTE
-from tests.unit.test_simulator import ENV
+from tests.support.settings_document import SETTINGS_DOCUMENT
 
 DOCUMENT: dict[str, Any] = {
     "name": "n0",
@@ -23,7 +23,7 @@
     "seed": "8c1f30d27a5be964",
     "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
     "known": {"generation": 1, "reset": True, "instances": []},
-    "settings": ENV,
+    "settings": SETTINGS_DOCUMENT,
 }
 MISSING = object()
 
--- a/tests/unit/test_simulator.py
+++ b/tests/unit/test_simulator.py
@@ -9,73 +9,11 @@
 
 import pytest
 
+from tests.support.settings_document import SETTINGS_DOCUMENT
+
 ROOT = Path(__file__).parent.parent.parent
 SIM = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["sim"]
 
-ENV = {
-    "balancers": 2,
-    "slot_no": 0,
-    "locality": "a",
-    "discovery": "automatic",
-    "tick_ms": 2.0,
-    "services": [
-        {
-            "name": "read",
-            "slo_ms": 500.0,
-            "hard_limit_ms": 2000.0,
-            "effect": "safe",
-            "value": 1.0,
-            "late_share": 0.0,
-            "key_scope": "all",
-            "memory_span_ms": 5000.0,
-            "stream": False,
-        }
-    ],
-    "tariffs": [
-        {
-            "name": "basic",
-            "refill": 2.0,
-            "most_at_once": 4.0,
-            "parallel": 0,
-            "value_factor": 1.0,
-            "excess_worth": 0.0,
-            "overrun_cost": 1.0,
-            "cap_rate": 0.0,
-            "cap_depth": 0.0,
-            "hard_slack": 0.0,
-        }
-    ],
-    "limits": {
-        "attempts_cap": 3,
-        "may_duplicate": False,
-        "cancelling": True,
-        "probes": False,
-        "peers": False,
-        "retry_after": False,
-        "open_cap": 1000,
-        "connect_timeout_ms": 250.0,
-        "max_retry_after_ms": 0.0,
-    },
-    "contract": {
-        "answer_slack_ms": 8.0,
-        "drain_grace_ms": 1000.0,
-        "start_capacity": 0.2,
-        "warm_up_ms": 10000.0,
-        "tip_multiple": 3.0,
-        "fall_ms": 2000.0,
-        "must_ask_in_ms": 10000.0,
-    },
-    "load_info": {"how": "answers", "names": ["busy", "q"]},
-    "family_info": {
-        "meter_ms": 1000.0,
-        "largest": 1,
-        "settles": False,
-        "has_counter": False,
-        "count_limit_ms": 0.0,
-    },
-    "deductions": {"cross_zone": 0.01},
-    "a_new_key": [1, 2],
-}
 KNOCK = {
     "i": "gateway-1",
     "op_id": "aa",
@@ -132,7 +70,7 @@
 
 
 def opening(instance="gateway-1", seed=5):
-    return {"OpenInstance": {"i": instance, "rng_seed": seed, "env": ENV}}
+    return {"OpenInstance": {"i": instance, "rng_seed": seed, "env": SETTINGS_DOCUMENT}}
 
 
 def replies(done):
@@ -232,7 +170,10 @@
         ({"Batch": {"turn": 1}}, "t_ms"),
         ({"Alarm": {"i": "gateway-9", "mark": 1}}, "gateway-9"),
         ({"Alarm": 3}, "Alarm"),
-        ({"OpenInstance": {"i": "x", "rng_seed": 1, "env": {**ENV, "balancers": 0}}}, "gateways"),
+        (
+            {"OpenInstance": {"i": "x", "rng_seed": 1, "env": {**SETTINGS_DOCUMENT, "balancers": 0}}},
+            "gateways",
+        ),
     ],
 )
 def test_malformed_input_ends_with_one_line_and_exit_code_1(bad, word):
