--- a/tests/net/test_discovery_client.py
+++ b/tests/net/test_discovery_client.py
@@ -17,7 +17,7 @@
 
 
 @asynccontextmanager
-async def watched():
+async def running_client():
     """A running client, the fake discovery that it watches, and the updates it passed on."""
     fake, updates = await FakeDiscovery().start(), asyncio.Queue()
     discovery = DiscoveryClient(
@@ -32,7 +32,7 @@
 
 
 async def test_cached_list_then_deltas_and_a_watch_resumes_from_the_last_generation():
-    async with watched() as (discovery, fake, updates):
+    async with running_client() as (discovery, fake, updates):
         discovery.load_known({"generation": 41, "reset": True, "instances": [row("s-1", 1), row("s-2", 2)]})
         update, addresses = await updates.get()
         assert update.kind is UpdateKind.CACHED
@@ -72,7 +72,7 @@
     ],
 )
 async def test_malformed_document_is_not_fatal_and_the_complete_list_is_requested(line):
-    async with watched() as (_, fake, updates):
+    async with running_client() as (_, fake, updates):
         _, watch = await fake.watch()
         watch.write(chunk(listing(1, row("s-1", 1), reset=True)))
         await updates.get()
@@ -103,7 +103,7 @@
 @pytest.mark.parametrize("reset", [False, True])
 @pytest.mark.parametrize("malformed", MALFORMED_FIELDS)
 async def test_malformed_row_costs_that_row_alone(malformed, reset):
-    async with watched() as (discovery, fake, updates):
+    async with running_client() as (discovery, fake, updates):
         _, watch = await fake.watch()
         watch.write(chunk(listing(1, row("s-1", 1), row("s-2", 2), reset=True)))
         await updates.get()
@@ -128,7 +128,7 @@
 
 
 async def test_updates_may_be_indented_over_many_lines_and_arrive_in_any_pieces():
-    async with watched() as (_, fake, updates):
+    async with running_client() as (_, fake, updates):
         _, watch = await fake.watch()
         for generation, name in ((1, 's-"{'), (2, "s-]\\"), (3, "s-3")):
             plain = json.loads(listing(generation, row(name, generation), reset=True))
@@ -142,7 +142,7 @@
 
 async def test_bytes_that_never_complete_a_document_do_not_restart_the_heartbeat_timeout(monkeypatch):
     monkeypatch.setattr(watch_connection, "HEARTBEAT_TIMEOUT_S", 0.3)
-    async with watched() as (_, fake, updates):
+    async with running_client() as (_, fake, updates):
         _, watch = await fake.watch()
         watch.write(chunk(listing(5, row("s-1", 1), reset=True)))
         await updates.get()
@@ -159,7 +159,7 @@
 async def test_first_line_timeout_of_a_new_watch_is_shorter_than_the_heartbeat_timeout(monkeypatch):
     monkeypatch.setattr(watch_connection, "HEARTBEAT_TIMEOUT_S", 3600.0)
     monkeypatch.setattr(watch_connection, "FIRST_LINE_TIMEOUT_S", 0.05)
-    async with watched() as (_, fake, updates):
+    async with running_client() as (_, fake, updates):
         for _ in range(3):
             await fake.watch()  # silent from the first moment: it is replaced
         _, watch = await fake.watch()
@@ -187,7 +187,7 @@
 
 @pytest.mark.parametrize("known", [None, {}, [], {"generation": 1, "reset": True, "instances": [{}]}])
 async def test_malformed_cached_list_is_not_fatal(known):
-    async with watched() as (discovery, fake, updates):
+    async with running_client() as (discovery, fake, updates):
         discovery.load_known(known)
         target, _ = await fake.watch()
         assert target == "/discovery/hosts?watch=1"
@@ -196,7 +196,7 @@
 
 async def test_watch_without_a_heartbeat_is_replaced(monkeypatch):
     monkeypatch.setattr(watch_connection, "HEARTBEAT_TIMEOUT_S", 0.05)
-    async with watched() as (_, fake, updates):
+    async with running_client() as (_, fake, updates):
         _, watch = await fake.watch()
         watch.write(chunk(listing(5, row("s-1", 1), reset=True)))
         await updates.get()
@@ -287,7 +287,7 @@
 
 
 async def test_address_change_keeps_the_old_watch_until_the_new_one_has_sent_the_complete_list():
-    async with watched() as (discovery, fake, updates):
+    async with running_client() as (discovery, fake, updates):
         _, old = await fake.watch()
         old.write(chunk(listing(41, row("s-1", 1), row("s-2", 2), reset=True)))
         await updates.get()
@@ -313,7 +313,7 @@
 
 
 async def test_address_change_to_a_silent_agent_keeps_the_old_watch_through_a_further_change():
-    async with watched() as (discovery, fake, updates):
+    async with running_client() as (discovery, fake, updates):
         _, old = await fake.watch()
         old.write(chunk(listing(1, row("s-1", 1), reset=True)))
         await updates.get()
--- a/tests/net/test_large_endpoint_lists.py
+++ b/tests/net/test_large_endpoint_lists.py
@@ -30,14 +30,14 @@
 from tests.support.fakes import FakeDiscovery, FakeServer, call, chunk, listing, node, row, until
 
 FLEET, SERVERS, SIZE = 3800, 38_000, 256
-FEW = Subset(380, 17, least=16)  # of a fleet that is large beside so few servers
+SMALL_SUBSET = Subset(380, 17, least=16)  # of a fleet that is large beside so few servers
 
 
 def rows(*numbers: int, **more):
     return [row(f"s-{number:06d}", 1 + number % 60_000, **more) for number in numbers]
 
 
-def follow(subset: Subset, port: int):
+def watch_endpoints(subset: Subset, port: int):
     """A client, and by name the lifecycle of each endpoint, as the updates that it passes on add up."""
     known: dict[str, EndpointLifecycle] = {}
 
@@ -56,7 +56,7 @@
     return discovery, known
 
 
-async def read_up(discovery: DiscoveryClient, generation: int) -> int:
+async def wait_until_read(discovery: DiscoveryClient, generation: int) -> int:
     """Wait until this version has been read; how many turns others have had meanwhile."""
     turns = 0
     async with asyncio.timeout(30.0):
@@ -67,13 +67,13 @@
 
 
 @asynccontextmanager
-async def few_known():
+async def client_of_thousand_endpoints():
     """A client that has read a list of 1,000 endpoints; the fake it watches, its watch, what is known."""
     fake = await FakeDiscovery().start()
-    discovery, known = follow(FEW, fake.port)
+    discovery, known = watch_endpoints(SMALL_SUBSET, fake.port)
     _, watch = await fake.watch()
     watch.write(chunk(listing(1, *rows(*range(1000)), reset=True)))
-    await read_up(discovery, 1)
+    await wait_until_read(discovery, 1)
     try:
         yield discovery, fake, watch, known
     finally:
@@ -87,11 +87,11 @@
 async def test_list_of_a_large_fleet_is_read_in_pieces_and_its_nearest_endpoints_are_retained():
     fake = await FakeDiscovery().start()
     subset = Subset(FLEET, 17)
-    discovery, known = follow(subset, fake.port)
+    discovery, known = watch_endpoints(subset, fake.port)
     _, watch = await fake.watch()
     whole = listing(7, *rows(*range(SERVERS)), reset=True)
     watch.write(chunk(whole))
-    turns = await read_up(discovery, 7)
+    turns = await wait_until_read(discovery, 7)
     assert turns >= len(whole) / watch_connection.PIECE_BYTES  # the others have had a turn after each piece
     names = [line["instanceId"] for line in rows(*range(SERVERS))]
     assert set(known) == nearest(subset, names, 2 * SIZE) == set(discovery.registry.rows)
@@ -99,28 +99,28 @@
     assert len(discovery.registry.other_names) == SERVERS - 2 * SIZE
     assert len(discovery.registry.numbers) == 2 * SIZE
     watch.write(chunk(listing(8, *rows(SERVERS + 1, *range(0, 200)))))
-    await read_up(discovery, 8)
+    await wait_until_read(discovery, 8)
     assert len(known) == 2 * SIZE
     assert fake.targets.empty()
     discovery.end()
 
 
 async def test_later_snapshot_replaces_the_list_though_it_is_passed_on_in_parts():
-    async with few_known() as (discovery, _, watch, known):
+    async with client_of_thousand_endpoints() as (discovery, _, watch, known):
         before = set(known)
         watch.write(chunk(listing(2, *rows(*range(500, 1500)), reset=True)) + chunk(b"\n"))
         watch.write(chunk(listing(3, *rows(700, 701, state="Terminating"))))
-        await read_up(discovery, 3)
+        await wait_until_read(discovery, 3)
         names = [line["instanceId"] for line in rows(*range(500, 1500))]
-        size = FEW.size(1000)
-        assert nearest(FEW, names, size) <= set(known) <= set(names)
+        size = SMALL_SUBSET.size(1000)
+        assert nearest(SMALL_SUBSET, names, size) <= set(known) <= set(names)
         assert len(known) == 2 * size
         assert before != set(known)
         assert discovery.registry.nearest.listed == 1000
 
 
 async def test_connection_lost_within_a_long_list_changes_nothing_and_the_list_is_requested_again():
-    async with few_known() as (discovery, fake, watch, known):
+    async with client_of_thousand_endpoints() as (discovery, fake, watch, known):
         before = dict(known)
         watch.write(chunk(listing(2, *rows(*range(5000, 7000)), reset=True)[:-1000]))
         await watch.drain()
@@ -130,9 +130,9 @@
         assert known == before
         # an answer that is complete with its list is read to its end
         watch.write(chunk(listing(2, *rows(*range(5000, 7000)), reset=True)) + b"0\r\n\r\n")
-        await read_up(discovery, 2)
+        await wait_until_read(discovery, 2)
         assert not set(known) & set(before)
-        assert len(known) >= 2 * FEW.size(2000) - 2
+        assert len(known) >= 2 * SMALL_SUBSET.size(2000) - 2
 
 
 @pytest.mark.parametrize(
@@ -149,7 +149,7 @@
     ],
 )
 async def test_malformed_long_document_is_rejected_and_the_list_before_stays(bad):
-    async with few_known() as (_, fake, watch, known):
+    async with client_of_thousand_endpoints() as (_, fake, watch, known):
         before = dict(known)
         watch.write(chunk(bad))
         target, watch = await fake.watch()
@@ -159,7 +159,7 @@
 
 def test_endless_rows_are_rejected_within_a_bound_on_memory(monkeypatch):
     monkeypatch.setattr(snapshot_reader, "MAX_LISTED", 2000)
-    reader = StreamingSnapshotReader(EndpointRegistry(FEW))
+    reader = StreamingSnapshotReader(EndpointRegistry(SMALL_SUBSET))
     with pytest.raises(DiscoveryError, match="more than 2000"):
         reader.feed(
             b'{"generation":2,"reset":true,"instances":['
@@ -205,7 +205,7 @@
 @settings(deadline=None, max_examples=60)
 @given(DOCUMENTS, st.sampled_from([None, 2]), st.integers(1, 400))
 def test_list_read_in_pieces_gives_the_same_as_one_read_at_once(documents, indent, cut):
-    at_once, in_pieces, known = EndpointRegistry(FEW), EndpointRegistry(FEW), {}
+    at_once, in_pieces, known = EndpointRegistry(SMALL_SUBSET), EndpointRegistry(SMALL_SUBSET), {}
     for generation, (reset, drawn) in enumerate(documents):
         lines = [{**rows(number)[0], **odd} for number, odd in drawn]
         document = {"generation": generation, "reset": reset, "instances": lines}
@@ -228,29 +228,29 @@
         assert left == set(in_pieces.rows) == set(in_pieces.numbers)
     at_once_names = at_once.other_names | set(at_once.rows)
     if not at_once.needs_complete_list():
-        size = FEW.size(len(at_once_names))
-        assert set(list(at_once.nearest)[:size]) == nearest(FEW, at_once_names, size)
+        size = SMALL_SUBSET.size(len(at_once_names))
+        assert set(list(at_once.nearest)[:size]) == nearest(SMALL_SUBSET, at_once_names, size)
 
 
 async def test_complete_list_is_requested_once_too_many_of_the_nearest_endpoints_are_gone():
-    async with few_known() as (discovery, fake, watch, known):
+    async with client_of_thousand_endpoints() as (discovery, fake, watch, known):
         near = [int(name[2:]) for name in discovery.registry.nearest]
-        gone = near[: FEW.size(1000) + 1]
+        gone = near[: SMALL_SUBSET.size(1000) + 1]
         watch.write(chunk(listing(2, *rows(*gone, state="Gone"))))
         target, watch = await fake.watch()
         assert target == "/discovery/hosts?watch=1"
         left = sorted(set(range(1000)) - set(gone))
         watch.write(chunk(listing(2, *rows(*left), reset=True)))
-        await read_up(discovery, 2)
+        await wait_until_read(discovery, 2)
         names = [line["instanceId"] for line in rows(*left)]
-        assert nearest(FEW, names, FEW.size(len(left))) <= set(known)
+        assert nearest(SMALL_SUBSET, names, SMALL_SUBSET.size(len(left))) <= set(known)
         assert not discovery.registry.needs_complete_list()
 
 
 def test_endpoint_without_a_row_is_known_to_operators_and_keeps_its_number_when_it_becomes_near():
-    registry = EndpointRegistry(FEW)
+    registry = EndpointRegistry(SMALL_SUBSET)
     registry.read({"generation": 1, "reset": True, "instances": rows(*range(1000))})
-    name = sorted(registry.other_names, key=FEW.distance)[0]
+    name = sorted(registry.other_names, key=SMALL_SUBSET.distance)[0]
     assert registry.is_known(name)
     assert registry.find(name) is None
     assert not registry.is_known("s-none")
@@ -364,7 +364,11 @@
 
     def __init__(self, seed: int) -> None:
         super().__init__(replace(SETTINGS, gateways=380, index=17), seed)
-        self.gateway.subset, self.registry, self.draw = FEW, EndpointRegistry(FEW), random.Random(seed)
+        self.gateway.subset, self.registry, self.draw = (
+            SMALL_SUBSET,
+            EndpointRegistry(SMALL_SUBSET),
+            random.Random(seed),
+        )
         self.states = dict.fromkeys(range(400), "Ready")
         self.tell(True, sorted(self.states))
         self.moves = 0  # sends to a server that was not worked with at first
@@ -420,7 +424,7 @@
     for _ in range(600):
         rig.step()
         assert {server.id for server in rig.gateway.servers.values()} == set(rig.registry.numbers.values())
-        most = FEW.size(rig.gateway.listed)
+        most = SMALL_SUBSET.size(rig.gateway.listed)
         assert len(rig.gateway.ready) <= 2 * most
     rig.run(10_000.0)
     for name, flight in list(rig.gateway.flights.items()):
