--- a/tests/net/test_large_endpoint_lists.py
+++ b/tests/net/test_large_endpoint_lists.py
@@ -37,7 +37,7 @@
     return [row(f"s-{number:06d}", 1 + number % 60_000, **more) for number in numbers]
 
 
-def follow(subset: Subset, port: int):
+def watch_endpoints(subset: Subset, port: int):
     """A client, and by name the lifecycle of each endpoint, as the updates that it passes on add up."""
     known: dict[str, EndpointLifecycle] = {}
 
@@ -56,7 +56,7 @@
     return discovery, known
 
 
-async def read_up(discovery: DiscoveryClient, generation: int) -> int:
+async def wait_until_read(discovery: DiscoveryClient, generation: int) -> int:
     """Wait until this version has been read; how many turns others have had meanwhile."""
     turns = 0
     async with asyncio.timeout(30.0):
@@ -67,13 +67,13 @@
 
 
 @asynccontextmanager
-async def few_known():
+async def client_of_thousand_endpoints():
     """A client that has read a list of 1,000 endpoints; the fake it watches, its watch, what is known."""
     fake = await FakeDiscovery().start()
-    discovery, known = follow(FEW, fake.port)
+    discovery, known = watch_endpoints(FEW, fake.port)
     _, watch = await fake.watch()
     watch.write(chunk(listing(1, *rows(*range(1000)), reset=True)))
-    await read_up(discovery, 1)
+    await wait_until_read(discovery, 1)
     try:
         yield discovery, fake, watch, known
     finally:
@@ -87,11 +87,11 @@
 async def test_list_of_a_large_fleet_is_read_in_pieces_and_its_nearest_endpoints_are_retained():
     fake = await FakeDiscovery().start()
     subset = Subset(FLEET, 17)
-    discovery, known = follow(subset, fake.port)
+    discovery, known = watch_endpoints(subset, fake.port)
     _, watch = await fake.watch()
     whole = listing(7, *rows(*range(SERVERS)), reset=True)
     watch.write(chunk(whole))
-    turns = await read_up(discovery, 7)
+    turns = await wait_until_read(discovery, 7)
     assert turns >= len(whole) / watch_connection.PIECE_BYTES  # the others have had a turn after each piece
     names = [line["instanceId"] for line in rows(*range(SERVERS))]
     assert set(known) == nearest(subset, names, 2 * SIZE) == set(discovery.registry.rows)
@@ -99,18 +99,18 @@
     assert len(discovery.registry.other_names) == SERVERS - 2 * SIZE
     assert len(discovery.registry.numbers) == 2 * SIZE
     watch.write(chunk(listing(8, *rows(SERVERS + 1, *range(0, 200)))))
-    await read_up(discovery, 8)
+    await wait_until_read(discovery, 8)
     assert len(known) == 2 * SIZE
     assert fake.targets.empty()
     discovery.end()
 
 
 async def test_later_snapshot_replaces_the_list_though_it_is_passed_on_in_parts():
-    async with few_known() as (discovery, _, watch, known):
+    async with client_of_thousand_endpoints() as (discovery, _, watch, known):
         before = set(known)
         watch.write(chunk(listing(2, *rows(*range(500, 1500)), reset=True)) + chunk(b"\n"))
         watch.write(chunk(listing(3, *rows(700, 701, state="Terminating"))))
-        await read_up(discovery, 3)
+        await wait_until_read(discovery, 3)
         names = [line["instanceId"] for line in rows(*range(500, 1500))]
         size = FEW.size(1000)
         assert nearest(FEW, names, size) <= set(known) <= set(names)
@@ -120,7 +120,7 @@
 
 
 async def test_connection_lost_within_a_long_list_changes_nothing_and_the_list_is_requested_again():
-    async with few_known() as (discovery, fake, watch, known):
+    async with client_of_thousand_endpoints() as (discovery, fake, watch, known):
         before = dict(known)
         watch.write(chunk(listing(2, *rows(*range(5000, 7000)), reset=True)[:-1000]))
         await watch.drain()
@@ -130,7 +130,7 @@
         assert known == before
         # an answer that is complete with its list is read to its end
         watch.write(chunk(listing(2, *rows(*range(5000, 7000)), reset=True)) + b"0\r\n\r\n")
-        await read_up(discovery, 2)
+        await wait_until_read(discovery, 2)
         assert not set(known) & set(before)
         assert len(known) >= 2 * FEW.size(2000) - 2
 
@@ -149,7 +149,7 @@
     ],
 )
 async def test_malformed_long_document_is_rejected_and_the_list_before_stays(bad):
-    async with few_known() as (_, fake, watch, known):
+    async with client_of_thousand_endpoints() as (_, fake, watch, known):
         before = dict(known)
         watch.write(chunk(bad))
         target, watch = await fake.watch()
@@ -233,7 +233,7 @@
 
 
 async def test_complete_list_is_requested_once_too_many_of_the_nearest_endpoints_are_gone():
-    async with few_known() as (discovery, fake, watch, known):
+    async with client_of_thousand_endpoints() as (discovery, fake, watch, known):
         near = [int(name[2:]) for name in discovery.registry.nearest]
         gone = near[: FEW.size(1000) + 1]
         watch.write(chunk(listing(2, *rows(*gone, state="Gone"))))
@@ -241,7 +241,7 @@
         assert target == "/discovery/hosts?watch=1"
         left = sorted(set(range(1000)) - set(gone))
         watch.write(chunk(listing(2, *rows(*left), reset=True)))
-        await read_up(discovery, 2)
+        await wait_until_read(discovery, 2)
         names = [line["instanceId"] for line in rows(*left)]
         assert nearest(FEW, names, FEW.size(len(left))) <= set(known)
         assert not discovery.registry.needs_complete_list()
@@ -301,8 +301,7 @@
 def test_gateway_where_all_servers_fit_works_with_all_of_them():
     rig = Rig(replace(SETTINGS, gateways=200, index=17))
     rig.do(EndpointUpdate(UpdateKind.SNAPSHOT, tuple(endpoints(200))))
-    assert len(rig.gateway.ready) == 200
-    assert not rig.gateway.reserve
+    assert len(rig.gateway.ready) == 200 and not rig.gateway.reserve
 
 
 def test_share_of_what_may_be_out_goes_by_all_servers_listed_not_by_those_that_are_known():
@@ -371,24 +370,20 @@
         self.first = ready(self)
 
     def tell(self, whole: bool, numbers: list[int]) -> None:
-        """Pass an update of these endpoints to the engine."""
         started = int(self.now) if self.draw.random() < 0.3 else 0
         lines = [row(f"s-{number}", 1, self.states[number], started) for number in numbers]
         self.do(self.registry.read({"generation": 1, "reset": whole, "instances": lines}).update)
 
     def do(self, event) -> list:
-        """Handle an event; no attempt may go to an endpoint that is not ready."""
         actions = super().do(event)
         for action in actions:
             if isinstance(action, StartAttempt):
                 (name,) = [name for name, number in self.registry.numbers.items() if number == action.server]
-                assert self.registry.rows[name]["lifecycle"] == "Ready"
-                assert action.server in ready(self)
+                assert self.registry.rows[name]["lifecycle"] == "Ready" and action.server in ready(self)
                 self.moves += action.server not in self.first
         return actions
 
     def step(self) -> None:
-        """Do one thing that is drawn at random: a request, an outcome, or an update."""
         what = self.draw.random()
         if what < 0.4:
             plan, kind = self.draw.choice(("free", "metered", "capped")), ("safe", "keyed", "unsafe")
@@ -419,15 +414,16 @@
     rig = Crossing(seed)
     for _ in range(600):
         rig.step()
-        assert {server.id for server in rig.gateway.servers.values()} == set(rig.registry.numbers.values())
+        assert {server.id for server in rig.gateway.servers.values()} == set(
+            rig.registry.numbers.values()
+        )
         most = FEW.size(rig.gateway.listed)
         assert len(rig.gateway.ready) <= 2 * most
     rig.run(10_000.0)
     for name, flight in list(rig.gateway.flights.items()):
         for number in list(flight.out):
             rig.finish(name, AttemptStatus.CANCELLED, number)
-    assert not rig.gateway.flights
-    assert len(rig.answers) == rig.count
+    assert not rig.gateway.flights and len(rig.answers) == rig.count
     assert rig.moves >= 10
 
 
