--- a/quota_gateway/net/driver.py
+++ b/quota_gateway/net/driver.py
@@ -281,7 +281,7 @@
         self.timers.call_at(self.clock() + action.delay_ms, self.post, TimerFired(action.token))
 
     def _log_message(self, action: LogMessage) -> None:
-        log.info("policy message text=%s", action.text)
+        log.info("%s", action.text)
 
     def _close_idle(self, action: CloseIdle) -> None:
         self.upstream.close_idle(action.server)
