--- a/quota_gateway/json_document.py
+++ b/quota_gateway/json_document.py
@@ -41,11 +41,11 @@
         """The path of one of its fields, as errors name it."""
         return f"{self.path}.{key}"
 
-    def optional(self, key: str) -> Any:  # noqa: ANN401 - foreign JSON
+    def optional(self, key: str) -> Any:
         """The value of a field, None where it is missing."""
         return self._fields.get(key)
 
-    def required(self, key: str) -> Any:  # noqa: ANN401 - foreign JSON
+    def required(self, key: str) -> Any:
         """The value of a field.
 
         Raises:
--- a/quota_gateway/net/admin.py
+++ b/quota_gateway/net/admin.py
@@ -73,7 +73,7 @@
         self.transport = cast(asyncio.Transport, transport)
         self.server.on_connected(self)
 
-    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - asyncio's signature
+    def connection_lost(self, exc: Exception | None) -> None:
         """The connection has ended, whoever ended it."""
         self.server.on_disconnected(self)
 
--- a/quota_gateway/net/discovery_client.py
+++ b/quota_gateway/net/discovery_client.py
@@ -50,7 +50,7 @@
         self._on_unavailable = on_unavailable
         self._random = random.Random(seed)
 
-    def load_known(self, document: Any) -> None:  # noqa: ANN401 - foreign JSON
+    def load_known(self, document: Any) -> None:
         """Read the complete list that the configuration or the process before has; it may be old."""
         try:
             change = self.registry.read(document, is_cached=True)
--- a/quota_gateway/net/discovery_watch.py
+++ b/quota_gateway/net/discovery_watch.py
@@ -61,7 +61,7 @@
         self._connection: WatchConnection | None = None
         self._task = asyncio.get_running_loop().create_task(self._run(), name="discovery watch")
 
-    def read_document(self, document: Any, connection: WatchConnection) -> bool:  # noqa: ANN401 - foreign JSON
+    def read_document(self, document: Any, connection: WatchConnection) -> bool:
         """Read one update at once; whether its watch goes on."""
         if self._has_ended or connection is not self._connection:
             return False
--- a/quota_gateway/net/endpoint_registry.py
+++ b/quota_gateway/net/endpoint_registry.py
@@ -20,7 +20,7 @@
     alone. Long documents are read by ``StreamingSnapshotReader``.
     """
 
-    def read(self, document: Any, is_cached: bool = False) -> RegistryChange:  # noqa: ANN401 - foreign JSON
+    def read(self, document: Any, is_cached: bool = False) -> RegistryChange:
         """Read one update at once.
 
         Args:
@@ -48,7 +48,7 @@
         """What a process that takes over has to know, as an object of JSON."""
         return RegistryState(list(self.rows.values()), self.numbers, self.absent, self.detached).to_json()
 
-    def restore_state(self, document: Any) -> dict[str, Any]:  # noqa: ANN401 - foreign JSON
+    def restore_state(self, document: Any) -> dict[str, Any]:
         """Take over numbers and detached endpoints from what the process before has exported.
 
         Returns:
--- a/quota_gateway/net/json_lines.py
+++ b/quota_gateway/net/json_lines.py
@@ -38,7 +38,7 @@
         self._lines: list[bytes] = []
         self._open_brackets = 0
 
-    def add_line(self, line: bytes) -> Any:  # noqa: ANN401 - foreign JSON
+    def add_line(self, line: bytes) -> Any:
         """Take the next line, without its end.
 
         Returns:
@@ -76,7 +76,7 @@
         self._lines.append(line)
         self.size_bytes += len(line)
 
-    def _parse(self, text: bytes) -> Any:  # noqa: ANN401 - foreign JSON
+    def _parse(self, text: bytes) -> Any:
         try:
             return json.loads(text)
         except ValueError as error:
--- a/quota_gateway/net/registry_state.py
+++ b/quota_gateway/net/registry_state.py
@@ -42,7 +42,7 @@
         }
 
     @classmethod
-    def from_json(cls, document: Any) -> RegistryState:  # noqa: ANN401 - foreign JSON
+    def from_json(cls, document: Any) -> RegistryState:
         """Read the state from JSON of another process.
 
         Raises:
--- a/quota_gateway/net/snapshot_document.py
+++ b/quota_gateway/net/snapshot_document.py
@@ -82,7 +82,7 @@
         if self._bytes_since_row > MAX_ROW_BYTES:
             raise DiscoveryError(f"no row ends within {MAX_ROW_BYTES} bytes")
 
-    def _on_event(self, event: str, value: Any) -> None:  # noqa: ANN401 - foreign JSON
+    def _on_event(self, event: str, value: Any) -> None:
         # Keys and values of rows, nearly all of a document, are dealt with here: a call costs more than they.
         if event == "map_key":
             if self._depth in DEPTHS_WITH_FIELDS:
@@ -96,7 +96,7 @@
         else:
             self._on_value_outside_rows(value)
 
-    def _on_value_outside_rows(self, value: Any) -> None:  # noqa: ANN401 - foreign JSON
+    def _on_value_outside_rows(self, value: Any) -> None:
         if self._depth == ROWS_DEPTH:
             self._end_row(value)
         elif self._depth == DOCUMENT_DEPTH:
@@ -124,6 +124,6 @@
         elif self._depth == OUTSIDE_DEPTH:
             self._has_ended = True
 
-    def _end_row(self, row: Any) -> None:  # noqa: ANN401 - foreign JSON
+    def _end_row(self, row: Any) -> None:
         self.row_count += 1
         self._on_row(row)
--- a/quota_gateway/net/snapshot_reader.py
+++ b/quota_gateway/net/snapshot_reader.py
@@ -50,7 +50,7 @@
         self.rows: dict[str, EndpointRow] = {}
         self._has_rows = False
 
-    def add_row(self, row: Any) -> None:  # noqa: ANN401 - foreign JSON
+    def add_row(self, row: Any) -> None:
         """Take the next row: kept if its endpoint is near, noted by name if not, left out if nameless.
 
         Raises:
@@ -224,7 +224,7 @@
         reader = self.reader or self._begin()
         return reader.changes_in_parts(self.generation)
 
-    def _on_row(self, row: Any) -> None:  # noqa: ANN401 - foreign JSON
+    def _on_row(self, row: Any) -> None:
         if self.reader is not None:
             self.reader.add_row(row)
         elif "reset" in self._document.fields:
--- a/quota_gateway/net/watch_connection.py
+++ b/quota_gateway/net/watch_connection.py
@@ -78,7 +78,7 @@
     registry: EndpointRegistry
     was_rejected: bool
 
-    def read_document(self, document: Any, connection: WatchConnection) -> bool:  # noqa: ANN401 - foreign JSON
+    def read_document(self, document: Any, connection: WatchConnection) -> bool:
         """Read one update at once; whether its watch goes on."""
 
     def pass_on(self, change: RegistryChange) -> None:
@@ -170,7 +170,7 @@
         if self._reading is None:
             self.close(WatchEndReason.RESPONSE_COMPLETE)
 
-    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - asyncio.Protocol has it
+    def connection_lost(self, exc: Exception | None) -> None:
         """Tell that the connection is gone, once all that came has been read."""
         self._is_connection_lost = True
         if self._reading:
--- a/scale/hollow.py
+++ b/scale/hollow.py
@@ -46,10 +46,10 @@
 class VersionOnlyRegistry(EndpointRegistry):
     """A registry that keeps no endpoints, for gateways that only hold the watch open."""
 
-    def read(  # noqa: D102 - documented by EndpointRegistry
+    def read(
         self,
         document: Any,
-        is_cached: bool = False,  # noqa: ARG002 - EndpointRegistry's signature
+        is_cached: bool = False,
     ) -> RegistryChange:
         version = int(document["generation"])
         return RegistryChange(model.EndpointUpdate(model.UpdateKind.DELTA, (), version), {})
@@ -122,9 +122,9 @@
     async def await_version(self, version: int, within_s: float) -> UpdateCoverage:
         """Wait until all gateways have this version or a later one, or the time is over."""
         until_s = time.monotonic() + within_s
-        while (  # noqa: ASYNC110 - waits for many gateways, none of which knows of the others
-            updated := self._count_with_version(version)
-        ) < len(self._gateways) and time.monotonic() < until_s:
+        while (updated := self._count_with_version(version)) < len(
+            self._gateways
+        ) and time.monotonic() < until_s:
             await asyncio.sleep(UPDATE_POLL_S)
         return UpdateCoverage(updated, len(self._gateways))
 
--- a/scale/supervisor.py
+++ b/scale/supervisor.py
@@ -116,7 +116,7 @@
         name: str,
         command: list[str],
         log_name: str,
-        **options: Any,  # noqa: ANN401 - handed through to create_subprocess_exec
+        **options: Any,
     ) -> asyncio.subprocess.Process:
         running = sum(child.is_running for child in self._children)
         if running >= self._config.processes:
--- a/tests/net/test_large_endpoint_lists.py
+++ b/tests/net/test_large_endpoint_lists.py
@@ -414,9 +414,7 @@
     rig = Crossing(seed)
     for _ in range(600):
         rig.step()
-        assert {server.id for server in rig.gateway.servers.values()} == set(
-            rig.registry.numbers.values()
-        )
+        assert {server.id for server in rig.gateway.servers.values()} == set(rig.registry.numbers.values())
         most = FEW.size(rig.gateway.listed)
         assert len(rig.gateway.ready) <= 2 * most
     rig.run(10_000.0)
--- a/tests/support/fake_client.py
+++ b/tests/support/fake_client.py
@@ -11,7 +11,7 @@
 READ_SIZE_BYTES = 65_536
 
 
-class ErrorReply(Exception):  # noqa: N818 - a reply that hiredis makes, not an error that is raised
+class ErrorReply(Exception):
     """An error reply as a client reads it."""
 
 
@@ -45,7 +45,7 @@
         """Send commands in one write."""
         self.writer.write(b"".join(commands))
 
-    async def read_reply(self) -> Any:  # noqa: ANN401 - a reply of RESP2 has any type
+    async def read_reply(self) -> Any:
         """Read the next reply: an error as text after a dash, None when the connection has ended."""
         while (reply := self.parser.gets()) is False:
             data = await self.reader.read(READ_SIZE_BYTES)
@@ -54,7 +54,7 @@
             self.parser.feed(data)
         return f"-{reply}" if isinstance(reply, ErrorReply) else reply
 
-    async def request(self, *commands: bytes) -> Any:  # noqa: ANN401 - a reply of RESP2 has any type
+    async def request(self, *commands: bytes) -> Any:
         """Send commands and read one reply."""
         self.send(*commands)
         return await self.read_reply()
--- a/tests/support/fake_upstream.py
+++ b/tests/support/fake_upstream.py
@@ -47,7 +47,7 @@
             self._changed.clear()
             await self._changed.wait()
 
-    def endpoint(self, number: int, **fields: Any) -> tuple[Endpoint, tuple[str, int]]:  # noqa: ANN401 - Endpoint's
+    def endpoint(self, number: int, **fields: Any) -> tuple[Endpoint, tuple[str, int]]:
         """Make the endpoint of this server, and its address."""
         return Endpoint(number, fields.pop("zone", ZONE), **fields), ("127.0.0.1", self.port)
 
--- a/tests/support/gateway_node.py
+++ b/tests/support/gateway_node.py
@@ -61,7 +61,7 @@
 
 async def wait_until(condition: Callable[[], object]) -> None:
     """Let the event loop turn until a condition inside the gateway holds."""
-    while not condition():  # noqa: ASYNC110 - the gateway has no event to tell of its inner state
+    while not condition():
         await asyncio.sleep(0)
 
 
@@ -104,7 +104,7 @@
 async def run_gateway(
     *upstreams: FakeUpstream,
     max_connections: int = 100,
-    **settings: Any,  # noqa: ANN401 - fields of Settings
+    **settings: Any,
 ) -> AsyncIterator[GatewayNode]:
     """Run a gateway before these servers, numbered from 1; those that are not started yet run as long.
 
--- a/tests/support/virtual_loop.py
+++ b/tests/support/virtual_loop.py
@@ -49,7 +49,7 @@
         """The clock, in seconds."""
         return self._clock.now_s
 
-    async def create_connection(self, *args: Any, **more: Any) -> Any:  # noqa: ANN401 - as asyncio has it
+    async def create_connection(self, *args: Any, **more: Any) -> Any:
         """Connect after the delay."""
         await asyncio.sleep(self.connect_delay_s)
         return await super().create_connection(*args, **more)
