--- a/quota_gateway/policy/subset.py
+++ b/quota_gateway/policy/subset.py
@@ -1,11 +1,4 @@
-"""Which of the listed servers a gateway works with, where the list is longer than it has use for.
-
-Gateways and servers stand on two rings. A server's places are a hash of its name, a gateway's follow from
-its index, and a gateway works with the servers that come next after it on either ring. So each gateway finds
-its own from the settings and the list; a server that goes is missed only by those that had it, and a gateway
-that comes moves nobody else. With one ring, neighbours there would share all their servers, and a gateway
-with too much traffic would have no server with less to move to.
-"""
+"""The subset of the listed servers that a gateway works with: docs/decisions/subset.md."""
 
 from __future__ import annotations
 
@@ -15,7 +8,7 @@
 from math import ceil, inf
 from struct import Struct
 
-PLACES = 6.0  # attempts out at a server over all gateways: logic.FIRST_LIMIT, before answers tell more
+PLACES = 6.0  # attempts in flight at a server over all gateways: as concurrency.FIRST_LIMIT
 SPARE = 4.0  # servers that a gateway works with for each such attempt that is its even part of all
 LEAST = 256  # servers: fewer spare little memory, and a lost region would leave some gateway too few
 RESERVE = 2  # times as many names are kept, from which those that are down or full are replaced
@@ -27,29 +20,18 @@
 
 
 class Subset:
-    """Which servers this gateway works with: the ``size`` nearest by ``distance`` of those that are ready.
-
-    ``gateways`` and ``index`` are those of the settings, ``least`` the smallest size, in servers. Guards
-    against a fleet in which each gateway opens connections to all servers. Harm: the servers of a gateway
-    that gets many times the mean have more to do, until it chooses those with less.
-    """
+    """Which servers this gateway works with: the ``size`` nearest by ``distance`` of those that are ready."""
 
     def __init__(self, gateways: int, index: int, least: int = LEAST) -> None:
         self.gateways, self.least = max(1, gateways), least
         self.starts = index * STEPS[0] % TURN, index * STEPS[1] % TURN
 
     def size(self, servers: int) -> int:
-        """How many of so many listed servers this gateway works with: all of them where all fit.
-
-        SPARE times its even part of the attempts that may be out at all of them, and at least ``least``.
-        """
+        """How many of so many listed servers this gateway works with: all of them where all fit."""
         return min(servers, max(self.least, ceil(SPARE * PLACES * servers / self.gateways)))
 
     def distance(self, name: str) -> float:
-        """How far behind this gateway the server of this name stands, in rings, from 0 to below 1.
-
-        The lesser of both rings. The name is any text; which process works it out makes no difference.
-        """
+        """How far behind this gateway the server of this name stands, in rings, from 0 to below 1."""
         digest = blake2b(name.encode(errors="surrogatepass"), digest_size=PAIR.size).digest()
         places: tuple[int, int] = PAIR.unpack(digest)
         return min((places[0] - self.starts[0]) % TURN, (places[1] - self.starts[1]) % TURN) / TURN
--- a/tests/net/test_client_disconnect.py
+++ b/tests/net/test_client_disconnect.py
@@ -73,7 +73,9 @@
 
 def fire(gateway, which: str) -> None:
     """Let a timer of the decisions fall due."""
-    (token,) = [token for token, (call, _) in gateway.driver.engine.timers.items() if call.__name__ == which]
+    (token,) = [
+        token for token, (call, _) in gateway.driver.engine.timers.armed.items() if call.__name__ == which
+    ]
     gateway.driver.post(TimerFired(token))
 
 
@@ -114,7 +116,7 @@
     assert await peer.ask(ask(OTHER + 1, "held")) == name(OTHER + 1)
     leaver.socket.sendall(ask(FIRST, "held"))
     await waiting(gateway, FIRST)
-    return lambda: fire(gateway, "_end_hold")
+    return lambda: fire(gateway, "_on_delay_over")
 
 
 async def parked_under_a_cap(gateway, leaver, plan="two"):
@@ -125,7 +127,7 @@
 
 
 async def parked_for_the_pool(gateway, leaver):
-    gateway.driver.engine.pool = 1.0
+    gateway.driver.engine.concurrency.limit = 1.0
     return await parked_under_a_cap(gateway, leaver, "free")
 
 
@@ -217,13 +219,13 @@
 async def nothing_more(gateway, leaver: Leaver, before: list[bytes]) -> None:
     """Once another client's request has been served, nothing of who left has come, and nothing is kept."""
     decisions = gateway.driver.engine
-    decisions.pool = 100.0
+    decisions.concurrency.limit = 100.0
     assert await (await gateway.peer()).ask(ask(LAST)) == name(LAST)
     assert leaver.began() == before
     await until(lambda: not gateway.driver.active_requests)
-    assert not decisions.flights and not decisions.parked and not decisions.young
-    assert not any(server.out for server in decisions.servers.values())
-    assert not any(customer.out for customer in decisions.customers.values())
+    assert not decisions.requests and not decisions.queue.requests and not decisions.concurrency.in_flight
+    assert not any(server.in_flight for server in decisions.endpoints.by_id.values())
+    assert not any(customer.in_flight for customer in decisions.customers.values())
 
 
 @pytest.mark.parametrize("how", ["end", "reset"])
--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -218,16 +218,16 @@
                 monkeypatch.setattr(UpstreamConnection, "open", open_late)
             peer.send(call(last, plan="held"))
             await until(lambda: len(gateway.driver.active_requests) == 1)
-            (flight,) = gateway.driver.engine.flights.values()
+            (flight,) = gateway.driver.engine.requests.values()
             customer = flight.customer
-            assert flight.waiting == (wait == "held by the bucket") and customer.excess >= 1000.0
+            assert flight.is_delayed == (wait == "held by the bucket") and customer.excess >= 1000.0
             before = customer.excess
             go(peer, how)
             await until(lambda: not gateway.driver.active_requests)
             assert customer.excess == before - 1000.0
             gateway.told(server.entry(1))
             up.set()
-            gateway.driver.engine._end_hold(flight)  # as its timer would
+            gateway.driver.engine._on_delay_over(flight)  # as its timer would
             assert await (await gateway.peer()).ask(call(9)) == b"0000000000000009"
             assert b"%016x" % last not in [words[2] for words in server.commands]
 
--- a/tests/net/test_detachments.py
+++ b/tests/net/test_detachments.py
@@ -52,15 +52,15 @@
     rig.do(AttachServer(1))
     listed(rig)
     assert 0 < asked(rig, 400).count(1) < 200 * 0.45  # an even share would be 200
-    warmth = rig.gateway._warmth(rig.gateway.servers[1])
+    warmth = rig.gateway.slow_start.capacity_share(rig.gateway.endpoints.by_id[1])
     assert 0.2 <= warmth < 0.3
     rig.servers(entry(1, started_ms=rig.now - 900.0), kind=UpdateKind.DELTA)  # the list tells of it after all
-    assert rig.gateway._warmth(rig.gateway.servers[1]) > warmth
+    assert rig.gateway.slow_start.capacity_share(rig.gateway.endpoints.by_id[1]) > warmth
 
 
 def test_server_that_was_not_out_is_let_in_without_effect(rig):
     rig.do(AttachServer(1))
-    assert rig.gateway._warmth(rig.gateway.servers[1]) == 1.0
+    assert rig.gateway.slow_start.capacity_share(rig.gateway.endpoints.by_id[1]) == 1.0
 
 
 def test_what_waits_goes_to_a_server_as_it_is_let_in():
--- a/tests/net/test_driver.py
+++ b/tests/net/test_driver.py
@@ -306,8 +306,8 @@
             _, address = server.entry(1)
             started = gateway.driver.clock() - 5_000.0  # half of the warm-up
             gateway.told((Endpoint(1, "a", started_ms=started), address), kind=UpdateKind.SNAPSHOT)
-            (known,) = gateway.driver.engine.servers.values()
-            assert 0.59 < gateway.driver.engine._warmth(known) < 1.0
+            (known,) = gateway.driver.engine.endpoints.by_id.values()
+            assert 0.59 < gateway.driver.engine.slow_start.capacity_share(known) < 1.0
             await asyncio.sleep(0)
 
     run(test())
@@ -341,7 +341,10 @@
             (peer.writer.close if how == "end" else peer.writer.transport.abort)()
             await until(lambda: not gateway.driver.active_requests)
             decisions = gateway.driver.engine
-            assert decisions.servers[1].marks == {} == decisions.marks and not decisions.flights
+            assert (
+                decisions.endpoints.by_id[1].failures == {} == decisions.failures.totals
+                and not decisions.requests
+            )
             assert not gateway.upstream_pool.connections and not server.commands
 
     run(test())
--- a/tests/net/test_large_endpoint_lists.py
+++ b/tests/net/test_large_endpoint_lists.py
@@ -277,13 +277,13 @@
     rig = Rig(LARGE)
     known = endpoints(count)
     rig.do(EndpointUpdate(UpdateKind.SNAPSHOT, tuple(known), 1, SERVERS))
-    rig.gateway.pool = 1e9
+    rig.gateway.concurrency.limit = 1e9
     order = sorted(known, key=lambda entry: rig.gateway.subset.distance(entry.name))
     return rig, [entry.server for entry in order]
 
 
 def ready(rig: Rig) -> set[int]:
-    return {server.id for server in rig.gateway.ready}
+    return {server.id for server in rig.gateway.endpoints.ready}
 
 
 def test_gateway_of_a_large_fleet_works_with_the_nearest_ready_servers_alone():
@@ -294,28 +294,31 @@
         *(Endpoint(number, "a", state=EndpointLifecycle.DRAINING) for number in drained),
         kind=UpdateKind.DELTA,
     )
-    rig.gateway.listed = SERVERS
+    rig.gateway.endpoints.listed = SERVERS
     rig.do(EndpointUpdate(UpdateKind.DELTA, (), 2, SERVERS))
     assert ready(rig) == set(order[: SIZE + 7]) - set(drained)
-    assert rig.gateway.reserve[-1].id == order[SIZE + 7]
+    assert rig.gateway.endpoints.reserve[-1].id == order[SIZE + 7]
 
 
 def test_gateway_where_all_servers_fit_works_with_all_of_them():
     rig = Rig(replace(SETTINGS, gateways=200, index=17))
     rig.do(EndpointUpdate(UpdateKind.SNAPSHOT, tuple(endpoints(200))))
-    assert len(rig.gateway.ready) == 200 and not rig.gateway.reserve
+    assert len(rig.gateway.endpoints.ready) == 200 and not rig.gateway.endpoints.reserve
 
 
 def test_share_of_what_may_be_out_goes_by_all_servers_listed_not_by_those_that_are_known():
     rig = Rig(LARGE)
     rig.do(EndpointUpdate(UpdateKind.CACHED, tuple(endpoints(2 * SIZE)), 1, SERVERS))
-    assert rig.gateway.pool == pytest.approx(6.0 * SERVERS / FLEET)
+    assert rig.gateway.concurrency.limit == pytest.approx(6.0 * SERVERS / FLEET)
 
 
 def fail(rig: Rig, server: int) -> None:
     """Requests that go to this server fail there, until it is in doubt."""
     gateway = rig.gateway
-    gateway.ready, before = [s for s in gateway.ready if s.id == server], gateway.ready
+    gateway.endpoints.ready, before = (
+        [s for s in gateway.endpoints.ready if s.id == server],
+        gateway.endpoints.ready,
+    )
     for _ in range(4):
         rig.count += 1
         name = f"f{rig.count}"
@@ -323,11 +326,11 @@
             a for a in rig.do(Request(name, "unsafe", "free", "c", 4000.0)) if isinstance(a, StartAttempt)
         ]
         assert [a.server for a in sent] == [server]
-        rest, gateway.ready = gateway.ready, before  # another may have come to stand in
+        rest, gateway.endpoints.ready = gateway.endpoints.ready, before  # another may have come to stand in
         rig.do(Outcome(name, 0, server, AttemptStatus.RESET, 10.0))
-        before = gateway.ready
-        gateway.ready = rest if rest is not before else [s for s in before if s.id == server]
-    gateway.ready = before
+        before = gateway.endpoints.ready
+        gateway.endpoints.ready = rest if rest is not before else [s for s in before if s.id == server]
+    gateway.endpoints.ready = before
 
 
 def test_for_each_server_of_the_subset_that_is_down_unknown_to_discovery_one_of_the_reserve_works():
@@ -340,7 +343,7 @@
     rig.run(60_000.0)
     for _ in range(100):  # the others are well
         rig.finish(rig.ask(class_name="unsafe"))
-    rig.gateway.sends += 100 * len(order)  # each might have been met again since
+    rig.gateway.clock.attempts += 100 * len(order)  # each might have been met again since
     rig.do(EndpointUpdate(UpdateKind.DELTA, (), 3, SERVERS))
     assert ready(rig) == set(order[:SIZE])
 
@@ -365,7 +368,11 @@
 
     def __init__(self, seed: int) -> None:
         super().__init__(replace(SETTINGS, gateways=380, index=17), seed)
-        self.gateway.subset, self.registry, self.draw = FEW, EndpointRegistry(FEW), random.Random(seed)
+        self.gateway.endpoints.subset, self.registry, self.draw = (
+            FEW,
+            EndpointRegistry(FEW),
+            random.Random(seed),
+        )
         self.states = dict.fromkeys(range(400), "Ready")
         self.tell(True, sorted(self.states))
         self.moves = 0  # sends to a server that was not worked with at first
@@ -392,7 +399,9 @@
             self.ask(plan, self.draw.choice(kind), self.draw.choice("abc"))
         elif what < 0.7 and (
             open_now := [
-                (name, number) for name, flight in self.gateway.flights.items() for number in flight.out
+                (name, number)
+                for name, flight in self.gateway.requests.items()
+                for number in flight.in_flight
             ]
         ):
             name, number = self.draw.choice(open_now)
@@ -416,16 +425,16 @@
     rig = Crossing(seed)
     for _ in range(600):
         rig.step()
-        assert {server.id for server in rig.gateway.servers.values()} == set(
+        assert {server.id for server in rig.gateway.endpoints.by_id.values()} == set(
             rig.registry.numbers.values()
         )
-        most = FEW.size(rig.gateway.listed)
-        assert len(rig.gateway.ready) <= 2 * most
+        most = FEW.size(rig.gateway.endpoints.listed)
+        assert len(rig.gateway.endpoints.ready) <= 2 * most
     rig.run(10_000.0)
-    for name, flight in list(rig.gateway.flights.items()):
-        for number in list(flight.out):
+    for name, flight in list(rig.gateway.requests.items()):
+        for number in list(flight.in_flight):
             rig.finish(name, AttemptStatus.CANCELLED, number)
-    assert not rig.gateway.flights and len(rig.answers) == rig.count
+    assert not rig.gateway.requests and len(rig.answers) == rig.count
     assert rig.moves >= 10
 
 
--- a/tests/net/test_large_replies.py
+++ b/tests/net/test_large_replies.py
@@ -221,10 +221,10 @@
             await until(lambda: gateway.driver.active_requests)
             (held,) = gateway.driver.active_requests.values()
             (first,) = held.out.values()
-            flight = gateway.driver.engine.flights[held.request_id]
-            at = next(number for number in (1, 2) if number not in flight.tried)
+            flight = gateway.driver.engine.requests[held.request_id]
+            at = next(number for number in (1, 2) if number not in flight.tried_endpoints)
             gateway.driver.engine.actions = []
-            gateway.driver.engine._send(flight, gateway.driver.engine.servers[at])
+            gateway.driver.engine._start(flight, gateway.driver.engine.endpoints.by_id[at])
             for action in gateway.driver.engine.actions:
                 gateway.driver._perform(action)
             for fake in (server, other):
--- a/tests/net/test_upstream_pool.py
+++ b/tests/net/test_upstream_pool.py
@@ -102,8 +102,8 @@
         async with node(server) as gateway:
             assert await (await gateway.peer()).ask(call(1)) == b"0000000000000001"
             (customer,) = gateway.driver.engine.customers.values()
-            (known,) = gateway.driver.engine.servers.values()
-            assert customer.used == customer.excess == known.queue == 0.0
+            (known,) = gateway.driver.engine.endpoints.by_id.values()
+            assert customer.usage == customer.excess == known.queue_length == 0.0
 
     run(test())
 
--- a/tests/process/test_upgrade.py
+++ b/tests/process/test_upgrade.py
@@ -360,14 +360,14 @@
     rig.do(AttachServer(2))
     rig.run(1000.0)
     successor, _ = heir(rig)
-    assert not successor.gateway.servers[1].ready
-    warmth = successor.gateway._warmth(successor.gateway.servers[2])
-    assert warmth == rig.gateway._warmth(rig.gateway.servers[2]) < 1.0
+    assert not successor.gateway.endpoints.by_id[1].is_ready
+    warmth = successor.gateway.slow_start.capacity_share(successor.gateway.endpoints.by_id[2])
+    assert warmth == rig.gateway.slow_start.capacity_share(rig.gateway.endpoints.by_id[2]) < 1.0
     successor.servers(entry(1), entry(2))
-    assert [server.id for server in successor.gateway.ready] == [2]
-    assert successor.gateway._warmth(successor.gateway.servers[2]) == warmth
+    assert [server.id for server in successor.gateway.endpoints.ready] == [2]
+    assert successor.gateway.slow_start.capacity_share(successor.gateway.endpoints.by_id[2]) == warmth
     successor.do(AttachServer(1))
-    assert 1 in [server.id for server in successor.gateway.ready]
+    assert 1 in [server.id for server in successor.gateway.endpoints.ready]
 
 
 @pytest.mark.parametrize(
@@ -396,7 +396,7 @@
     with pytest.raises(ValueError):
         successor.do(RestoreState(state))
     assert not successor.gateway.customers and not successor.gateway.has_peer_process
-    assert successor.gateway.servers[1].ready or "barred" not in state
+    assert successor.gateway.endpoints.by_id[1].is_ready or "barred" not in state
 
 
 def test_place_is_in_tmpdir_and_nowhere_without_it(monkeypatch, tmp_path):
--- a/tests/unit/test_edge_sizes.py
+++ b/tests/unit/test_edge_sizes.py
@@ -43,7 +43,7 @@
     # server 1 told of 20 waiting; once enough time and attempts have passed it is taken as any other
     rig = Rig(replace(SETTINGS, load_report_fields=("queue",)))
     rig.servers(entry(1), entry(2))
-    rig.gateway._report(rig.gateway.servers[1], (20.0,))
+    rig.gateway.balancer.on_load_report(rig.gateway.endpoints.by_id[1], (20.0,))
     assert {rig.sent[rig.ask()][0] for _ in range(5)} == {2}
     rig.run(60_000.0)
     assert 1 in {rig.sent[rig.ask()][0] for _ in range(8)}
--- a/tests/unit/test_leaky_bucket.py
+++ b/tests/unit/test_leaky_bucket.py
@@ -74,7 +74,7 @@
 
 
 def test_slice_grows_by_the_room_and_falls_back(rig):
-    share = rig.gateway._share
+    share = rig.gateway.quota.share
     rig.finish(rig.ask("metered"), used=40.0)
     customer = rig.gateway.customers["metered", "c"]
     assert share(customer) == (1.0 + 0.1 * 0.6) / 2
@@ -130,7 +130,7 @@
         rig.finish(name, AttemptStatus.OK)
         rig.run(10.0)
     assert len(rig.gateway.customers) < 600
-    assert len(rig.gateway.flights) == 0
+    assert len(rig.gateway.requests) == 0
 
 
 def test_customer_that_can_not_be_forgotten_keeps_none_behind_it(rig):
@@ -146,7 +146,7 @@
     for _ in range(20):
         name = rig.ask("free")
         rig.finish(name)
-    assert not rig.gateway.timers and not rig.gateway.flights
+    assert not rig.gateway.timers.armed and not rig.gateway.requests
 
 
 def test_hold_past_the_shortest_aim_is_a_refusal():
--- a/tests/unit/test_protocol_rules.py
+++ b/tests/unit/test_protocol_rules.py
@@ -14,7 +14,7 @@
     ServiceRules,
     UpdateKind,
 )
-from quota_gateway.model.state import CustomerState, PendingRequest
+from quota_gateway.model.state import CustomerState, FailureRecord, Moment, PendingRequest
 from tests.support.engine_harness import CLASSES, DEAR, PLANS, SETTINGS, Rig, entry, rig_with
 
 RAN_NOT = [AttemptStatus.OVERLOADED, AttemptStatus.CONNECT_FAILED]
@@ -104,7 +104,7 @@
 
 def test_keyed_is_failed_outside_its_window(rig):
     name = rig.ask(class_name="keyed", patience=3900.0)
-    rig.gateway.flights[name].tried.clear()  # the window alone decides
+    rig.gateway.requests[name].tried_endpoints.clear()  # the window alone decides
     rig.now += 3000.0
     rig.finish(name, AttemptStatus.ERROR)
     assert len(rig.sent[name]) == 1 and rig.answers[name] == "Fail"
@@ -238,7 +238,7 @@
 def test_pool_parks_and_sheds_the_least_worth():
     rig = rig_with(classes=(*CLASSES, DEAR))
     rig.servers(entry(1), entry(2))
-    rig.gateway.pool = 6.0
+    rig.gateway.concurrency.limit = 6.0
     names = [rig.ask() for _ in range(6)]
     full = [name for name in names if name in rig.sent]
     waiting = [rig.ask() for _ in range(6)]
@@ -258,7 +258,7 @@
         if name in rig.sent:
             rig.finish(name, latency=3900.0)
         rig.run(1000.0)
-    assert rig.gateway.latency["safe"][1][0] > 2000.0
+    assert rig.gateway.latencies.means["safe"][1][0] > 2000.0
     assert rig.ask("metered") in rig.sent
 
 
@@ -267,7 +267,7 @@
         name = rig.ask(patience=100.0)
         rig.run(100.0)
         rig.finish(name, AttemptStatus.CANCELLED, latency=98.0)
-    assert not any(server.marks for server in rig.gateway.servers.values())
+    assert not any(server.failures for server in rig.gateway.endpoints.by_id.values())
 
 
 def test_an_id_in_hand_is_not_answered_by_its_repeat(rig):
@@ -309,11 +309,11 @@
     rig = pool_rig()
     names = [rig.ask() for _ in range(6)]
     rig.finish(names[0], latency=1001.0)  # half of the aim is 1000 ms
-    assert rig.gateway.pool == pytest.approx(6.0 - 0.3)
+    assert rig.gateway.concurrency.limit == pytest.approx(6.0 - 0.3)
     rig.finish(names[1], latency=50.0)  # it was one of five out of 5.7: one more would not have fitted
-    assert rig.gateway.pool == pytest.approx(5.7 + 0.035)
+    assert rig.gateway.concurrency.limit == pytest.approx(5.7 + 0.035)
     rig.finish(names[2], latency=50.0)  # it was one of four: one more would, and it shows nothing
-    assert rig.gateway.pool == pytest.approx(5.7 + 0.035)
+    assert rig.gateway.concurrency.limit == pytest.approx(5.7 + 0.035)
 
 
 def sized_rig() -> Rig:
@@ -322,27 +322,27 @@
     for units, latency in ((1, 100.0), (4, 1100.0)):
         for _ in range(40):
             rig.finish(rig.ask(units=units), latency=latency)
-    rig.gateway.pool = 6.0
-    for server in rig.gateway.servers.values():
-        server.marks.clear()
+    rig.gateway.concurrency.limit = 6.0
+    for server in rig.gateway.endpoints.by_id.values():
+        server.failures.clear()
     return rig
 
 
 def test_what_the_size_of_a_request_adds_does_not_take_off_the_pool():
     rig = sized_rig()
     rig.finish(rig.ask(units=4), latency=1300.0)
-    assert rig.gateway.pool == pytest.approx(6.0)
+    assert rig.gateway.concurrency.limit == pytest.approx(6.0)
     rig.finish(rig.ask(units=4), latency=2100.0)  # more than half of the aim beyond what four units add
-    assert rig.gateway.pool == pytest.approx(6.0 - 0.3)
+    assert rig.gateway.concurrency.limit == pytest.approx(6.0 - 0.3)
     rig.finish(rig.ask(units=1), latency=1300.0)
-    assert rig.gateway.pool == pytest.approx(6.0 - 0.6)
+    assert rig.gateway.concurrency.limit == pytest.approx(6.0 - 0.6)
 
 
 def test_a_big_request_out_for_its_usual_time_is_neither_doubted_nor_given_up():
     rig = sized_rig()
     small, big = rig.ask(units=1), rig.ask(units=4)
     rig.run(1500.0)
-    marked = {number for number, server in rig.gateway.servers.items() if server.marks}
+    marked = {number for number, server in rig.gateway.endpoints.by_id.items() if server.failures}
     assert marked >= set(rig.sent[small]) and not marked & set(rig.sent[big])
     rig.run(900.0)  # beyond the aim, yet but two mean latencies of its size
     assert big not in rig.answers and len(rig.sent[big]) == 1
@@ -352,9 +352,9 @@
     rig = pool_rig()
     for _ in range(12):
         rig.ask()
-    assert len(rig.gateway.young) <= 6
+    assert len(rig.gateway.concurrency.in_flight) <= 6
     rig.run(1000.0)
-    assert not rig.gateway.young and rig.ask() in rig.sent
+    assert not rig.gateway.concurrency.in_flight and rig.ask() in rig.sent
 
 
 # Beyond the rules: servers that fail a part of what they get
@@ -370,7 +370,7 @@
         assert name not in rig.answers and len(rig.sent[name]) == 5
         rig.finish(name)
     names = [rig.ask(class_name="unsafe") for _ in range(3)]
-    rig.gateway.retries = 1.0
+    rig.gateway.retries.tokens = 1.0
     for name in names:
         rig.finish(name, AttemptStatus.OVERLOADED)
     assert sum(len(rig.sent[name]) for name in names) == 4
@@ -404,7 +404,7 @@
 def silent(rig: Rig, name: str) -> None:
     rig.run(1000.0)  # half of the aim
     rig.finish(name, AttemptStatus.RESET, latency=1000.0)
-    rig.gateway.servers[0].marks.pop(
+    rig.gateway.endpoints.by_id[0].failures.pop(
         "", None
     )  # what a reset says of the whole server is not meant here
 
@@ -445,13 +445,13 @@
     for _ in range(5):
         name = rig.ask()
         lines += [a.text for a in rig.finish(name, AttemptStatus.CONNECT_FAILED) if isinstance(a, LogMessage)]
-    assert lines == ["server 7 doubted: connect_failed"]
+    assert lines == ["outlier detected server=7 scope='all' reason=connect_failed"]
 
 
 def test_of_a_large_fleet_few_servers_are_compared():
     rig, compared = fleet(300), []
-    cost = rig.gateway._cost
-    rig.gateway._cost = lambda flight, server: compared.append(server) or cost(flight, server)
+    cost = rig.gateway.balancer.cost
+    rig.gateway.balancer.cost = lambda flight, server: compared.append(server) or cost(flight, server)
     for _ in range(50):
         rig.finish(rig.ask())
     assert 50 * 10 <= len(compared) <= 50 * 20
@@ -463,7 +463,7 @@
 def hung(class_name: str, mean: float) -> tuple[Rig, str]:
     """A request out without an answer, at servers that answer its class in this time on the mean."""
     rig = fleet(2)
-    rig.gateway.latency[class_name][1] = (mean, 1)
+    rig.gateway.latencies.means[class_name][1] = (mean, 1)
     return rig, rig.ask(class_name=class_name)
 
 
@@ -503,9 +503,9 @@
     rig = fleet(4)
     name = rig.ask()
     rig.finish(name, AttemptStatus.ERROR)
-    second = rig.gateway.servers[rig.sent[name][1]]
+    second = rig.gateway.endpoints.by_id[rig.sent[name][1]]
     rig.finish(name, AttemptStatus.OVERLOADED)
-    assert rig.answers[name] == "Reject" and len(rig.sent[name]) == 2 and not second.marks
+    assert rig.answers[name] == "Reject" and len(rig.sent[name]) == 2 and not second.failures
     name = rig.ask()
     rig.finish(name, AttemptStatus.OVERLOADED)  # without an error before it, others may have room
     assert name not in rig.answers and len(rig.sent[name]) == 2
@@ -529,9 +529,12 @@
 
 def test_cold_servers_have_their_part_within_the_tipping_budget_however_they_answer():
     rig = few_warm()
-    servers = rig.gateway.servers
-    servers[3].ratio, servers[3].ratio_at = 0.2, (rig.now, 0)
-    servers[4].ratio, servers[4].ratio_at = 5.0, (rig.now, 0)  # as slow as a fifth of its capacity makes it
+    servers = rig.gateway.endpoints.by_id
+    servers[3].relative_latency, servers[3].relative_latency_at = 0.2, Moment(rig.now, 0)
+    servers[4].relative_latency, servers[4].relative_latency_at = (
+        5.0,
+        Moment(rig.now, 0),
+    )  # as slow as a fifth of its capacity makes it
     turns = [rig.gateway._choose(in_turn(rig, number / 1000.0)) for number in range(1000)]
     # 0.111 by capacity, 0.2 of 1.8; but 0.12 pushes it over, as 0.08 does in a burst of half as much again
     assert all(55 <= turns.count(servers[number]) <= 65 for number in (2, 3, 4, 5))
@@ -540,10 +543,13 @@
 def test_cold_server_that_fails_or_has_much_out_is_passed_over_in_its_turn():
     rig = few_warm()
     rig.servers(*(entry(number) for number in range(6, 10)), kind=UpdateKind.DELTA)
-    servers = rig.gateway.servers
-    servers[3].marks[""] = 5.0, 5.0, (rig.now, 0)
-    servers[4].out = {(str(number), 0) for number in range(9)}
-    servers[5].ratio, servers[5].ratio_at = 50.0, (rig.now, 0)  # ten times as slow as its warmth explains
+    servers = rig.gateway.endpoints.by_id
+    servers[3].failures[""] = FailureRecord(5.0, 5.0, Moment(rig.now, 0))
+    servers[4].in_flight = {(str(number), 0) for number in range(9)}
+    servers[5].relative_latency, servers[5].relative_latency_at = (
+        50.0,
+        Moment(rig.now, 0),
+    )  # ten times as slow as its warmth explains
     turns = [rig.gateway._choose(in_turn(rig, number / 1000.0)) for number in range(1000)]
     assert turns.count(servers[2]) >= 30 and not {3, 4, 5} & {server.id for server in turns}
 
@@ -555,9 +561,11 @@
     met: list[set[int]] = [set() for _ in range(1000)]
     for _ in range(40):
         rig.now += 250.0
-        rig.gateway.now = rig.now
+        rig.gateway.clock.now_ms = rig.now
         for number, servers in enumerate(met):
-            server = rig.gateway._in_turn(in_turn(rig, number / 1000.0))
+            server = rig.gateway.slow_start.pick(
+                number / 1000.0, rig.gateway.endpoints.ready, rig.gateway.endpoints.warming
+            )
             servers |= {server.id} if server else set()
     assert all(len(servers) <= 1 for servers in met) and sum(map(len, met)) >= 700
 
--- a/tests/unit/test_quota_over_fleet.py
+++ b/tests/unit/test_quota_over_fleet.py
@@ -108,11 +108,11 @@
 
 def test_part_that_passes_is_left_to_a_new_version():
     rig, heir = Rig(replace(SETTINGS, plans=PLANS)), Rig(replace(SETTINGS, plans=PLANS))
-    rig.gateway.open["cap"] = 0.5
+    rig.gateway.admission.admitted_shares["cap"] = 0.5
     (estate,) = (action.state for action in rig.do(ExportState()) if isinstance(action, StateSnapshot))
     heir.do(RestoreState(estate))
-    assert heir.gateway.open["cap"] == 0.5
+    assert heir.gateway.admission.admitted_shares["cap"] == 0.5
     older = {name: value for name, value in estate.items() if name != "open"}
     other = Rig(replace(SETTINGS, plans=PLANS))
     other.do(RestoreState(older))  # a version before this one leaves none
-    assert other.gateway.has_peer_process and other.gateway.open["cap"] < 0.5
+    assert other.gateway.has_peer_process and other.gateway.admission.admitted_shares["cap"] < 0.5
--- a/tests/unit/test_slow_start.py
+++ b/tests/unit/test_slow_start.py
@@ -151,7 +151,7 @@
                 )
 
     def fire(self, index, token):
-        if token in self.gateways[index].timers:
+        if token in self.gateways[index].timers.armed:
             self.do(index, TimerFired(token))
 
     def send(self, index, action):
--- a/tests/unit/test_subset.py
+++ b/tests/unit/test_subset.py
@@ -6,8 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from quota_gateway.policy import engine as logic
-from quota_gateway.policy import subset
+from quota_gateway.policy import concurrency, subset
 from quota_gateway.policy.subset import NearestEndpoints, Subset
 
 FLEETS = st.tuples(st.integers(1, 400), st.integers(1, 400), st.integers(1, 40))  # gateways, servers, least
@@ -64,7 +63,7 @@
         Subset(gateways, 0).size(servers)
         for gateways, servers in ((3800, 38000), (500, 5000), (200, 200), (40, 60), (20, 38000), (100, 38000))
     ] == [256, 256, 200, 60, 38000, 9120]
-    assert subset.PLACES == logic.FIRST_LIMIT  # its even part of these is what a gateway has to spread
+    assert subset.PLACES == concurrency.FIRST_LIMIT  # its even part of these is what a gateway has to spread
 
 
 def check_sharers(gateways, servers, seed, least=0.0):
