--- a/tests/net/test_client_disconnect.py
+++ b/tests/net/test_client_disconnect.py
@@ -76,7 +76,9 @@
 
 def fire_timer(gateway, which: str) -> None:
     """Let a timer of the policy engine fire."""
-    (token,) = [token for token, (call, _) in gateway.driver.engine.timers.items() if call.__name__ == which]
+    (token,) = [
+        token for token, (call, _) in gateway.driver.engine.timers.armed.items() if call.__name__ == which
+    ]
     gateway.driver.post(TimerFired(token))
 
 
@@ -117,7 +119,7 @@
     assert await peer.request(encode_request(OTHER + 1, "held")) == request_id(OTHER + 1)
     client.socket.sendall(encode_request(FIRST, "held"))
     await wait_until_queued(gateway, FIRST)
-    return lambda: fire_timer(gateway, "_end_hold")
+    return lambda: fire_timer(gateway, "_on_delay_over")
 
 
 async def queued_under_an_in_flight_limit(gateway, client, plan="two"):
@@ -128,7 +130,7 @@
 
 
 async def queued_under_the_concurrency_limit(gateway, client):
-    gateway.driver.engine.pool = 1.0
+    gateway.driver.engine.concurrency.limit = 1.0
     return await queued_under_an_in_flight_limit(gateway, client, "free")
 
 
@@ -221,15 +223,15 @@
 async def expect_nothing_forwarded(gateway, client: DisconnectingClient, before: list[bytes]) -> None:
     """Expect that no more was forwarded once another request was served, and no state is kept."""
     decisions = gateway.driver.engine
-    decisions.pool = 100.0
+    decisions.concurrency.limit = 100.0
     assert await (await gateway.connect_client()).request(encode_request(LAST)) == request_id(LAST)
     assert client.forwarded() == before
     await wait_until(lambda: not gateway.driver.active_requests)
-    assert not decisions.flights
-    assert not decisions.parked
-    assert not decisions.young
-    assert not any(server.out for server in decisions.servers.values())
-    assert not any(customer.out for customer in decisions.customers.values())
+    assert not decisions.requests
+    assert not decisions.queue.requests
+    assert not decisions.concurrency.in_flight
+    assert not any(server.in_flight for server in decisions.endpoints.by_id.values())
+    assert not any(customer.in_flight for customer in decisions.customers.values())
 
 
 @pytest.mark.parametrize("how", ["end", "reset"])
--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -203,9 +203,9 @@
             monkeypatch.setattr(UpstreamConnection, "open", open_late)
         peer.send(encode_call(last, plan="held"))
         await wait_until(lambda: len(gateway.driver.active_requests) == 1)
-        (flight,) = gateway.driver.engine.flights.values()
+        (flight,) = gateway.driver.engine.requests.values()
         customer = flight.customer
-        assert flight.waiting == (wait == "delayed by the bucket")
+        assert flight.is_delayed == (wait == "delayed by the bucket")
         assert customer.excess >= 1000.0
         before = customer.excess
         disconnect(peer, how)
@@ -213,7 +213,7 @@
         assert customer.excess == before - 1000.0
         gateway.update_endpoints(server.endpoint(1))
         up.set()
-        gateway.driver.engine._end_hold(flight)  # as its timer would
+        gateway.driver.engine._on_delay_over(flight)  # as its timer would
         assert await (await gateway.connect_client()).request(encode_call(9)) == b"0000000000000009"
         assert b"%016x" % last not in [words[2] for words in server.commands]
 
--- a/tests/net/test_detachments.py
+++ b/tests/net/test_detachments.py
@@ -43,7 +43,7 @@
 
 def capacity_share(rig, server: int) -> float:
     """How much of its capacity a server is given while it warms up."""
-    return rig.gateway._warmth(rig.gateway.servers[server])
+    return rig.gateway.slow_start.capacity_share(rig.gateway.endpoints.by_id[server])
 
 
 @pytest.mark.parametrize("update", DISCOVERY_UPDATES)
--- a/tests/net/test_large_replies.py
+++ b/tests/net/test_large_replies.py
@@ -201,10 +201,10 @@
         await wait_until(lambda: gateway.driver.active_requests)
         (held,) = gateway.driver.active_requests.values()
         (first,) = held.attempts.values()
-        flight = gateway.driver.engine.flights[held.request_id]
-        at = next(number for number in (1, 2) if number not in flight.tried)
+        flight = gateway.driver.engine.requests[held.request_id]
+        at = next(number for number in (1, 2) if number not in flight.tried_endpoints)
         gateway.driver.engine.actions = []
-        gateway.driver.engine._send(flight, gateway.driver.engine.servers[at])
+        gateway.driver.engine._start(flight, gateway.driver.engine.endpoints.by_id[at])
         for action in gateway.driver.engine.actions:
             gateway.driver._perform(action)
         for fake in (server, other):
--- a/tests/net/test_upstream_pool.py
+++ b/tests/net/test_upstream_pool.py
@@ -87,8 +87,8 @@
     async with run_gateway(server) as gateway:
         assert await (await gateway.connect_client()).request(encode_call(1)) == b"0000000000000001"
         (customer,) = gateway.driver.engine.customers.values()
-        (known,) = gateway.driver.engine.servers.values()
-        assert customer.used == customer.excess == known.queue == 0.0
+        (known,) = gateway.driver.engine.endpoints.by_id.values()
+        assert customer.usage == customer.excess == known.queue_length == 0.0
 
 
 @pytest.mark.parametrize(
--- a/tests/process/test_upgrade.py
+++ b/tests/process/test_upgrade.py
@@ -388,17 +388,17 @@
 
 def capacity_share(rig: Rig, server: int) -> float:
     """How much of its capacity a server is given while it warms up."""
-    return rig.gateway._warmth(rig.gateway.servers[server])
+    return rig.gateway.slow_start.capacity_share(rig.gateway.endpoints.by_id[server])
 
 
 def is_ready(rig: Rig, server: int) -> bool:
     """Whether a server may be chosen."""
-    return rig.gateway.servers[server].ready
+    return rig.gateway.endpoints.by_id[server].is_ready
 
 
 def ready_servers(rig: Rig) -> list[int]:
     """The servers that the engine chooses from."""
-    return [server.id for server in rig.gateway.ready]
+    return [server.id for server in rig.gateway.endpoints.ready]
 
 
 def test_buckets_and_in_flight_limits_hold_over_both_processes(rig):
