--- a/quota_gateway/model/state.py
+++ b/quota_gateway/model/state.py
@@ -161,10 +161,6 @@
     key: str
     reason: str
 
-    def __str__(self) -> str:
-        """The fields of its log line."""
-        return f"server={self.endpoint.id} scope={self.key or 'all'!r} reason={self.reason}"
-
 
 class RunningAttempt(NamedTuple):
     """An attempt in flight, or one that may have been executed."""
--- a/quota_gateway/policy/engine.py
+++ b/quota_gateway/policy/engine.py
@@ -338,7 +338,8 @@
     def _eject(self, outlier: DetectedOutlier | None) -> None:
         if outlier:
             self.endpoints.replace(outlier.endpoint)
-            self._log_once(f"outlier detected {outlier}")
+            server, scope = outlier.endpoint.id, outlier.key or "all"
+            self._log_once(f"outlier detected server={server} scope={scope!r} reason={outlier.reason}")
 
     def _on_detach(self, event: events.DetachServer, since_ms: float | None = None) -> None:
         if self.endpoints.detach(event.server, since_ms):
