--- /dev/null
+++ b/tests/unit/test_snapshot.py
@@ -0,0 +1,45 @@
+"""The state snapshot keeps the form that the version before reads and writes.
+
+``engine-state-4431b5a.json`` was exported by the engine of commit 4431b5a after sixty requests of all plans.
+"""
+
+import json
+from pathlib import Path
+
+import pytest
+
+from quota_gateway import ExportState, RestoreState, StateSnapshot
+from quota_gateway.errors import StateError
+from quota_gateway.model.snapshot import EngineState
+from tests.support.engine_harness import SETTINGS, EngineHarness, entry
+
+RECORDED = Path(__file__).parent.parent / "support" / "snapshots" / "engine-state-4431b5a.json"
+LATER_MS = 10_000.0  # than all times in the record
+
+
+def test_snapshot_of_the_version_before_is_read_and_written_without_a_change():
+    recorded = json.loads(RECORDED.read_text())
+    state = EngineState.from_json(recorded, SETTINGS, LATER_MS)
+    assert json.dumps(state.to_json()) == json.dumps(recorded)
+
+
+def test_engine_goes_on_from_the_snapshot_of_the_version_before():
+    recorded = json.loads(RECORDED.read_text())
+    harness = EngineHarness()
+    harness.servers(entry(1), entry(2), entry(3, started_ms=900.0), entry(4))
+    harness.run(LATER_MS)
+    harness.do(RestoreState(recorded))
+    (action,) = [a for a in harness.do(ExportState()) if isinstance(a, StateSnapshot)]
+    assert json.dumps(action.state) == json.dumps(recorded)
+    assert not harness.gateway.endpoints.by_id[2].is_ready
+
+
+@pytest.mark.parametrize("key", ["customers", "servers", "marks", "sends", "pool", "retries", "started_at"])
+def test_snapshot_without_a_part_is_malformed_and_none_of_it_is_restored(key):
+    recorded = json.loads(RECORDED.read_text())
+    del recorded[key]
+    harness = EngineHarness()
+    with pytest.raises(StateError, match=key):
+        harness.do(RestoreState(recorded))
+    assert not harness.gateway.customers
+    assert not harness.gateway.has_peer_process
