--- a/quota_gateway/net/command_intake.py
+++ b/quota_gateway/net/command_intake.py
@@ -21,7 +21,6 @@
 MAX_COMMANDS_PER_TURN = 64  # read of one connection before the others have their turn
 MAX_CONSECUTIVE_ERRORS = 16  # bad commands, after which a connection is closed: no use comes of more
 BODY_GAP_TIMEOUT_S = 1.0  # between two pieces of an overdue body: as a whole it may take longer
-HEAD_ARGUMENT_COUNT = 4  # of a command, before its body
 
 
 class IntakeServices(Protocol):
@@ -126,7 +125,7 @@
         ):
             unread_bytes = len(self.reader.buffer)
             try:
-                command = self.reader.command()
+                command = self.reader.next_command()
             except ProtocolError as error:
                 self.reject_input(f"Protocol error: {error}")
                 break
@@ -247,8 +246,7 @@
         """Whether all of a command has come but a body, and that is still arriving."""
         return (
             not self._connection.is_closing
-            and len(self.reader.words) == HEAD_ARGUMENT_COUNT
-            and self.reader.length is not None
+            and self.reader.is_within_body()
             and self._services.loop.time() - self.last_received_s < BODY_GAP_TIMEOUT_S
         )
 
--- a/quota_gateway/net/resp.py
+++ b/quota_gateway/net/resp.py
@@ -19,6 +19,7 @@
 MAX_HEADER_BYTES = 16  # of a header with its end: a type, up to seven digits, CR LF, some to spare
 MAX_LINE_BYTES = 512  # of an error line: some words, the figures on use, a load report
 MAX_FIGURES_BYTES = 256  # of the figures on use, and of a load report
+HEAD_ARGUMENT_COUNT = 4  # of a command, before its body
 COMMAND_ARGUMENT_MAX_BYTES = (64, 64, 128, 512, MAX_BODY_BYTES)  # name, customer, id, list of fields, body
 ARRAY_HEADER = re.compile(rb"\*([0-9]{1,7})\r\n")
 BULK_HEADER = re.compile(rb"\$([0-9]{1,7}|-1)\r\n")
@@ -46,8 +47,8 @@
     ) -> None:
         self.buffer = bytearray()
         self.left: int | None = None  # bytes of a streamed element that have not been taken yet
-        self.length: int | None = None  # bytes of the element whose header has been read
-        self.words: list[bytes | None] = []  # the elements that are complete
+        self._length: int | None = None  # bytes of the element whose header has been read
+        self._elements: list[bytes | None] = []  # the elements that are complete
         self._max_lengths = max_lengths
         self._min_count = min_count
         self._nullable_from = nullable_from
@@ -66,7 +67,7 @@
         del self.buffer[: len(taken)]
         self.left -= len(taken)
         if taken and not self.left:
-            self.length = 0  # what is still to be read of it
+            self._length = 0  # what is still to be read of it
         return taken
 
     def next(self) -> list[bytes | None] | None:
@@ -86,7 +87,7 @@
         self._position = 0
         self._count = 0
         self.left = None
-        return self.words
+        return self._elements
 
     def _read_array_header(self) -> bool:
         """Read the header of the next array; whether it is complete."""
@@ -96,7 +97,7 @@
             return False
         self._count = int(header[1])
         self._position = header.end()
-        self.words = []
+        self._elements = []
         if not self._min_count <= self._count <= len(self._max_lengths):
             raise ProtocolError("bad number of elements")
         return True
@@ -104,15 +105,15 @@
     def _read_elements(self) -> bool:
         """Read elements as far as they are there; whether that is all of them."""
         buffer = self.buffer
-        words = self.words
-        while len(words) < self._count:
-            if self.length is None and not self._read_bulk_header():
+        elements = self._elements
+        while len(elements) < self._count:
+            if self._length is None and not self._read_bulk_header():
                 return False
             if self.left:
                 return False  # all of it is to be taken first
-            length = cast(int, self.length)
+            length = cast(int, self._length)
             if length < 0:
-                words.append(None)
+                elements.append(None)
             else:
                 start = self._position
                 end = start + length
@@ -120,9 +121,9 @@
                     return False
                 if not buffer.startswith(b"\r\n", end):
                     raise ProtocolError("longer than it says")
-                words.append(bytes(memoryview(buffer)[start:end]))
+                elements.append(bytes(memoryview(buffer)[start:end]))
                 self._position = end + 2
-            self.length = None
+            self._length = None
         return True
 
     def _read_bulk_header(self) -> bool:
@@ -132,8 +133,8 @@
             self._check_partial_header(b"$")
             return False
         length = int(header[1])
-        index = len(self.words)
-        self.length = length
+        index = len(self._elements)
+        self._length = length
         self._position = header.end()
         if length > self._max_lengths[index] or (length < 0 and index < self._nullable_from):
             raise ProtocolError("too long, or null")
@@ -158,7 +159,7 @@
             COMMAND_ARGUMENT_MAX_BYTES, min_count=1, nullable_from=len(COMMAND_ARGUMENT_MAX_BYTES)
         )
 
-    def command(self) -> list[bytes] | None:
+    def next_command(self) -> list[bytes] | None:
         """Read the next command.
 
         Returns:
@@ -169,6 +170,10 @@
         """
         return cast("list[bytes] | None", self.next())  # nothing may be null
 
+    def is_within_body(self) -> bool:
+        """Whether all of a command has come but its body, and that has begun."""
+        return len(self._elements) == HEAD_ARGUMENT_COUNT and self._length is not None
+
 
 Answer = list[bytes | None] | str  # value, figures on use, load report; or an error line without its dash
 
