--- a/quota_gateway/net/reply_parser.py
+++ b/quota_gateway/net/reply_parser.py
@@ -9,7 +9,7 @@
 from quota_gateway.errors import ProtocolError
 from quota_gateway.model import AttemptStatus
 from quota_gateway.net.attempt import UpstreamReply
-from quota_gateway.net.resp import Answer
+from quota_gateway.net.resp import RawReply
 from quota_gateway.settings_format import REPORT_FIELD
 
 log = logging.getLogger(__name__)
@@ -47,7 +47,7 @@
         self.load_report_fields = load_report_fields
         self.max_final_units = MAX_UNITS_FACTOR * max_request_units
 
-    def parse(self, answer: Answer) -> UpstreamReply:
+    def parse(self, answer: RawReply) -> UpstreamReply:
         """Return what an answer means by the protocol's table.
 
         Raises:
--- a/quota_gateway/net/resp.py
+++ b/quota_gateway/net/resp.py
@@ -29,7 +29,8 @@
     """Reads arrays of bulk strings from bytes that come in pieces of any length.
 
     Where the first element may be streamed and is long, it is not gathered: ``next`` returns None and
-    ``left`` says how many of its bytes are still to be taken by ``piece``; it stands in the array as empty.
+    ``streamed_bytes_left`` says how many of its bytes ``take_piece`` has still to take; in the array it stands
+    as empty.
 
     Args:
         max_lengths: The most bytes that each element may have, by its index; an array has no more elements.
@@ -46,7 +47,7 @@
         streamed_min_bytes: float = inf,
     ) -> None:
         self.buffer = bytearray()
-        self.left: int | None = None  # bytes of a streamed element that have not been taken yet
+        self.streamed_bytes_left: int | None = None  # None while no element is streamed
         self._length: int | None = None  # bytes of the element whose header has been read
         self._elements: list[bytes | None] = []  # the elements that are complete
         self._max_lengths = max_lengths
@@ -60,13 +61,13 @@
         """Take in what has come."""
         self.buffer += data
 
-    def piece(self) -> bytes:
+    def take_piece(self) -> bytes:
         """Take what has come of a streamed element; empty where nothing has."""
-        assert self.left is not None
-        taken = bytes(memoryview(self.buffer)[: self.left])
+        assert self.streamed_bytes_left is not None
+        taken = bytes(memoryview(self.buffer)[: self.streamed_bytes_left])
         del self.buffer[: len(taken)]
-        self.left -= len(taken)
-        if taken and not self.left:
+        self.streamed_bytes_left -= len(taken)
+        if taken and not self.streamed_bytes_left:
             self._length = 0  # what is still to be read of it
         return taken
 
@@ -86,7 +87,7 @@
         del self.buffer[: self._position]
         self._position = 0
         self._count = 0
-        self.left = None
+        self.streamed_bytes_left = None
         return self._elements
 
     def _read_array_header(self) -> bool:
@@ -109,7 +110,7 @@
         while len(elements) < self._count:
             if self._length is None and not self._read_bulk_header():
                 return False
-            if self.left:
+            if self.streamed_bytes_left:
                 return False  # all of it is to be taken first
             length = cast(int, self._length)
             if length < 0:
@@ -141,7 +142,7 @@
         if length > self._streamed_min_bytes and not index:
             del self.buffer[: self._position]
             self._position = 0
-            self.left = length
+            self.streamed_bytes_left = length
         return True
 
     def _check_partial_header(self, kind: bytes) -> None:
@@ -175,7 +176,7 @@
         return len(self._elements) == HEAD_ARGUMENT_COUNT and self._length is not None
 
 
-Answer = list[bytes | None] | str  # value, figures on use, load report; or an error line without its dash
+RawReply = list[bytes | None] | str  # value, figures on use, load report; or an error line without its dash
 
 
 class ReplyReader(BulkArrayReader):
@@ -189,7 +190,7 @@
             streamed_min_bytes=STREAMED_MIN_BYTES,
         )
 
-    def answer(self) -> Answer | None:
+    def next_reply(self) -> RawReply | None:
         """Read the next reply.
 
         Returns:
--- a/quota_gateway/net/upstream_connection.py
+++ b/quota_gateway/net/upstream_connection.py
@@ -188,12 +188,12 @@
 
     def _next_reply(self, attempt: Attempt) -> UpstreamReply | None:
         """Return the reply once it is complete; None too where the connection was closed over it."""
-        answer = self.reader.answer()
-        if answer is None and self.reader.left is not None:
+        answer = self.reader.next_reply()
+        if answer is None and self.reader.streamed_bytes_left is not None:
             self._pass_on(attempt)
             if self.closed:
                 return None
-            answer = self.reader.answer()
+            answer = self.reader.next_reply()
         if answer is None:
             self.owner.count_buffered(self, len(self.reader.buffer) - self.buffered_bytes)
             return None
@@ -202,14 +202,14 @@
 
     def _pass_on(self, attempt: Attempt) -> None:
         """Pass on what has come of a large value, which is never gathered."""
-        assert self.reader.left is not None
-        piece = self.reader.piece()
+        assert self.reader.streamed_bytes_left is not None
+        piece = self.reader.take_piece()
         if not piece:
             return  # a header alone commits nobody: other attempts may still be quicker
         self.last_received_s = self.owner.loop.time()
         if attempt.body_consumer is None:
             attempt.payload = b""
-            body_consumer = attempt.on_body_started(self.reader.left + len(piece))
+            body_consumer = attempt.on_body_started(self.reader.streamed_bytes_left + len(piece))
             if self.closed:
                 return  # nobody wants it any more
             attempt.body_consumer = body_consumer
--- a/tests/net/test_large_replies.py
+++ b/tests/net/test_large_replies.py
@@ -21,10 +21,10 @@
     reader, value, answers = ReplyReader(), b"", []
     for at in range(0, len(answer), size):
         reader.feed(answer[at : at + size])
-        got = reader.answer()
-        if got is None and reader.left is not None:
-            value += reader.piece()
-            got = reader.answer()
+        got = reader.next_reply()
+        if got is None and reader.streamed_bytes_left is not None:
+            value += reader.take_piece()
+            got = reader.next_reply()
         if got is not None:
             answers.append(got)
         assert len(reader.buffer) <= size + 64
