--- a/quota_gateway/net/resp.py
+++ b/quota_gateway/net/resp.py
@@ -29,8 +29,8 @@
     """Reads arrays of bulk strings from bytes that come in pieces of any length.
 
     Where the first element may be streamed and is long, it is not gathered: ``next`` returns None and
-    ``streamed_bytes_left`` says how many of its bytes ``take_piece`` has still to take; in the array it stands
-    as empty.
+    ``streamed_bytes_left`` says how many of its bytes ``take_piece`` has still to take. In the array it
+    stands as empty.
 
     Args:
         max_lengths: The most bytes that each element may have, by its index; an array has no more elements.
