--- a/quota_gateway/model/snapshot.py
+++ b/quota_gateway/model/snapshot.py
@@ -130,18 +130,18 @@
         )
 
 
-def _number_in(value: Any) -> float:  # noqa: ANN401 - foreign JSON
+def _number_in(value: Any) -> float:
     """A number, perhaps infinite."""
     if isinstance(value, bool) or not isinstance(value, (int, float)) or value != value:
         raise StateError(f"state snapshot is malformed: {value!r} is no number")
     return value
 
 
-def _moment_in(value: Any) -> Moment:  # noqa: ANN401 - foreign JSON
+def _moment_in(value: Any) -> Moment:
     return Moment(_number_in(value[0]), int(value[1]))
 
 
-def _failures_in(value: Any) -> dict[str, FailureRecord]:  # noqa: ANN401 - foreign JSON
+def _failures_in(value: Any) -> dict[str, FailureRecord]:
     return {
         str(name): FailureRecord(_number_in(failures), _number_in(outcomes), _moment_in(updated))
         for name, (failures, outcomes, updated) in value.items()
--- a/quota_gateway/net/admin.py
+++ b/quota_gateway/net/admin.py
@@ -19,7 +19,6 @@
 log = logging.getLogger(__name__)
 
 MAX_CONNECTIONS = 8  # at once; the oldest makes room for a new one
-MOST_CALLERS = MAX_CONNECTIONS  # the name by which the division of descriptors has it
 REQUEST_TIMEOUT_S = 2.0  # for a call, from connecting on: an operator waits 1 s for the answer
 MAX_REQUEST_BYTES = 8192  # of a call, head and body
 MAX_SERVER_NAME_LENGTH = 256  # characters
@@ -73,7 +72,7 @@
         self.transport = cast(asyncio.Transport, transport)
         self.server.on_connected(self)
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - asyncio's signature
         """The connection has ended, whoever ended it."""
         self.server.on_disconnected(self)
 
--- a/quota_gateway/net/attempt.py
+++ b/quota_gateway/net/attempt.py
@@ -50,7 +50,7 @@
     """Consume a piece of a value that nobody wants."""
 
 
-def _discard_body(length: int) -> BodyConsumer:
+def _discard_body(length: int) -> BodyConsumer:  # noqa: ARG001 (stands in for ``Attempt.on_body_started``)
     return discard_piece
 
 
--- a/quota_gateway/net/client_connection.py
+++ b/quota_gateway/net/client_connection.py
@@ -79,7 +79,7 @@
         elif self.intake.has_sent_command:
             self._owner.idle_connections.update(self, within_command=False, took_command=True)
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - asyncio's signature
         """Let go of the requests in hand."""
         self.transport = None
         if self._abort_timer:
--- a/quota_gateway/net/handover.py
+++ b/quota_gateway/net/handover.py
@@ -14,23 +14,19 @@
 from quota_gateway.net.driver import Driver
 from quota_gateway.net.endpoint_registry import EndpointRegistry
 from quota_gateway.net.handover_receiver import HandoverReceiver, HandoverState, request_handover
-from quota_gateway.net.handover_sender import MAX_QUEUED_PACKETS, HandoverSender
+from quota_gateway.net.handover_sender import HandoverSender
 from quota_gateway.net.peer_processes import PeerProcesses
 from quota_gateway.net.peer_requests import PeerRequestHandler
 from quota_gateway.net.rendezvous import rendezvous_path
 from quota_gateway.net.upstream_pool import UpstreamPool
 
 __all__ = [
-    "MAX_QUEUED_PACKETS",
-    "MOST_QUEUED",
     "Handover",
     "HandoverState",
     "rendezvous_path",
     "request_handover",
 ]
 
-MOST_QUEUED = MAX_QUEUED_PACKETS  # the name by which the division of descriptors has it
-
 
 class Handover:
     """Both sides of a handover: a process may take over from one and hand over to another."""
--- a/quota_gateway/net/upstream_connection.py
+++ b/quota_gateway/net/upstream_connection.py
@@ -252,7 +252,7 @@
 
     # ---- Closing
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 (asyncio's signature)
         """The connection has ended; the loop closes its descriptor as this returns.
 
         The socket lets go of its descriptor so that it is not closed twice; see
--- a/quota_gateway/net/watch_connection.py
+++ b/quota_gateway/net/watch_connection.py
@@ -170,7 +170,7 @@
         if self._reading is None:
             self.close(WatchEndReason.RESPONSE_COMPLETE)
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - asyncio.Protocol has it
         """Tell that the connection is gone, once all that came has been read."""
         self._is_connection_lost = True
         if self._reading:
--- a/quota_gateway/policy/clock.py
+++ b/quota_gateway/policy/clock.py
@@ -25,6 +25,19 @@
         self.now_ms = now_ms
         self.started_at_ms = min(self.started_at_ms, now_ms)
 
+    def on_attempt(self) -> None:
+        """Count an attempt that starts now."""
+        self.attempts += 1
+
+    def set_endpoint_count(self, endpoint_count: int) -> None:
+        """Set how many endpoints are known."""
+        self.endpoint_count = endpoint_count
+
+    def restore(self, attempts: int, started_at_ms: float) -> None:
+        """Go on from the counts of the process before."""
+        self.attempts = attempts
+        self.started_at_ms = min(self.started_at_ms, started_at_ms)
+
     def moment(self) -> Moment:
         """The stamp of a statistic that is updated now."""
         return Moment(self.now_ms, self.attempts)
--- a/quota_gateway/policy/endpoints.py
+++ b/quota_gateway/policy/endpoints.py
@@ -80,7 +80,7 @@
 
     def select(self) -> None:
         """Select the ready endpoints to work with: all, or the subset with a replacement for each outlier."""
-        self._clock.endpoint_count = len(self.by_id)
+        self._clock.set_endpoint_count(len(self.by_id))
         size = self.subset.size(self.listed)
         self.reserve = []
         if len(self.by_id) <= size:
--- a/quota_gateway/policy/engine.py
+++ b/quota_gateway/policy/engine.py
@@ -130,6 +130,7 @@
             self._release(pending)
 
     def _release(self, pending: PendingRequest) -> None:
+        """Start the first attempt if limits and an endpoint allow it; else queue the request or answer it."""
         now_ms = self.clock.now_ms
         wait_ms = self.ceiling.wait_ms(pending)
         turn_ms = self.in_flight_limit.turn_wait_ms(pending)
@@ -147,6 +148,7 @@
             self._enqueue(pending, wait_ms)
 
     def _enqueue(self, pending: PendingRequest, wait_ms: float) -> None:
+        """Queue what can not start now, for ``wait_ms`` at least; the queue may shed one for it."""
         if self.queue.add(pending):
             time_left_ms = self.latencies.last_start_ms(pending) - self.clock.now_ms
             self._arm(max(0.0, time_left_ms), self._on_queue_timeout, pending, pending)
@@ -178,7 +180,7 @@
             self.ceiling.draw(pending)
         self.retries.on_start(number, is_free)
         self._notify_peer(pending)
-        self.clock.attempts += 1
+        self.clock.on_attempt()
         self.concurrency.on_start(request_id, number)
         self.actions.append(actions.StartAttempt(request_id, endpoint.id))
         slow_ms = SLOW_SHARE * pending.request_class.latency_objective_ms + self.latencies.extra_ms(pending)
@@ -208,6 +210,7 @@
             self.actions.append(actions.CancelAttempt(pending.request.request_id, number))
 
     def _on_late(self, which: tuple[PendingRequest, int]) -> None:
+        """Give up a request whose attempt is lost: beyond the objective, and far beyond the mean."""
         pending, number = which
         attempt = pending.in_flight.get(number)
         if attempt and not pending.is_streaming and self.latencies.is_lost(pending, attempt.started_ms):
@@ -292,6 +295,7 @@
         self._notify_peer(pending, self.bucket.settle(pending, final_units))
 
     def _arm_deadline(self, pending: PendingRequest) -> None:
+        """Set the timer of the final answer: before the client's deadline, and before the process ends."""
         pending.deadline_ms = min(pending.deadline_ms, self.ends_at_ms)
         time_left_ms = pending.deadline_ms - self.clock.now_ms - ANSWER_TICKS * self.settings.tick_ms
         self._arm(max(0.0, time_left_ms), self._on_deadline, pending, pending)
@@ -306,12 +310,14 @@
             self._close(pending)
 
     def _on_stream_started(self, event: events.StreamStarted) -> None:
+        """The client gets this attempt's reply; the others are not waited for."""
         pending = self.requests.get(event.request_id)
         if pending:
             pending.is_streaming = True
             self._cancel_attempts(pending, kept=event.attempt)
 
     def _on_shutdown_started(self, event: events.ShutdownStarted) -> None:
+        """Answer requests before the end whose clients would wait for longer."""
         self.ends_at_ms = self.clock.now_ms + event.within_ms
         for pending in list(self.requests.values()):
             if not pending.is_closed and pending.deadline_ms > self.ends_at_ms:
@@ -353,6 +359,7 @@
             self._release_queued()
 
     def _notify_peer(self, pending: PendingRequest, excess_change: float = 0.0) -> None:
+        """Tell the other process what a customer has in flight here: limits hold over both."""
         if self.has_peer_process:
             plan, customer = pending.request.plan, pending.request.customer
             usage = events.PeerProcessUsage(plan, customer, pending.customer.in_flight, excess_change)
@@ -381,8 +388,7 @@
         self.has_peer_process = True
         self.customer_table.by_key = state.customers
         self.failures.totals = state.failures
-        self.clock.attempts = state.attempts
-        self.clock.started_at_ms = min(self.clock.started_at_ms, state.started_at_ms)
+        self.clock.restore(state.attempts, state.started_at_ms)
         self.concurrency.restore(state.concurrency_limit)
         self.retries.restore(state.retry_tokens)
         self.admission.restore(state.admitted_shares)
--- a/quota_gateway/policy/leaky_bucket.py
+++ b/quota_gateway/policy/leaky_bucket.py
@@ -44,6 +44,7 @@
         return delay_ms
 
     def _burst(self, customer: CustomerState, plan: Plan) -> float:
+        """This gateway's share of the burst, in thousandths, with room for one request at least."""
         return max(plan.burst / customer.gateway_set_size, customer.largest_units) * THOUSANDTHS
 
     def _offered_burst(self, customer: CustomerState, plan: Plan, units: float) -> float:
@@ -59,11 +60,13 @@
         return burst
 
     def _priority_factor(self, request_class: RequestClass) -> float:
+        """By how much the burst is larger for a class: not at all for the least weight."""
         if not self._least_weight:
             return 1.0
         return 1.0 + PRIORITY_BURST * (1.0 - self._least_weight / request_class.priority_weight)
 
     def _max_delay_ms(self, request_class: RequestClass, mean_latency_ms: float) -> float:
+        """How long a delay still leaves a reply within the shortest objective; less for the least weight."""
         if request_class.priority_weight == self._least_weight:
             return LEAST_PRIORITY_DELAY * self._shortest_objective_ms
         return self._shortest_objective_ms - mean_latency_ms
--- a/quota_gateway/policy/subset.py
+++ b/quota_gateway/policy/subset.py
@@ -21,8 +21,9 @@
     """Which servers this gateway works with: the ``size`` nearest by ``distance`` of those that are ready."""
 
     def __init__(self, gateways: int, index: int, least: int = LEAST) -> None:
-        self.gateways, self.least = max(1, gateways), least
-        self.starts = index * STEPS[0] % TURN, index * STEPS[1] % TURN
+        self.gateways = max(1, gateways)
+        self.least = least
+        self.starts = (index * STEPS[0] % TURN, index * STEPS[1] % TURN)
 
     def size(self, servers: int) -> int:
         """How many of so many listed servers this gateway works with: all of them where all fit."""
--- a/quota_gateway/resources.py
+++ b/quota_gateway/resources.py
@@ -9,19 +9,17 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from quota_gateway.net.admin import MOST_CALLERS
-from quota_gateway.net.handover import MOST_QUEUED
+from quota_gateway.net.admin import MAX_CONNECTIONS as MAX_ADMIN_CONNECTIONS
+from quota_gateway.net.handover_sender import MAX_QUEUED_PACKETS
 
 OWN_DESCRIPTORS = Path("/proc/self/fd")
 STANDARD_STREAMS = 3  # standard input, output and error, which is the log
-EVENT_LOOP_DESCRIPTORS = (
-    10  # epoll and its ring, the wake-up, two pipes and a socket pair for signals, one spare
-)
+# epoll and its ring, the wake-up, two pipes and a socket pair for signals, one spare
+EVENT_LOOP_DESCRIPTORS = 10
 DISCOVERY_DESCRIPTORS = 4  # watches at discovery's old and new address, and as many that are closing
 LISTENER_DESCRIPTORS = 2  # for clients, and for a process that takes over
-HANDOVER_DESCRIPTORS = (
-    2 + MOST_QUEUED + 1
-)  # channels to both peers; queued connections; the listener handed over
+# channels to both peers; queued connections; the listener handed over
+HANDOVER_DESCRIPTORS = 2 + MAX_QUEUED_PACKETS + 1
 FILE_DESCRIPTORS = 2  # open for a moment: the configuration at SIGHUP, a folder
 SPARE_DESCRIPTORS = 8
 OTHER_DESCRIPTORS = (
@@ -32,7 +30,9 @@
     + FILE_DESCRIPTORS
     + SPARE_DESCRIPTORS
 )
-ADMIN_DESCRIPTORS = 2 * MOST_CALLERS + 1  # one that makes room is closed a little later; the listener
+ADMIN_DESCRIPTORS = (
+    2 * MAX_ADMIN_CONNECTIONS + 1
+)  # one that makes room is closed a little later; the listener
 UPSTREAM_SHARE = 0.25  # of the rest; clients need more, most of them without a request in flight
 MIN_CONNECTIONS = 2  # of both sides together, however low the limit is
 
--- a/quota_gateway/server.py
+++ b/quota_gateway/server.py
@@ -245,5 +245,5 @@
 
 async def _wait_while(is_busy: Callable[[], bool], until: float) -> None:
     loop = asyncio.get_running_loop()
-    while is_busy() and loop.time() < until:
+    while is_busy() and loop.time() < until:  # noqa: ASYNC110 - an event for it would cost each request
         await asyncio.sleep(SHUTDOWN_CHECK_S)
--- a/quota_gateway/simulator.py
+++ b/quota_gateway/simulator.py
@@ -153,7 +153,7 @@
     model.SetTimer: lambda action: ("Schedule", {"after_ms": action.delay_ms, "mark": action.token}),
     model.LogMessage: lambda action: ("Debug", {"what": action.text}),
     model.Subscribe: lambda action: ("Follow", {"active": action.active}),
-    model.PollEndpoints: lambda action: ("Fetch", {}),
+    model.PollEndpoints: lambda action: ("Fetch", {}),  # noqa: ARG005 - one form for all writers
     model.HealthCheck: lambda action: ("Touch", {"server": action.server}),
     model.CloseIdle: lambda action: ("DropConns", {"server": action.server}),
     model.SendPeerMessage: lambda action: ("Share", {"dst": action.peer, "body": action.data.hex()}),
--- a/scale/discovery_connection.py
+++ b/scale/discovery_connection.py
@@ -46,7 +46,7 @@
         self._transport = cast(asyncio.Transport, transport)
         self._state.connections.add(self)
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - asyncio.Protocol's signature
         """Remove the connection and its heartbeat."""
         self._state.connections.discard(self)
         self._state.counts["ended"] += self.is_watching
--- a/scale/hollow.py
+++ b/scale/hollow.py
@@ -46,10 +46,10 @@
 class VersionOnlyRegistry(EndpointRegistry):
     """A registry that keeps no endpoints, for gateways that only hold the watch open."""
 
-    def read(
+    def read(  # noqa: D102 - documented by EndpointRegistry
         self,
         document: Any,
-        is_cached: bool = False,
+        is_cached: bool = False,  # noqa: ARG002 - EndpointRegistry's signature
     ) -> RegistryChange:
         version = int(document["generation"])
         return RegistryChange(model.EndpointUpdate(model.UpdateKind.DELTA, (), version), {})
@@ -122,11 +122,12 @@
     async def await_version(self, version: int, within_s: float) -> UpdateCoverage:
         """Wait until all gateways have this version or a later one, or the time is over."""
         until_s = time.monotonic() + within_s
-        while (updated := self._count_with_version(version)) < len(
-            self._gateways
-        ) and time.monotonic() < until_s:
+        total = len(self._gateways)
+        updated = self._count_with_version(version)
+        while updated < total and time.monotonic() < until_s:
             await asyncio.sleep(UPDATE_POLL_S)
-        return UpdateCoverage(updated, len(self._gateways))
+            updated = self._count_with_version(version)
+        return UpdateCoverage(updated, total)
 
     def _count_with_version(self, version: int) -> int:
         return sum(gateway.has_version(version) for gateway in self._gateways)
--- a/scale/load.py
+++ b/scale/load.py
@@ -87,7 +87,7 @@
     async def _await_replies(self, statistics: LoadStatistics) -> None:
         """Wait until nothing is pending or the last timeout is over; what is pending then has no reply."""
         until_s = time.monotonic() + self._timeout_ms / 1000.0 + REPLY_GRACE_S
-        while statistics.pending and time.monotonic() < until_s:
+        while statistics.pending and time.monotonic() < until_s:  # noqa: ASYNC110 - no event on each reply's way
             await asyncio.sleep(REPLY_POLL_S)
         while statistics.pending > 0:
             statistics.record_outcome(LoadOutcome.UNANSWERED)
@@ -97,7 +97,7 @@
         delay_s = due_s - time.monotonic()
         if delay_s > SPIN_S:
             await asyncio.sleep(delay_s - SPIN_S)
-        while time.monotonic() < due_s:
+        while time.monotonic() < due_s:  # noqa: ASYNC110 - turns the loop until then, finer than its timers
             await asyncio.sleep(0)
 
     def _encode(self, customer: int) -> bytes:
--- a/scale/load_connections.py
+++ b/scale/load_connections.py
@@ -58,7 +58,7 @@
             if pending:
                 self._pool.handle_reply(self, pending, reply)
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - asyncio.Protocol's signature
         """Hand the request that has no reply back to the pool."""
         pending = self._pending
         self._pending = None
--- a/scale/load_statistics.py
+++ b/scale/load_statistics.py
@@ -29,7 +29,7 @@
     UNANSWERED = "silent"
 
 
-class ErrorReply(Exception):
+class ErrorReply(Exception):  # noqa: N818 - a reply of the protocol, which hiredis wants as an exception
     """An error reply, which the parser returns and does not raise."""
 
 
--- a/scale/servers.py
+++ b/scale/servers.py
@@ -63,7 +63,7 @@
         self._server.most_connections = max(self._server.most_connections, self._server.connections)
         self._server.group.opened += 1
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - asyncio.Protocol's signature
         """Count the connection no more."""
         self._server.connections -= 1
         self._transport = None
--- a/tests/net/test_descriptors.py
+++ b/tests/net/test_descriptors.py
@@ -73,7 +73,7 @@
         else:
             connections[0].close(AttemptStatus.CANCELLED)
         await wait_until(lambda: statuses and connections[0].task.done())
-        with Path(os.devnull).open() as file:
+        with Path(os.devnull).open() as file:  # noqa: ASYNC230 - no disk is behind it
             assert file.fileno() == descriptor  # as it is closed, the next file has its number
             connections.clear()
             pool.close()
@@ -204,7 +204,7 @@
     _, watch = await gateway.discovery.next_watch()
     gateway.discovery.server.close()
     watch.write(encode_chunk(encode_update(2, *configured_instances(config), reset=True)))
-    while await client.request(encode_command("PING")) != b"PONG":
+    while await client.request(encode_command("PING")) != b"PONG":  # noqa: ASYNC110 - it is another process
         await asyncio.sleep(POLL_INTERVAL_S)
     watch.close()
 
--- a/tests/net/test_large_endpoint_lists.py
+++ b/tests/net/test_large_endpoint_lists.py
@@ -301,7 +301,8 @@
 def test_gateway_where_all_servers_fit_works_with_all_of_them():
     rig = Rig(replace(SETTINGS, gateways=200, index=17))
     rig.do(EndpointUpdate(UpdateKind.SNAPSHOT, tuple(endpoints(200))))
-    assert len(rig.gateway.endpoints.ready) == 200 and not rig.gateway.endpoints.reserve
+    assert len(rig.gateway.endpoints.ready) == 200
+    assert not rig.gateway.endpoints.reserve
 
 
 def test_share_of_what_may_be_out_goes_by_all_servers_listed_not_by_those_that_are_known():
@@ -377,20 +378,24 @@
         self.first = ready(self)
 
     def tell(self, whole: bool, numbers: list[int]) -> None:
+        """Let discovery name these servers: all there are, or a change."""
         started = int(self.now) if self.draw.random() < 0.3 else 0
         lines = [row(f"s-{number}", 1, self.states[number], started) for number in numbers]
         self.do(self.registry.read({"generation": 1, "reset": whole, "instances": lines}).update)
 
     def do(self, event) -> list:
+        """Check that each attempt goes to a server that is ready and worked with."""
         actions = super().do(event)
         for action in actions:
             if isinstance(action, StartAttempt):
                 (name,) = [name for name, number in self.registry.numbers.items() if number == action.server]
-                assert self.registry.rows[name]["lifecycle"] == "Ready" and action.server in ready(self)
+                assert self.registry.rows[name]["lifecycle"] == "Ready"
+                assert action.server in ready(self)
                 self.moves += action.server not in self.first
         return actions
 
     def step(self) -> None:
+        """One random event: a request, an outcome, a change of the list, or time that passes."""
         what = self.draw.random()
         if what < 0.4:
             plan, kind = self.draw.choice(("free", "metered", "capped")), ("safe", "keyed", "unsafe")
@@ -432,7 +437,8 @@
     for name, flight in list(rig.gateway.requests.items()):
         for number in list(flight.in_flight):
             rig.finish(name, AttemptStatus.CANCELLED, number)
-    assert not rig.gateway.requests and len(rig.answers) == rig.count
+    assert not rig.gateway.requests
+    assert len(rig.answers) == rig.count
     assert rig.moves >= 10
 
 
--- a/tests/process/test_process.py
+++ b/tests/process/test_process.py
@@ -28,7 +28,7 @@
 
 async def until_ready(client: FakeClient) -> None:
     """Ask until the program serves."""
-    while await client.request(encode_command("PING")) != b"PONG":
+    while await client.request(encode_command("PING")) != b"PONG":  # noqa: ASYNC110 - it is another process
         await asyncio.sleep(POLL_INTERVAL_S)
 
 
--- a/tests/process/test_restarts.py
+++ b/tests/process/test_restarts.py
@@ -62,7 +62,7 @@
         await discovery.recover()
         _, watch = await discovery.next_watch()
         watch.write(encode_chunk(encode_update(2, make_instance("s-new", new.port), reset=True)))
-        while await client.request(encode_call(number := number + 1)) != b"new":
+        while await client.request(encode_call(number := number + 1)) != b"new":  # noqa: ASYNC110 - asked from outside
             await asyncio.sleep(POLL_INTERVAL_S)
         assert process.returncode is None
 
--- a/tests/process/test_upgrade.py
+++ b/tests/process/test_upgrade.py
@@ -470,7 +470,7 @@
     state = json.loads(json.dumps(state))
     state["barred"] = [[1, 1000.0]]
     damage(state)
-    with pytest.raises(ValueError):
+    with pytest.raises(ValueError):  # noqa: PT011 - any of the fields may be named; what it left is below
         successor.do(RestoreState(state))
     assert not successor.gateway.customers
     assert not successor.gateway.has_peer_process
--- a/tests/support/engine_harness.py
+++ b/tests/support/engine_harness.py
@@ -158,11 +158,11 @@
 Rig = EngineHarness  # the former name, which tests elsewhere import
 
 
-def entry(number: int, zone: str = "a", **more: Any) -> Endpoint:  # noqa: ANN401 - any field of an endpoint
+def entry(number: int, zone: str = "a", **more: Any) -> Endpoint:
     """An endpoint as discovery lists it, ready unless told otherwise."""
     return Endpoint(number, zone, **more)
 
 
-def rig_with(**changes: Any) -> EngineHarness:  # noqa: ANN401 - any field of the settings
+def rig_with(**changes: Any) -> EngineHarness:
     """A harness with some settings changed."""
     return EngineHarness(replace(SETTINGS, **changes))
--- a/tests/support/fake_client.py
+++ b/tests/support/fake_client.py
@@ -11,7 +11,7 @@
 READ_SIZE_BYTES = 65_536
 
 
-class ErrorReply(Exception):
+class ErrorReply(Exception):  # noqa: N818 - a reply that hiredis makes, not an error that is raised
     """An error reply as a client reads it."""
 
 
--- a/tests/support/gateway_node.py
+++ b/tests/support/gateway_node.py
@@ -61,7 +61,7 @@
 
 async def wait_until(condition: Callable[[], object]) -> None:
     """Let the event loop turn until a condition inside the gateway holds."""
-    while not condition():
+    while not condition():  # noqa: ASYNC110 - the gateway has no event to tell of its inner state
         await asyncio.sleep(0)
 
 
--- a/tests/unit/test_subset.py
+++ b/tests/unit/test_subset.py
@@ -56,7 +56,8 @@
     assert view.sharers(servers) == pytest.approx(gateways * size / servers)
     if size == servers:
         assert view.sharers(servers) == gateways
-    assert view.size(0) == 0 and view.sharers(0) == gateways
+    assert view.size(0) == 0
+    assert view.sharers(0) == gateways
 
 
 def test_the_sizes_of_known_fleets():
@@ -138,7 +139,8 @@
             kept -= {name}
         assert len(nearest) <= subset.RESERVE * view.size(servers + 400)
     ranked = sorted(listed, key=lambda name: (view.distance(name), name))
-    assert set(nearest) == kept and all(name in nearest for name in kept)
+    assert set(nearest) == kept
+    assert all(name in nearest for name in kept)
     assert not any(name in nearest for name in set(listed) - kept)
     assert list(nearest) == sorted(kept, key=lambda name: (view.distance(name), name))
     assert nearest.listed == len(listed)
@@ -149,7 +151,7 @@
         assert sure >= view.size(servers)
 
 
-@pytest.mark.parametrize("gateways, servers", [(3800, 2000), (300, 4000), (100, 3000)])
+@pytest.mark.parametrize(("gateways", "servers"), [(3800, 2000), (300, 4000), (100, 3000)])
 def test_a_list_that_is_read_once_tells_the_subset(gateways, servers):
     """Also where the size grows while it is read."""
     names = names_of(servers, gateways)
@@ -176,9 +178,13 @@
 
 def test_a_name_that_is_offered_twice_is_kept_once():
     nearest = NearestEndpoints(Subset(3800, 0, 1))
-    assert nearest.offer("one") == (True, None) and nearest.offer("one") == (True, None)
-    assert list(nearest) == ["one"] and nearest.listed == 1
-    assert nearest.drop("one") and not nearest.drop("one") and nearest.listed == 0
+    assert nearest.offer("one") == (True, None)
+    assert nearest.offer("one") == (True, None)
+    assert list(nearest) == ["one"]
+    assert nearest.listed == 1
+    assert nearest.drop("one")
+    assert not nearest.drop("one")
+    assert nearest.listed == 0
 
 
 class Distances(Subset):
@@ -187,6 +193,7 @@
     worked_out = compared = 0
 
     def distance(self, name):
+        """Count the call."""
         self.worked_out += 1
         return Distance(super().distance(name), self)
 
@@ -195,6 +202,7 @@
     """Counts how often it is compared."""
 
     def __new__(cls, value, counter):
+        """Make the number with its counter."""
         made = super().__new__(cls, value)
         made.counter = counter
         return made
