--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -2,12 +2,12 @@
 
 import pytest
 
-from tests.support.engine_harness import Rig, entry
+from tests.support.engine_harness import EngineHarness, make_endpoint
 
 
 @pytest.fixture
-def rig() -> Rig:
+def rig() -> EngineHarness:
     """A policy engine with two endpoints, on a scripted clock."""
-    engine = Rig()
-    engine.servers(entry(1), entry(2))
+    engine = EngineHarness()
+    engine.servers(make_endpoint(1), make_endpoint(2))
     return engine
--- a/tests/net/test_detachments.py
+++ b/tests/net/test_detachments.py
@@ -13,7 +13,7 @@
 from quota_gateway.net.discovery_client import EndpointRegistry
 from quota_gateway.net.upstream_pool import Attempt, UpstreamReply
 from tests.support.admin_calls import encode_post, send_admin_call
-from tests.support.engine_harness import entry, rig_with
+from tests.support.engine_harness import make_endpoint, make_harness
 from tests.support.fake_discovery import make_instance
 from tests.support.fake_upstream import FakeUpstream
 from tests.support.gateway_node import run_gateway, wait_until
@@ -21,19 +21,19 @@
 
 FAILING_SERVER = "s-fault"  # a call for it raises
 DISCOVERY_UPDATES = [
-    lambda rig: rig.servers(entry(1), entry(2)),
-    lambda rig: rig.servers(entry(1, started_ms=rig.now), kind=UpdateKind.DELTA),
-    lambda rig: (rig.servers(entry(2)), rig.servers(entry(1), entry(2))),
+    lambda rig: rig.servers(make_endpoint(1), make_endpoint(2)),
+    lambda rig: rig.servers(make_endpoint(1, started_ms=rig.now), kind=UpdateKind.DELTA),
+    lambda rig: (rig.servers(make_endpoint(2)), rig.servers(make_endpoint(1), make_endpoint(2))),
     lambda rig: (
-        rig.servers(entry(1, state=EndpointLifecycle.GONE), kind=UpdateKind.DELTA),
-        rig.servers(entry(1), kind=UpdateKind.DELTA),
+        rig.servers(make_endpoint(1, state=EndpointLifecycle.GONE), kind=UpdateKind.DELTA),
+        rig.servers(make_endpoint(1), kind=UpdateKind.DELTA),
     ),
 ]
 
 
 def chosen_servers(rig, count: int = 60) -> list[int]:
     """Send so many requests, one after the other; give the servers that they went to."""
-    names = [rig.ask(patience=100.0) for _ in range(count) if not rig.run(1.0)]
+    names = [rig.ask(timeout_ms=100.0) for _ in range(count) if not rig.run(1.0)]
     servers = [rig.sent[name][0] for name in names if name in rig.sent]
     for name in names:
         if name in rig.sent:
@@ -66,7 +66,9 @@
     assert 0 < chosen_servers(rig, 400).count(1) < 200 * 0.45  # an even share would be 200
     share = capacity_share(rig, 1)
     assert 0.2 <= share < 0.3
-    rig.servers(entry(1, started_ms=rig.now - 900.0), kind=UpdateKind.DELTA)  # the list tells of it after all
+    rig.servers(
+        make_endpoint(1, started_ms=rig.now - 900.0), kind=UpdateKind.DELTA
+    )  # the list tells of it after all
     assert capacity_share(rig, 1) > share
 
 
@@ -76,8 +78,8 @@
 
 
 def test_queued_requests_go_to_a_server_as_it_is_attached():
-    rig = rig_with()
-    rig.servers(entry(1))
+    rig = make_harness()
+    rig.servers(make_endpoint(1))
     rig.do(DetachServer(1))
     names = [rig.ask() for _ in range(30)]
     assert not rig.sent
--- a/tests/net/test_discovery_client.py
+++ b/tests/net/test_discovery_client.py
@@ -13,7 +13,8 @@
 from quota_gateway.net.discovery_client import DiscoveryClient
 from quota_gateway.net.endpoint_registry import EndpointRegistry
 from quota_gateway.net.reconnect_backoff import ReconnectBackoff
-from tests.support.fakes import FakeDiscovery, chunk, listing, row, until
+from tests.support.fake_discovery import FakeDiscovery, encode_chunk, encode_update, make_instance
+from tests.support.gateway_node import wait_until
 
 
 @asynccontextmanager
@@ -33,15 +34,19 @@
 
 async def test_cached_list_then_deltas_and_a_watch_resumes_from_the_last_generation():
     async with running_client() as (discovery, fake, updates):
-        discovery.load_known({"generation": 41, "reset": True, "instances": [row("s-1", 1), row("s-2", 2)]})
+        discovery.load_known(
+            {"generation": 41, "reset": True, "instances": [make_instance("s-1", 1), make_instance("s-2", 2)]}
+        )
         update, addresses = await updates.get()
         assert update.kind is UpdateKind.CACHED
         assert addresses == {1: ("127.0.0.1", 1), 2: ("127.0.0.1", 2)}
-        target, watch = await fake.watch()
+        target, watch = await fake.next_watch()
         assert target == "/discovery/hosts?watch=1"  # the known list may be old, or another agent's
-        line = listing(43, row("s-2", 2, "Terminating"), row("s-3", 3, started=9))
+        line = encode_update(
+            43, make_instance("s-2", 2, "Terminating"), make_instance("s-3", 3, started_ms=9)
+        )
         for part in (line[:20], line[20:], b"\n"):  # a line over two chunks, then an empty one
-            watch.write(chunk(part))
+            watch.write(encode_chunk(part))
         update, addresses = await updates.get()
         assert update.kind is UpdateKind.DELTA
         assert update.version == 43
@@ -50,9 +55,9 @@
             (3, EndpointLifecycle.READY, 9.0),
         ]
         watch.close()
-        target, watch = await fake.watch()
+        target, watch = await fake.next_watch()
         assert target == "/discovery/hosts?watch=1&from=43"
-        watch.write(chunk(listing(50, row("s-1", 7), reset=True)))
+        watch.write(encode_chunk(encode_update(50, make_instance("s-1", 7), reset=True)))
         update, addresses = await updates.get()
         assert update.kind is UpdateKind.SNAPSHOT
         assert addresses == {1: ("127.0.0.1", 7)}
@@ -67,22 +72,22 @@
         b'{"generation":2,"reset":false}\n',
         b"\xff\xfe\n",
         b"}\n",
-        listing(2, {**row("s-2", 2), "hostPort": None}, reset=True),
+        encode_update(2, {**make_instance("s-2", 2), "hostPort": None}, reset=True),
         b'{"generation":2,\n"reset":false,\n\n',
     ],
 )
 async def test_malformed_document_is_not_fatal_and_the_complete_list_is_requested(line):
     async with running_client() as (_, fake, updates):
-        _, watch = await fake.watch()
-        watch.write(chunk(listing(1, row("s-1", 1), reset=True)))
+        _, watch = await fake.next_watch()
+        watch.write(encode_chunk(encode_update(1, make_instance("s-1", 1), reset=True)))
         await updates.get()
-        watch.write(chunk(line))
-        target, watch = await fake.watch()
+        watch.write(encode_chunk(line))
+        target, watch = await fake.next_watch()
         assert target == "/discovery/hosts?watch=1"
-        watch.write(chunk(listing(2, row("s-1", 1), reset=True)))
+        watch.write(encode_chunk(encode_update(2, make_instance("s-1", 1), reset=True)))
         update, _ = await updates.get()
         assert update.version == 2
-        assert [entry.server for entry in update.endpoints] == [1]
+        assert [make_endpoint.server for make_endpoint in update.endpoints] == [1]
 
 
 MALFORMED_FIELDS = [
@@ -104,12 +109,14 @@
 @pytest.mark.parametrize("malformed", MALFORMED_FIELDS)
 async def test_malformed_row_costs_that_row_alone(malformed, reset):
     async with running_client() as (discovery, fake, updates):
-        _, watch = await fake.watch()
-        watch.write(chunk(listing(1, row("s-1", 1), row("s-2", 2), reset=True)))
+        _, watch = await fake.next_watch()
+        watch.write(
+            encode_chunk(encode_update(1, make_instance("s-1", 1), make_instance("s-2", 2), reset=True))
+        )
         await updates.get()
-        bad, new = {**row("s-1", 1), **malformed}, {**row("s-4", 4), **malformed}
-        rows = bad, new, 7, row("s-2", 2, "Terminating"), row("s-3", 3)
-        watch.write(chunk(listing(2, *rows, reset=reset)))
+        bad, new = {**make_instance("s-1", 1), **malformed}, {**make_instance("s-4", 4), **malformed}
+        rows = bad, new, 7, make_instance("s-2", 2, "Terminating"), make_instance("s-3", 3)
+        watch.write(encode_chunk(encode_update(2, *rows, reset=reset)))
         update, addresses = await updates.get()
         # the draining endpoint and the new one are notified; the one whose row is malformed stays as it was
         assert [(e.server, e.state) for e in update.endpoints] == [
@@ -123,36 +130,36 @@
             "s-2",
             "s-3",
         }
-        watch.write(chunk(listing(3, row("s-4", 4))))  # the watch goes on
+        watch.write(encode_chunk(encode_update(3, make_instance("s-4", 4))))  # the watch goes on
         assert (await updates.get())[1] == {4: ("127.0.0.1", 4)}
 
 
 async def test_updates_may_be_indented_over_many_lines_and_arrive_in_any_pieces():
     async with running_client() as (_, fake, updates):
-        _, watch = await fake.watch()
+        _, watch = await fake.next_watch()
         for generation, name in ((1, 's-"{'), (2, "s-]\\"), (3, "s-3")):
-            plain = json.loads(listing(generation, row(name, generation), reset=True))
+            plain = json.loads(encode_update(generation, make_instance(name, generation), reset=True))
             for part in re.findall(b"(?s).{1,7}", json.dumps(plain, indent=2).encode() + b"\r\n\r\n"):
-                watch.write(chunk(part))
+                watch.write(encode_chunk(part))
             update, addresses = await updates.get()
             assert update.version == generation
             assert list(addresses.values()) == [("127.0.0.1", generation)]
-        assert fake.targets.empty()  # all on one watch
+        assert fake.request_targets.empty()  # all on one watch
 
 
 async def test_bytes_that_never_complete_a_document_do_not_restart_the_heartbeat_timeout(monkeypatch):
     monkeypatch.setattr(watch_connection, "HEARTBEAT_TIMEOUT_S", 0.3)
     async with running_client() as (_, fake, updates):
-        _, watch = await fake.watch()
-        watch.write(chunk(listing(5, row("s-1", 1), reset=True)))
+        _, watch = await fake.next_watch()
+        watch.write(encode_chunk(encode_update(5, make_instance("s-1", 1), reset=True)))
         await updates.get()
-        watch.write(chunk(b'{"generation":6,"reset":false,"instances":[\n'))
+        watch.write(encode_chunk(b'{"generation":6,"reset":false,"instances":[\n'))
         while not watch.is_closing():  # it goes on and on, and nothing can come of it
-            watch.write(chunk(b" \t"))
+            watch.write(encode_chunk(b" \t"))
             await asyncio.sleep(0.02)
-        target, watch = await fake.watch()
+        target, watch = await fake.next_watch()
         assert target == "/discovery/hosts?watch=1&from=5"
-        watch.write(chunk(listing(7, row("s-1", 2))))
+        watch.write(encode_chunk(encode_update(7, make_instance("s-1", 2))))
         assert (await updates.get())[1] == {1: ("127.0.0.1", 2)}
 
 
@@ -161,13 +168,13 @@
     monkeypatch.setattr(watch_connection, "FIRST_LINE_TIMEOUT_S", 0.05)
     async with running_client() as (_, fake, updates):
         for _ in range(3):
-            await fake.watch()  # silent from the first moment: it is replaced
-        _, watch = await fake.watch()
-        watch.write(chunk(listing(5, row("s-1", 1), reset=True)))
+            await fake.next_watch()  # silent from the first moment: it is replaced
+        _, watch = await fake.next_watch()
+        watch.write(encode_chunk(encode_update(5, make_instance("s-1", 1), reset=True)))
         await updates.get()
         await asyncio.sleep(4.0 * watch_connection.FIRST_LINE_TIMEOUT_S)
-        assert fake.targets.empty()  # it has spoken, and may be silent for longer
-        watch.write(chunk(listing(6, row("s-1", 2))))
+        assert fake.request_targets.empty()  # it has spoken, and may be silent for longer
+        watch.write(encode_chunk(encode_update(6, make_instance("s-1", 2))))
         await updates.get()
 
 
@@ -189,7 +196,7 @@
 async def test_malformed_cached_list_is_not_fatal(known):
     async with running_client() as (discovery, fake, updates):
         discovery.load_known(known)
-        target, _ = await fake.watch()
+        target, _ = await fake.next_watch()
         assert target == "/discovery/hosts?watch=1"
         assert updates.empty()
 
@@ -197,10 +204,10 @@
 async def test_watch_without_a_heartbeat_is_replaced(monkeypatch):
     monkeypatch.setattr(watch_connection, "HEARTBEAT_TIMEOUT_S", 0.05)
     async with running_client() as (_, fake, updates):
-        _, watch = await fake.watch()
-        watch.write(chunk(listing(5, row("s-1", 1), reset=True)))
+        _, watch = await fake.next_watch()
+        watch.write(encode_chunk(encode_update(5, make_instance("s-1", 1), reset=True)))
         await updates.get()
-        target, _ = await fake.watch()
+        target, _ = await fake.next_watch()
         assert target == "/discovery/hosts?watch=1&from=5"
 
 
@@ -238,7 +245,7 @@
         if opened < 3:
             writer.write(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
         else:
-            body = listing(1, row("s-1", 1), reset=True) + b"\n"
+            body = encode_update(1, make_instance("s-1", 1), reset=True) + b"\n"
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
 
     server = await asyncio.start_server(reject_at_first, "127.0.0.1", 0)
@@ -253,7 +260,7 @@
     assert [await unavailable.get(), await unavailable.get()] == [1, 2]
     assert updates.empty()
     await updates.get()
-    await until(lambda: opened >= 4)  # watches are opened on after that one has ended
+    await wait_until(lambda: opened >= 4)  # watches are opened on after that one has ended
     assert unavailable.empty()
     discovery.end()
     server.close()
@@ -274,32 +281,42 @@
 
 def test_endpoint_that_is_gone_loses_its_number_and_no_number_is_reused():
     registry = EndpointRegistry()
-    registry.read({"generation": 1, "reset": True, "instances": [row("s-1", 1), row("s-2", 2)]})
-    update = registry.read({"generation": 2, "reset": False, "instances": [row("s-1", 1, "Gone")]}).update
+    registry.read(
+        {"generation": 1, "reset": True, "instances": [make_instance("s-1", 1), make_instance("s-2", 2)]}
+    )
+    update = registry.read(
+        {"generation": 2, "reset": False, "instances": [make_instance("s-1", 1, "Gone")]}
+    ).update
     assert update.endpoints[0].state is EndpointLifecycle.GONE
     assert set(registry.numbers) == {"s-2"}
     (second,) = registry.numbers.values()
-    registry.read({"generation": 3, "reset": False, "instances": [row("s-2", 2, "Gone")]})
-    registry.read({"generation": 3, "reset": False, "instances": [row("s-4", 4)]})
+    registry.read({"generation": 3, "reset": False, "instances": [make_instance("s-2", 2, "Gone")]})
+    registry.read({"generation": 3, "reset": False, "instances": [make_instance("s-4", 4)]})
     assert registry.numbers["s-4"] > second  # attempts on s-2 may still be out under its number
-    registry.read({"generation": 3, "reset": True, "instances": [row("s-3", 3)]})
+    registry.read({"generation": 3, "reset": True, "instances": [make_instance("s-3", 3)]})
     assert set(registry.numbers) == {"s-3"}
 
 
 async def test_address_change_keeps_the_old_watch_until_the_new_one_has_sent_the_complete_list():
     async with running_client() as (discovery, fake, updates):
-        _, old = await fake.watch()
-        old.write(chunk(listing(41, row("s-1", 1), row("s-2", 2), reset=True)))
+        _, old = await fake.next_watch()
+        old.write(
+            encode_chunk(encode_update(41, make_instance("s-1", 1), make_instance("s-2", 2), reset=True))
+        )
         await updates.get()
         for generation in (7, 3):  # more than once; versions of another agent tell nothing here
             other = await FakeDiscovery().start()
             discovery.watch(("127.0.0.1", other.port))
-            target, watch = await other.watch()
+            target, watch = await other.next_watch()
             assert target == "/discovery/hosts?watch=1"
-            old.write(chunk(listing(42, row("s-2", 2, "Terminating"))))
+            old.write(encode_chunk(encode_update(42, make_instance("s-2", 2, "Terminating"))))
             update, _ = await updates.get()
             assert update.kind is UpdateKind.DELTA
-            watch.write(chunk(listing(generation, row("s-2", 2), row("s-3", 3), reset=True)))
+            watch.write(
+                encode_chunk(
+                    encode_update(generation, make_instance("s-2", 2), make_instance("s-3", 3), reset=True)
+                )
+            )
             update, addresses = await updates.get()
             assert update.kind is UpdateKind.SNAPSHOT
             assert sorted(addresses) == [
@@ -308,22 +325,22 @@
             ]
             assert discovery.active.address == ("127.0.0.1", other.port)
             assert discovery.candidate is None
-            await fake.ended.get()  # the old one has been closed
+            await fake.closed_watches.get()  # the old one has been closed
             fake, old = other, watch
 
 
 async def test_address_change_to_a_silent_agent_keeps_the_old_watch_through_a_further_change():
     async with running_client() as (discovery, fake, updates):
-        _, old = await fake.watch()
-        old.write(chunk(listing(1, row("s-1", 1), reset=True)))
+        _, old = await fake.next_watch()
+        old.write(encode_chunk(encode_update(1, make_instance("s-1", 1), reset=True)))
         await updates.get()
         silent, good = await FakeDiscovery().start(), await FakeDiscovery().start()
         discovery.watch(("127.0.0.1", silent.port))
-        await silent.watch()
+        await silent.next_watch()
         discovery.watch(("127.0.0.1", good.port))
-        await silent.ended.get()
-        old.write(chunk(listing(2, row("s-1", 5))))
+        await silent.closed_watches.get()
+        old.write(encode_chunk(encode_update(2, make_instance("s-1", 5))))
         assert (await updates.get())[1] == {1: ("127.0.0.1", 5)}
-        _, watch = await good.watch()
-        watch.write(chunk(listing(9, row("s-1", 6), reset=True)))
+        _, watch = await good.next_watch()
+        watch.write(encode_chunk(encode_update(9, make_instance("s-1", 6), reset=True)))
         assert (await updates.get())[1] == {1: ("127.0.0.1", 6)}
--- a/tests/net/test_discovery_notification.py
+++ b/tests/net/test_discovery_notification.py
@@ -16,7 +16,7 @@
 from quota_gateway import EndpointUpdate
 from quota_gateway.net.discovery_client import DiscoveryClient
 from quota_gateway.net.endpoint_registry import EndpointRegistry
-from tests.support.fakes import chunk, listing, row
+from tests.support.fake_discovery import encode_chunk, encode_update, make_instance
 from tests.support.virtual_loop import VirtualLoop, run_virtual
 
 NOTIFIED_WITHIN_S = 6.0  # STANDING: of the moment in which discovery had a change and could be reached
@@ -89,7 +89,9 @@
             elif state != "is silent":
                 writer.write(HEAD)
             if state == "sends half a line":
-                writer.write(chunk(listing(self.generation, row("s", 1), reset=True)[:30]))
+                writer.write(
+                    encode_chunk(encode_update(self.generation, make_instance("s", 1), reset=True)[:30])
+                )
             if state == "up":
                 task = loop.create_task(self._feed(writer))
                 self.open.add(task)
@@ -105,11 +107,17 @@
                 changed = self.changed
                 if sent_generation != self.generation:
                     sent_generation = self.generation
-                    writer.write(chunk(listing(sent_generation, row(f"s-{sent_generation}", 1), reset=True)))
+                    writer.write(
+                        encode_chunk(
+                            encode_update(
+                                sent_generation, make_instance(f"s-{sent_generation}", 1), reset=True
+                            )
+                        )
+                    )
                 with suppress(TimeoutError):
                     await asyncio.wait_for(changed.wait(), 2.0)
                     continue
-                writer.write(chunk(b"\n"))
+                writer.write(encode_chunk(b"\n"))
         except asyncio.CancelledError as how:
             if how.args == ("are reset",):
                 writer.transport.abort()
--- a/tests/net/test_large_endpoint_lists.py
+++ b/tests/net/test_large_endpoint_lists.py
@@ -26,15 +26,18 @@
 from quota_gateway.net.endpoint_registry import EndpointRegistry
 from quota_gateway.net.snapshot_reader import StreamingSnapshotReader
 from quota_gateway.policy.subset import Subset
-from tests.support.engine_harness import SETTINGS, Rig
-from tests.support.fakes import FakeDiscovery, FakeServer, call, chunk, listing, node, row, until
+from tests.support.engine_harness import SETTINGS, EngineHarness
+from tests.support.fake_discovery import FakeDiscovery, encode_chunk, encode_update, make_instance
+from tests.support.fake_upstream import FakeUpstream
+from tests.support.gateway_node import run_gateway, wait_until
+from tests.support.resp_encoding import encode_call
 
 FLEET, SERVERS, SIZE = 3800, 38_000, 256
 FEW = Subset(380, 17, least=16)  # of a fleet that is large beside so few servers
 
 
 def rows(*numbers: int, **more):
-    return [row(f"s-{number:06d}", 1 + number % 60_000, **more) for number in numbers]
+    return [make_instance(f"s-{number:06d}", 1 + number % 60_000, **more) for number in numbers]
 
 
 def watch_endpoints(subset: Subset, port: int):
@@ -44,12 +47,12 @@
     def take(update, addresses):
         if update.kind is not UpdateKind.DELTA:
             known.clear()
-        for entry in update.endpoints:
-            known[entry.name] = entry.state
-            if entry.state is EndpointLifecycle.GONE:
-                del known[entry.name]
+        for make_endpoint in update.endpoints:
+            known[make_endpoint.name] = make_endpoint.state
+            if make_endpoint.state is EndpointLifecycle.GONE:
+                del known[make_endpoint.name]
             else:
-                assert addresses[entry.server]
+                assert addresses[make_endpoint.server]
 
     discovery = DiscoveryClient(EndpointRegistry(subset), take, lambda: None, 1)
     discovery.watch(("127.0.0.1", port))
@@ -71,8 +74,8 @@
     """A client that has read a list of 1,000 endpoints; the fake it watches, its watch, what is known."""
     fake = await FakeDiscovery().start()
     discovery, known = watch_endpoints(FEW, fake.port)
-    _, watch = await fake.watch()
-    watch.write(chunk(listing(1, *rows(*range(1000)), reset=True)))
+    _, watch = await fake.next_watch()
+    watch.write(encode_chunk(encode_update(1, *rows(*range(1000)), reset=True)))
     await wait_until_read(discovery, 1)
     try:
         yield discovery, fake, watch, known
@@ -88,9 +91,9 @@
     fake = await FakeDiscovery().start()
     subset = Subset(FLEET, 17)
     discovery, known = watch_endpoints(subset, fake.port)
-    _, watch = await fake.watch()
-    whole = listing(7, *rows(*range(SERVERS)), reset=True)
-    watch.write(chunk(whole))
+    _, watch = await fake.next_watch()
+    whole = encode_update(7, *rows(*range(SERVERS)), reset=True)
+    watch.write(encode_chunk(whole))
     turns = await wait_until_read(discovery, 7)
     assert turns >= len(whole) / watch_connection.PIECE_BYTES  # the others have had a turn after each piece
     names = [line["instanceId"] for line in rows(*range(SERVERS))]
@@ -98,18 +101,20 @@
     # an endpoint that is not near costs its name: no row, no number, nothing passed on
     assert len(discovery.registry.other_names) == SERVERS - 2 * SIZE
     assert len(discovery.registry.numbers) == 2 * SIZE
-    watch.write(chunk(listing(8, *rows(SERVERS + 1, *range(0, 200)))))
+    watch.write(encode_chunk(encode_update(8, *rows(SERVERS + 1, *range(0, 200)))))
     await wait_until_read(discovery, 8)
     assert len(known) == 2 * SIZE
-    assert fake.targets.empty()
+    assert fake.request_targets.empty()
     discovery.end()
 
 
 async def test_later_snapshot_replaces_the_list_though_it_is_passed_on_in_parts():
     async with client_of_thousand_endpoints() as (discovery, _, watch, known):
         before = set(known)
-        watch.write(chunk(listing(2, *rows(*range(500, 1500)), reset=True)) + chunk(b"\n"))
-        watch.write(chunk(listing(3, *rows(700, 701, state="Terminating"))))
+        watch.write(
+            encode_chunk(encode_update(2, *rows(*range(500, 1500)), reset=True)) + encode_chunk(b"\n")
+        )
+        watch.write(encode_chunk(encode_update(3, *rows(700, 701, lifecycle="Terminating"))))
         await wait_until_read(discovery, 3)
         names = [line["instanceId"] for line in rows(*range(500, 1500))]
         size = FEW.size(1000)
@@ -122,14 +127,14 @@
 async def test_connection_lost_within_a_long_list_changes_nothing_and_the_list_is_requested_again():
     async with client_of_thousand_endpoints() as (discovery, fake, watch, known):
         before = dict(known)
-        watch.write(chunk(listing(2, *rows(*range(5000, 7000)), reset=True)[:-1000]))
+        watch.write(encode_chunk(encode_update(2, *rows(*range(5000, 7000)), reset=True)[:-1000]))
         await watch.drain()
         watch.close()
-        target, watch = await fake.watch()
+        target, watch = await fake.next_watch()
         assert target == "/discovery/hosts?watch=1&from=1"
         assert known == before
         # an answer that is complete with its list is read to its end
-        watch.write(chunk(listing(2, *rows(*range(5000, 7000)), reset=True)) + b"0\r\n\r\n")
+        watch.write(encode_chunk(encode_update(2, *rows(*range(5000, 7000)), reset=True)) + b"0\r\n\r\n")
         await wait_until_read(discovery, 2)
         assert not set(known) & set(before)
         assert len(known) >= 2 * FEW.size(2000) - 2
@@ -151,8 +156,8 @@
 async def test_malformed_long_document_is_rejected_and_the_list_before_stays(bad):
     async with client_of_thousand_endpoints() as (_, fake, watch, known):
         before = dict(known)
-        watch.write(chunk(bad))
-        target, watch = await fake.watch()
+        watch.write(encode_chunk(bad))
+        target, watch = await fake.next_watch()
         assert target == "/discovery/hosts?watch=1"
         assert known == before
 
@@ -236,11 +241,11 @@
     async with client_of_thousand_endpoints() as (discovery, fake, watch, known):
         near = [int(name[2:]) for name in discovery.registry.nearest]
         gone = near[: FEW.size(1000) + 1]
-        watch.write(chunk(listing(2, *rows(*gone, state="Gone"))))
-        target, watch = await fake.watch()
+        watch.write(encode_chunk(encode_update(2, *rows(*gone, lifecycle="Gone"))))
+        target, watch = await fake.next_watch()
         assert target == "/discovery/hosts?watch=1"
         left = sorted(set(range(1000)) - set(gone))
-        watch.write(chunk(listing(2, *rows(*left), reset=True)))
+        watch.write(encode_chunk(encode_update(2, *rows(*left), reset=True)))
         await wait_until_read(discovery, 2)
         names = [line["instanceId"] for line in rows(*left)]
         assert nearest(FEW, names, FEW.size(len(left))) <= set(known)
@@ -270,17 +275,17 @@
     return [Endpoint(number, "a", name=f"s-{number}", **more) for number in numbers]
 
 
-def large_rig(count: int = 2 * SIZE) -> tuple[Rig, list[int]]:
+def large_rig(count: int = 2 * SIZE) -> tuple[EngineHarness, list[int]]:
     """A gateway of a large fleet that knows so many servers, and their numbers, the nearest first."""
-    rig = Rig(LARGE)
+    rig = EngineHarness(LARGE)
     known = endpoints(count)
     rig.do(EndpointUpdate(UpdateKind.SNAPSHOT, tuple(known), 1, SERVERS))
     rig.gateway.concurrency.limit = 1e9
-    order = sorted(known, key=lambda entry: rig.gateway.subset.distance(entry.name))
-    return rig, [entry.server for entry in order]
+    order = sorted(known, key=lambda make_endpoint: rig.gateway.subset.distance(make_endpoint.name))
+    return rig, [make_endpoint.server for make_endpoint in order]
 
 
-def ready(rig: Rig) -> set[int]:
+def ready(rig: EngineHarness) -> set[int]:
     return {server.id for server in rig.gateway.endpoints.ready}
 
 
@@ -299,19 +304,19 @@
 
 
 def test_gateway_where_all_servers_fit_works_with_all_of_them():
-    rig = Rig(replace(SETTINGS, gateways=200, index=17))
+    rig = EngineHarness(replace(SETTINGS, gateways=200, index=17))
     rig.do(EndpointUpdate(UpdateKind.SNAPSHOT, tuple(endpoints(200))))
     assert len(rig.gateway.endpoints.ready) == 200
     assert not rig.gateway.endpoints.reserve
 
 
 def test_share_of_what_may_be_out_goes_by_all_servers_listed_not_by_those_that_are_known():
-    rig = Rig(LARGE)
+    rig = EngineHarness(LARGE)
     rig.do(EndpointUpdate(UpdateKind.CACHED, tuple(endpoints(2 * SIZE)), 1, SERVERS))
     assert rig.gateway.concurrency.limit == pytest.approx(6.0 * SERVERS / FLEET)
 
 
-def fail(rig: Rig, server: int) -> None:
+def fail(rig: EngineHarness, server: int) -> None:
     """Requests that go to this server fail there, until it is in doubt."""
     gateway = rig.gateway
     gateway.endpoints.ready, before = (
@@ -351,7 +356,7 @@
     rig, order = large_rig()
     down, served = set(order[:SIZE]), 0
     for _ in range(1500):
-        name = rig.ask(patience=60_000.0)
+        name = rig.ask(timeout_ms=60_000.0)
         while name not in rig.answers and rig.sent.get(name):
             server = rig.sent[name][-1]
             rig.finish(name, AttemptStatus.CONNECT_FAILED if server in down else AttemptStatus.OK)
@@ -362,7 +367,7 @@
     assert served >= 1000
 
 
-class Crossing(Rig):
+class Crossing(EngineHarness):
     """A gateway of a large fleet under a list that changes all the time, with requests in hand."""
 
     def __init__(self, seed: int) -> None:
@@ -380,7 +385,7 @@
     def tell(self, whole: bool, numbers: list[int]) -> None:
         """Let discovery name these servers: all there are, or a change."""
         started = int(self.now) if self.draw.random() < 0.3 else 0
-        lines = [row(f"s-{number}", 1, self.states[number], started) for number in numbers]
+        lines = [make_instance(f"s-{number}", 1, self.states[number], started) for number in numbers]
         self.do(self.registry.read({"generation": 1, "reset": whole, "instances": lines}).update)
 
     def do(self, event) -> list:
@@ -443,16 +448,16 @@
 
 
 async def test_reply_of_an_endpoint_that_left_the_subset_is_served_and_retries_go_elsewhere():
-    slow, other = FakeServer(lambda _: None), FakeServer()
-    async with node(slow) as gateway:
-        peer = await gateway.peer()
-        peer.send(call(1))
-        await slow.until(lambda: len(slow.commands) == 1)
+    slow, other = FakeUpstream(lambda _: None), FakeUpstream()
+    async with run_gateway(slow) as gateway:
+        peer = await gateway.connect_client()
+        peer.send(encode_call(1))
+        await slow.wait_until(lambda: len(slow.commands) == 1)
         await other.start()
-        gone = replace(slow.entry(1)[0], state=EndpointLifecycle.GONE), ("", 0)  # others are nearer now
-        gateway.told(gone, other.entry(2), kind=UpdateKind.DELTA)
-        assert await (await gateway.peer()).ask(call(2)) == b"0000000000000002"
+        gone = replace(slow.endpoint(1)[0], state=EndpointLifecycle.GONE), ("", 0)  # others are nearer now
+        gateway.update_endpoints(gone, other.endpoint(2), kind=UpdateKind.DELTA)
+        assert await (await gateway.connect_client()).request(encode_call(2)) == b"0000000000000002"
         slow.writers[0].write(b"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
-        assert await peer.reply() == b"v"
+        assert await peer.read_reply() == b"v"
         assert len(slow.commands) == 1
-        await until(lambda: not gateway.driver.active_requests)
+        await wait_until(lambda: not gateway.driver.active_requests)
--- a/tests/net/test_registry_state.py
+++ b/tests/net/test_registry_state.py
@@ -8,7 +8,7 @@
 from quota_gateway.errors import StateError
 from quota_gateway.net.endpoint_registry import EndpointRegistry
 from quota_gateway.net.registry_state import RegistryState
-from tests.support.fakes import row
+from tests.support.fake_discovery import make_instance
 
 # Recorded from the version before these modules were split (commit 4431b5a): s-1 and s-2 were listed, s-1
 # went, s-3 came, s-1 was taken out by operators.
@@ -23,8 +23,16 @@
 
 def registry_with_history() -> EndpointRegistry:
     registry = EndpointRegistry()
-    registry.read({"generation": 1, "reset": True, "instances": [row("s-1", 1), row("s-2", 2)]})
-    registry.read({"generation": 2, "reset": False, "instances": [row("s-1", 1, "Gone"), row("s-3", 3)]})
+    registry.read(
+        {"generation": 1, "reset": True, "instances": [make_instance("s-1", 1), make_instance("s-2", 2)]}
+    )
+    registry.read(
+        {
+            "generation": 2,
+            "reset": False,
+            "instances": [make_instance("s-1", 1, "Gone"), make_instance("s-3", 3)],
+        }
+    )
     registry.detached.add("s-1")
     return registry
 
--- a/tests/process/test_recorded_handover.py
+++ b/tests/process/test_recorded_handover.py
@@ -13,7 +13,7 @@
 from quota_gateway.net.discovery_client import DiscoveryClient
 from quota_gateway.net.endpoint_registry import EndpointRegistry
 from quota_gateway.net.peer_messages import HandoverOffer
-from tests.support.engine_harness import Rig, entry
+from tests.support.engine_harness import EngineHarness, make_endpoint
 from tests.support.fake_discovery import make_instance
 
 RECORD = json.loads((Path(__file__).parent / "data" / "handover_4431b5a.json").read_text())
@@ -25,24 +25,24 @@
     return HandoverOffer.from_json(OFFER_HEADER, json.dumps(RECORD["body"]).encode())
 
 
-def export(rig: Rig) -> dict:
+def export(rig: EngineHarness) -> dict:
     """The engine's state as it comes out of the channel."""
     (snapshot,) = [action for action in rig.do(ExportState()) if isinstance(action, StateSnapshot)]
     return json.loads(json.dumps(snapshot.state))
 
 
-def restore(now_ms: float = RECORD["restored_at_ms"]) -> Rig:
+def restore(now_ms: float = RECORD["restored_at_ms"]) -> EngineHarness:
     """An engine that has restored the recorded state."""
-    rig = Rig()
+    rig = EngineHarness()
     rig.now = now_ms
-    rig.servers(entry(1), entry(2), entry(3))
+    rig.servers(make_endpoint(1), make_endpoint(2), make_endpoint(3))
     rig.do(RestoreState(recorded_offer().state))
     return rig
 
 
-def replay(rig: Rig) -> None:
+def replay(rig: EngineHarness) -> None:
     """The events by which the recorded state came about."""
-    rig.servers(entry(1), entry(2), entry(3))
+    rig.servers(make_endpoint(1), make_endpoint(2), make_endpoint(3))
     for step in range(120):
         plan = ("free", "metered", "ceiling", "capped")[step % 4]
         class_name = ("safe", "keyed", "unsafe")[step % 3]
@@ -79,7 +79,7 @@
 
 
 def test_same_events_lead_to_the_recorded_state():
-    rig = Rig()
+    rig = EngineHarness()
     replay(rig)
     assert rig.now == RECORD["exported_at_ms"]
     state = export(rig)
@@ -100,7 +100,7 @@
 
 def test_restored_detachment_holds_until_the_server_is_attached():
     rig = restore()
-    rig.servers(entry(1))
+    rig.servers(make_endpoint(1))
     name = rig.ask("free")
     rig.run(100.0)
     assert name not in rig.sent
--- a/tests/process/test_upgrade.py
+++ b/tests/process/test_upgrade.py
@@ -29,7 +29,7 @@
 from quota_gateway.net.handover_receiver import ReceiverState
 from quota_gateway.net.handover_sender import SenderState
 from tests.support.admin_calls import encode_post, send_admin_call
-from tests.support.engine_harness import Rig, entry, rig_with
+from tests.support.engine_harness import EngineHarness, make_endpoint, make_harness
 from tests.support.fake_client import FakeClient
 from tests.support.fake_discovery import FakeDiscovery, encode_chunk, encode_update, make_instance
 from tests.support.fake_upstream import FakeUpstream, reply_with_request_id
@@ -376,38 +376,38 @@
     return len(list(Path("/proc/self/fd").iterdir()))
 
 
-def successor_of(rig: Rig, **changes) -> tuple[Rig, dict]:
+def successor_of(rig: EngineHarness, **changes) -> tuple[EngineHarness, dict]:
     """Make an engine that takes over from this one; give it with the state that it restored."""
     (left,) = [action for action in rig.do(ExportState()) if isinstance(action, StateSnapshot)]
-    made = rig_with(**changes)
+    made = make_harness(**changes)
     made.now = rig.now
-    made.servers(entry(1), entry(2))
+    made.servers(make_endpoint(1), make_endpoint(2))
     made.do(RestoreState(json.loads(json.dumps(left.state))))
     return made, left.state
 
 
-def capacity_share(rig: Rig, server: int) -> float:
+def capacity_share(rig: EngineHarness, server: int) -> float:
     """How much of its capacity a server is given while it warms up."""
     return rig.gateway.slow_start.capacity_share(rig.gateway.endpoints.by_id[server])
 
 
-def is_ready(rig: Rig, server: int) -> bool:
+def is_ready(rig: EngineHarness, server: int) -> bool:
     """Whether a server may be chosen."""
     return rig.gateway.endpoints.by_id[server].is_ready
 
 
-def ready_servers(rig: Rig) -> list[int]:
+def ready_servers(rig: EngineHarness) -> list[int]:
     """The servers that the engine chooses from."""
     return [server.id for server in rig.gateway.endpoints.ready]
 
 
 def test_buckets_and_in_flight_limits_hold_over_both_processes(rig):
-    admitted = [rig.ask("metered", patience=50.0) for _ in range(4)]
+    admitted = [rig.ask("metered", timeout_ms=50.0) for _ in range(4)]
     in_flight = [rig.ask("only-cap") for _ in range(1)]
     successor, _ = successor_of(rig)
     before = successor.gateway.customers["metered", "c"].excess
     assert before == rig.gateway.customers["metered", "c"].excess > 0.0
-    rejected = [successor.ask("metered", patience=50.0) for _ in range(2)]
+    rejected = [successor.ask("metered", timeout_ms=50.0) for _ in range(2)]
     assert not any(name in successor.sent for name in rejected)
     second = successor.ask("only-cap")
     assert second not in successor.sent  # its one place here is taken, in the other process
@@ -440,7 +440,7 @@
     assert not is_ready(successor, 1)
     share = capacity_share(successor, 2)
     assert share == capacity_share(rig, 2) < 1.0
-    successor.servers(entry(1), entry(2))
+    successor.servers(make_endpoint(1), make_endpoint(2))
     assert ready_servers(successor) == [2]
     assert capacity_share(successor, 2) == share
     successor.do(AttachServer(1))
@@ -465,8 +465,8 @@
 def test_malformed_state_is_rejected_whole(rig, damage):
     rig.ask("metered")
     _, state = successor_of(rig)
-    successor = rig_with()
-    successor.servers(entry(1), entry(2))
+    successor = make_harness()
+    successor.servers(make_endpoint(1), make_endpoint(2))
     state = json.loads(json.dumps(state))
     state["barred"] = [[1, 1000.0]]
     damage(state)
--- a/tests/scale/test_scale_run.py
+++ b/tests/scale/test_scale_run.py
@@ -20,7 +20,7 @@
 from scale.discovery import DiscoveryStub
 from scale.endpoint_catalog import ListedEndpoint
 from scale.measurements.propagation import propagation_delays
-from tests.support.fakes import LIMIT_S
+from tests.support.async_tests import TIME_LIMIT_S
 
 ROOT = Path(__file__).parent.parent.parent
 
@@ -79,7 +79,7 @@
 
 
 async def test_watch_resumes_from_its_version_or_gets_the_complete_list(stub):
-    async with asyncio.timeout(LIMIT_S):
+    async with asyncio.timeout(TIME_LIMIT_S):
         port = await stub.start()
         endpoints = listed_endpoints(stub)
         snapshot = await (await open_watch(port)).read_line()
@@ -122,7 +122,7 @@
 
 
 async def test_discovery_faults_silence_refusal_dropped_watches_and_a_lost_zone(stub):
-    async with asyncio.timeout(LIMIT_S):
+    async with asyncio.timeout(TIME_LIMIT_S):
         port = await stub.start()
         watch = await open_watch(port)
         await watch.read_line()
--- a/tests/support/engine_harness.py
+++ b/tests/support/engine_harness.py
@@ -116,14 +116,14 @@
         plan: str = "free",
         class_name: str = "safe",
         customer: str = "c",
-        patience: float = 4000.0,
+        timeout_ms: float = 4000.0,
         units: float = 1,
         gateway_set_size: int = 2,
     ) -> str:
         """A new request; its id."""
         self.count += 1
         name = f"r{self.count}"
-        self.do(Request(name, class_name, plan, customer, patience, units, gateway_set_size))
+        self.do(Request(name, class_name, plan, customer, timeout_ms, units, gateway_set_size))
         return name
 
     def finish(
@@ -155,14 +155,11 @@
         self.now = end
 
 
-Rig = EngineHarness  # the former name, which tests elsewhere import
-
-
-def entry(number: int, zone: str = "a", **more: Any) -> Endpoint:
+def make_endpoint(number: int, zone: str = "a", **more: Any) -> Endpoint:
     """An endpoint as discovery lists it, ready unless told otherwise."""
     return Endpoint(number, zone, **more)
 
 
-def rig_with(**changes: Any) -> EngineHarness:
+def make_harness(**changes: Any) -> EngineHarness:
     """A harness with some settings changed."""
     return EngineHarness(replace(SETTINGS, **changes))
--- a/tests/unit/test_edge_sizes.py
+++ b/tests/unit/test_edge_sizes.py
@@ -5,7 +5,7 @@
 import pytest
 
 from quota_gateway import AttemptStatus, Outcome, Request, UpdateKind
-from tests.support.engine_harness import SETTINGS, EngineHarness, entry
+from tests.support.engine_harness import SETTINGS, EngineHarness, make_endpoint
 
 
 def play(rig: EngineHarness, gateway_set_size: int, count: int = 40) -> None:
@@ -27,14 +27,14 @@
 @pytest.mark.parametrize("servers", [1, 3, 400])
 def test_any_size_answers_all(gateways, gateway_set_size, servers):
     rig = EngineHarness(replace(SETTINGS, gateways=gateways))
-    rig.servers(*(entry(n, "ab"[n % 2]) for n in range(servers)), kind=UpdateKind.CACHED)
+    rig.servers(*(make_endpoint(n, "ab"[n % 2]) for n in range(servers)), kind=UpdateKind.CACHED)
     play(rig, gateway_set_size)
 
 
 @pytest.mark.parametrize("load", [None, (), (None, None), (0.5,), (0.5, 3.0, 7.0)])
 def test_load_reports_may_be_missing_short_or_null(load):
     rig = EngineHarness(replace(SETTINGS, load_report_fields=("util", "queue")))
-    rig.servers(entry(1))
+    rig.servers(make_endpoint(1))
     for _ in range(3):
         name = rig.ask()
         rig.do(Outcome(name, 0, 1, AttemptStatus.OK, 50.0, True, load=load))
@@ -44,7 +44,7 @@
 def test_an_old_load_report_decays():
     # server 1 told of 20 waiting; once enough time and attempts have passed it is taken as any other
     rig = EngineHarness(replace(SETTINGS, load_report_fields=("queue",)))
-    rig.servers(entry(1), entry(2))
+    rig.servers(make_endpoint(1), make_endpoint(2))
     rig.gateway.balancer.on_load_report(rig.gateway.endpoints.by_id[1], (20.0,))
     assert {rig.sent[rig.ask()][0] for _ in range(5)} == {2}
     rig.run(60_000.0)
@@ -54,7 +54,7 @@
 def test_without_usage_reports_a_customer_of_one_gateway_may_retry():
     # a period of nought means no news ever; the whole burst is here, so the slice is not thin
     rig = EngineHarness(replace(SETTINGS, usage_period_ms=0.0, gateways=300))
-    rig.servers(entry(1))
+    rig.servers(make_endpoint(1))
     rig.do(Request("x", "safe", "metered", "c", 4000.0, 1, 1, is_retry=True))
     assert "x" in rig.sent
 
@@ -62,6 +62,6 @@
 def test_a_snapshot_without_endpoints_queues_then_rejects():
     rig = EngineHarness()
     rig.servers(kind=UpdateKind.CACHED)
-    name = rig.ask(patience=300.0)
+    name = rig.ask(timeout_ms=300.0)
     rig.run(299.0)
     assert rig.answers[name] == "Reject"
--- a/tests/unit/test_leaky_bucket.py
+++ b/tests/unit/test_leaky_bucket.py
@@ -6,7 +6,7 @@
 import pytest
 
 from quota_gateway import AttemptStatus, ClientDisconnected, Idempotency, Plan, Request, RequestClass
-from tests.support.engine_harness import CLASSES, DEAR, SETTINGS, EngineHarness, entry, rig_with
+from tests.support.engine_harness import CLASSES, DEAR, SETTINGS, EngineHarness, make_endpoint, make_harness
 
 BRIEF = RequestClass("brief", 500.0, 4000.0, Idempotency.IDEMPOTENT)
 
@@ -55,7 +55,7 @@
 def test_delay_past_the_deadline_is_a_rejection_and_costs_no_excess(rig):
     for _ in range(4):
         rig.ask("metered")
-    assert rig.answers.get(rig.ask("metered", patience=200.0)) == "Reject"
+    assert rig.answers.get(rig.ask("metered", timeout_ms=200.0)) == "Reject"
     assert rig.gateway.customers["metered", "c"].excess == 4000.0
 
 
@@ -64,8 +64,8 @@
 
 
 def test_uneven_shares_and_a_gateway_set_of_one():
-    rig = rig_with(gateways=3)
-    rig.servers(entry(1), entry(2), entry(3))
+    rig = make_harness(gateways=3)
+    rig.servers(make_endpoint(1), make_endpoint(2), make_endpoint(3))
     sent = [rig.ask("metered", gateway_set_size=3) in rig.sent for _ in range(4)]
     assert sent == [True, True, False, False]  # 8 / 3 = 2.67
     assert [done(rig, rig.ask("metered", customer="one", gateway_set_size=1)) for _ in range(9)] == [
@@ -109,8 +109,8 @@
 
 
 def test_in_flight_share_is_at_least_one():
-    rig = rig_with(gateways=4)
-    rig.servers(entry(1))
+    rig = make_harness(gateways=4)
+    rig.servers(make_endpoint(1))
     assert rig.ask("only-cap", gateway_set_size=4) in rig.sent
     assert rig.ask("only-cap", gateway_set_size=4) not in rig.sent
 
@@ -153,8 +153,8 @@
 
 def test_delay_past_the_shortest_latency_objective_is_a_rejection():
     # aim 500 ms, first mean latency 100 ms: a hold may last 400 ms, two units at 5 a second
-    rig = rig_with(classes=(*CLASSES, BRIEF))
-    rig.servers(entry(1), entry(2))
+    rig = make_harness(classes=(*CLASSES, BRIEF))
+    rig.servers(make_endpoint(1), make_endpoint(2))
     for _ in range(4):
         rig.ask("metered")
     assert rig.ask("metered", "brief", units=2) in rig.answers
@@ -162,8 +162,8 @@
 
 
 def dear_rig() -> EngineHarness:
-    rig = rig_with(classes=(*CLASSES, DEAR))
-    rig.servers(entry(1), entry(2))
+    rig = make_harness(classes=(*CLASSES, DEAR))
+    rig.servers(make_endpoint(1), make_endpoint(2))
     return rig
 
 
@@ -194,7 +194,7 @@
 
 def thin_rig(gateway_set_size: int = 60) -> EngineHarness:
     rig = EngineHarness(replace(SETTINGS, gateways=60))
-    rig.servers(entry(1), entry(2))
+    rig.servers(make_endpoint(1), make_endpoint(2))
     rig.gateway_set_size = gateway_set_size
     return rig
 
@@ -236,7 +236,7 @@
     passed = 0
     for index in range(60):
         rig = EngineHarness(replace(SETTINGS, gateways=60, index=index), seed=index)
-        rig.servers(entry(1), entry(2))
+        rig.servers(make_endpoint(1), make_endpoint(2))
         rig.gateway_set_size = 60
         for step in range(100):
             name = ask_thin(rig, is_retry=step % 2 == 1)
@@ -255,7 +255,7 @@
         for index in range(3)
     ]
     for rig in rigs:
-        rig.servers(entry(1), entry(2))
+        rig.servers(make_endpoint(1), make_endpoint(2))
         rig.finish(rig.ask("only-cap", gateway_set_size=3), used=used)
     return rigs
 
@@ -298,7 +298,7 @@
 
 def test_a_request_out_of_turn_is_rejected_at_once_unless_the_turn_comes_in_time():
     rig = EngineHarness(replace(SETTINGS, gateways=3, index=2, classes=(*CLASSES, BRIEF)))
-    rig.servers(entry(1), entry(2))
+    rig.servers(make_endpoint(1), make_endpoint(2))
     rig.now = 3000.0  # a round of turns begins: the last of the set has the next one
     rig.finish(rig.ask("only-cap", gateway_set_size=3), used=150.0)
     assert rig.ask("only-cap", "brief", gateway_set_size=3) in rig.answers  # its turn comes 1000 ms on
@@ -334,7 +334,7 @@
         for index in range(30)
     ]
     for rig in rigs:
-        rig.servers(entry(1), entry(2))
+        rig.servers(make_endpoint(1), make_endpoint(2))
     order, now, out, most = random.Random(seed), 0.0, [], [0] * 40
     within = beyond = refused = 0
     while now < 20_000.0:
--- a/tests/unit/test_library.py
+++ b/tests/unit/test_library.py
@@ -6,7 +6,7 @@
 import pytest
 
 from quota_gateway import DiscoveryMode, Plan, Settings, Subscribe, UpdateKind
-from tests.support.engine_harness import EngineHarness, entry, rig_with
+from tests.support.engine_harness import EngineHarness, make_endpoint, make_harness
 
 README = Path(__file__).parent.parent.parent / "README.md"
 
@@ -18,13 +18,13 @@
 
 
 def test_discovery_that_must_be_polled_is_subscribed_to_again_after_a_failure():
-    rig = rig_with(discovery=DiscoveryMode.ASK)
+    rig = make_harness(discovery=DiscoveryMode.ASK)
     asked = []
     plain = rig.do
     rig.do = lambda event: (lambda acts: asked.extend(a for a in acts if isinstance(a, Subscribe)) or acts)(
         plain(event)
     )
-    rig.servers(entry(1), kind=UpdateKind.CACHED)
+    rig.servers(make_endpoint(1), kind=UpdateKind.CACHED)
     rig.run(10.0)
     assert len(asked) == 1
     rig.servers(kind=UpdateKind.FAILED)
@@ -34,8 +34,8 @@
 
 
 def test_plan_on_a_site_without_usage_reports_keeps_the_even_share():
-    rig = EngineHarness(rig_with(usage_period_ms=0.0).settings)
-    rig.servers(entry(1), entry(2))
+    rig = EngineHarness(make_harness(usage_period_ms=0.0).settings)
+    rig.servers(make_endpoint(1), make_endpoint(2))
     assert [rig.ask("metered") in rig.sent for _ in range(5)] == [True] * 4 + [False]
 
 
@@ -44,7 +44,7 @@
 )
 def test_impossible_settings_name_the_field(field, value):
     with pytest.raises(ValueError, match=field):
-        rig_with(**{field: value})
+        make_harness(**{field: value})
 
 
 def test_impossible_plan_names_the_field():
--- a/tests/unit/test_properties.py
+++ b/tests/unit/test_properties.py
@@ -11,7 +11,7 @@
     Outcome,
     UpdateKind,
 )
-from tests.support.engine_harness import SETTINGS, EngineHarness, entry
+from tests.support.engine_harness import SETTINGS, EngineHarness, make_endpoint
 
 NAMES = [item.name for item in SETTINGS.classes]
 MAYBE = {AttemptStatus.ERROR, AttemptStatus.TIMEOUT, AttemptStatus.RESET, AttemptStatus.CANCELLED}
@@ -87,16 +87,16 @@
     def step(self, step):
         """Carry out one generated step."""
         if step[0] == "ask":
-            _, plan, class_name, patience, units = step
+            _, plan, class_name, timeout_ms, units = step
             name = f"r{self.count + 1}"
-            self.info[name] = (self.gateway.classes[class_name], plan, units, self.now + patience)
-            self.ask(plan, class_name, patience=patience, units=units)
+            self.info[name] = (self.gateway.classes[class_name], plan, units, self.now + timeout_ms)
+            self.ask(plan, class_name, timeout_ms=timeout_ms, units=units)
         elif step[0] == "wait":
             self.run(step[1])
         elif step[0] == "list":
             state = step[2]
             (self.ready.add if state is EndpointLifecycle.READY else self.ready.discard)(step[1])
-            self.servers(entry(step[1], "ab"[step[1] % 2], state=state), kind=UpdateKind.DELTA)
+            self.servers(make_endpoint(step[1], "ab"[step[1] % 2], state=state), kind=UpdateKind.DELTA)
         elif step[0] == "leave" and (held := [n for n in self.info if n not in self.over]):
             name = held[step[1] % len(held)]
             self.over.add(name)
--- a/tests/unit/test_protocol_rules.py
+++ b/tests/unit/test_protocol_rules.py
@@ -15,7 +15,15 @@
     UpdateKind,
 )
 from quota_gateway.model.state import CustomerState, FailureRecord, Moment, PendingRequest
-from tests.support.engine_harness import CLASSES, DEAR, PLANS, SETTINGS, EngineHarness, entry, rig_with
+from tests.support.engine_harness import (
+    CLASSES,
+    DEAR,
+    PLANS,
+    SETTINGS,
+    EngineHarness,
+    make_endpoint,
+    make_harness,
+)
 
 RAN_NOT = [AttemptStatus.OVERLOADED, AttemptStatus.CONNECT_FAILED]
 MAY_HAVE_RUN = [AttemptStatus.ERROR, AttemptStatus.TIMEOUT, AttemptStatus.RESET]
@@ -28,14 +36,14 @@
     ("class_name", "answer"), [("safe", "Reject"), ("keyed", "Fail"), ("unsafe", "Fail")]
 )
 def test_silent_attempt_is_answered_before_the_client_leaves(rig, class_name, answer):
-    name = rig.ask(class_name=class_name, patience=300.0)
+    name = rig.ask(class_name=class_name, timeout_ms=300.0)
     rig.run(299.0)
     assert rig.answers[name] == answer
 
 
 def test_without_endpoints_a_request_is_queued_then_rejected():
     rig = EngineHarness()
-    name = rig.ask(patience=300.0)
+    name = rig.ask(timeout_ms=300.0)
     rig.run(290.0)
     assert name not in rig.answers
     rig.run(9.0)
@@ -47,12 +55,12 @@
     rig = EngineHarness()
     name = rig.ask()
     rig.run(100.0)
-    rig.servers(entry(1))
+    rig.servers(make_endpoint(1))
     assert rig.sent[name] == [1]
 
 
 def test_nothing_is_sent_after_the_answer(rig):
-    name = rig.ask(patience=300.0)
+    name = rig.ask(timeout_ms=300.0)
     rig.run(299.0)
     rig.finish(name, AttemptStatus.ERROR)
     assert len(rig.sent[name]) == 1
@@ -79,7 +87,7 @@
 
 def test_non_idempotent_is_rejected_when_no_attempt_was_executed():
     rig = EngineHarness()
-    rig.servers(entry(1))
+    rig.servers(make_endpoint(1))
     name = rig.ask(class_name="unsafe")
     rig.finish(name, AttemptStatus.OVERLOADED)
     rig.run(4000.0)
@@ -99,16 +107,16 @@
 def test_keyed_is_retried_only_in_its_idempotency_scope(class_name, group):
     for seed in range(10):
         rig = EngineHarness(seed=seed)
-        rig.servers(entry(1, cell=1), entry(2, cell=1))
+        rig.servers(make_endpoint(1, cell=1), make_endpoint(2, cell=1))
         name = rig.ask(class_name=class_name)
-        rig.servers(entry(3, "b", cell=2), entry(4, "b", cell=2), kind=UpdateKind.DELTA)
+        rig.servers(make_endpoint(3, "b", cell=2), make_endpoint(4, "b", cell=2), kind=UpdateKind.DELTA)
         rig.finish(name, AttemptStatus.ERROR)
         assert set(rig.sent[name]) <= group
         assert len(rig.sent[name]) == 2
 
 
 def test_keyed_is_failed_outside_its_idempotency_window(rig):
-    name = rig.ask(class_name="keyed", patience=3900.0)
+    name = rig.ask(class_name="keyed", timeout_ms=3900.0)
     rig.gateway.requests[name].tried_endpoints.clear()  # the window alone decides
     rig.now += 3000.0
     rig.finish(name, AttemptStatus.ERROR)
@@ -124,9 +132,9 @@
 
 def test_silent_attempt_is_hedged_where_allowed():
     rig = EngineHarness(
-        rig_with(limits=GatewayLimits(max_attempts=3, may_duplicate=True, can_cancel=True)).settings
+        make_harness(limits=GatewayLimits(max_attempts=3, may_duplicate=True, can_cancel=True)).settings
     )
-    rig.servers(entry(1), entry(2))
+    rig.servers(make_endpoint(1), make_endpoint(2))
     name = rig.ask()
     rig.run(3500.0)
     assert len(rig.sent[name]) == 2
@@ -137,12 +145,12 @@
 
 @pytest.mark.parametrize("state", [EndpointLifecycle.DRAINING, EndpointLifecycle.GONE])
 def test_nothing_goes_to_a_draining_server(rig, state):
-    rig.servers(entry(1, state=state), kind=UpdateKind.DELTA)
+    rig.servers(make_endpoint(1, state=state), kind=UpdateKind.DELTA)
     assert {rig.sent[rig.ask()][0] for _ in range(3)} == {2}
 
 
 def test_a_snapshot_that_lacks_an_endpoint_removes_it(rig):
-    rig.servers(entry(2))
+    rig.servers(make_endpoint(2))
     assert {rig.sent[rig.ask()][0] for _ in range(3)} == {2}
 
 
@@ -150,7 +158,7 @@
     names = [rig.ask("metered") for _ in range(6)]
     for name in names[:4]:
         rig.finish(name)
-    rig.servers(entry(1, state=EndpointLifecycle.DRAINING), kind=UpdateKind.DELTA)
+    rig.servers(make_endpoint(1, state=EndpointLifecycle.DRAINING), kind=UpdateKind.DELTA)
     rig.run(1000.0)
     assert rig.sent[names[5]] == [2]
 
@@ -160,7 +168,7 @@
 
 def test_warming_endpoint_gets_little_work_in_a_burst():
     rig = EngineHarness()
-    rig.servers(entry(1), entry(2), entry(3, started_ms=1000.0))
+    rig.servers(make_endpoint(1), make_endpoint(2), make_endpoint(3, started_ms=1000.0))
     for _ in range(100):
         rig.finish(rig.ask())
         rig.run(20.0)
@@ -175,7 +183,7 @@
     sent = 0
     for index in range(gateways):
         rig = EngineHarness(replace(SETTINGS, gateways=gateways, index=index), seed=index)
-        rig.servers(*(entry(n) for n in range(1, 10)), entry(10, started_ms=rig.now))
+        rig.servers(*(make_endpoint(n) for n in range(1, 10)), make_endpoint(10, started_ms=rig.now))
         uneven = 1 + index % 3  # the busiest gateways see three times the quietest
         for _ in range(round(3000 / gateways * uneven)):
             name = rig.ask()
@@ -187,11 +195,11 @@
 
 def test_client_retry_gives_no_second_draw_at_a_warming_endpoint():
     rig = EngineHarness()
-    rig.servers(entry(1, started_ms=rig.now))
+    rig.servers(make_endpoint(1, started_ms=rig.now))
     names = [rig.ask() for _ in range(40)]
     before = len(rig.sent)
     for _ in range(50):  # every change of the list tries all parked requests again
-        rig.servers(entry(1, started_ms=rig.now), kind=UpdateKind.DELTA)
+        rig.servers(make_endpoint(1, started_ms=rig.now), kind=UpdateKind.DELTA)
     assert len(rig.sent) == before < len(names) / 2
 
 
@@ -207,7 +215,7 @@
 
 def test_ceiling_bounds_what_is_sent_in_any_time():
     rig = EngineHarness(SETTINGS)
-    rig.servers(entry(1), entry(2))
+    rig.servers(make_endpoint(1), make_endpoint(2))
     rig.run(10_000.0)
     for _ in range(200):
         rig.ask("ceiling")
@@ -225,7 +233,7 @@
         for start, end in lives:
             rig = EngineHarness(replace(SETTINGS, gateways=gateways, index=index), seed=index)
             rig.now = start
-            rig.servers(entry(1), entry(2))
+            rig.servers(make_endpoint(1), make_endpoint(2))
             seen = set()
             while rig.now < end:
                 for _ in range(1 + index % 3):
@@ -244,8 +252,8 @@
 
 
 def test_concurrency_limit_queues_and_sheds_the_least_value():
-    rig = rig_with(classes=(*CLASSES, DEAR))
-    rig.servers(entry(1), entry(2))
+    rig = make_harness(classes=(*CLASSES, DEAR))
+    rig.servers(make_endpoint(1), make_endpoint(2))
     rig.gateway.concurrency.limit = 6.0
     names = [rig.ask() for _ in range(6)]
     full = [name for name in names if name in rig.sent]
@@ -274,7 +282,7 @@
 
 def test_a_timeout_of_the_client_does_not_make_its_endpoint_an_outlier(rig):
     for _ in range(4):
-        name = rig.ask(patience=100.0)
+        name = rig.ask(timeout_ms=100.0)
         rig.run(100.0)
         rig.finish(name, AttemptStatus.CANCELLED, latency=98.0)
     assert not any(server.failures for server in rig.gateway.endpoints.by_id.values())
@@ -289,8 +297,10 @@
 
 
 def test_all_draining_queues_then_rejects(rig):
-    rig.servers(entry(1, state=EndpointLifecycle.DRAINING), entry(2, state=EndpointLifecycle.DRAINING))
-    name = rig.ask(patience=300.0)
+    rig.servers(
+        make_endpoint(1, state=EndpointLifecycle.DRAINING), make_endpoint(2, state=EndpointLifecycle.DRAINING)
+    )
+    name = rig.ask(timeout_ms=300.0)
     rig.run(299.0)
     assert rig.answers[name] == "Reject"
     assert name not in rig.sent
@@ -303,7 +313,7 @@
     out = 0
     for index in range(100):  # six a server over all gateways: 0.6 each with ten servers
         rig = EngineHarness(replace(SETTINGS, gateways=100, index=index), seed=index)
-        rig.servers(*(entry(n) for n in range(10)), kind=UpdateKind.CACHED)
+        rig.servers(*(make_endpoint(n) for n in range(10)), kind=UpdateKind.CACHED)
         for _ in range(5):
             out += rig.ask() in rig.sent
     # each of five asks goes with chance 0.6 while none is out: 1 - 0.4 ** 5 = 99 of 100, none twice
@@ -313,7 +323,7 @@
 def pool_rig() -> EngineHarness:
     """Ten servers, six attempts each over ten gateways: six out at once from here."""
     rig = EngineHarness(replace(SETTINGS, gateways=10))
-    rig.servers(*(entry(n) for n in range(10)), kind=UpdateKind.CACHED)
+    rig.servers(*(make_endpoint(n) for n in range(10)), kind=UpdateKind.CACHED)
     return rig
 
 
@@ -376,8 +386,8 @@
 
 
 def test_a_retry_after_a_failed_connection_is_free_and_one_after_a_rejection_is_not():
-    rig = rig_with(limits=GatewayLimits(max_attempts=5, can_cancel=True))
-    rig.servers(*(entry(n) for n in range(60)))
+    rig = make_harness(limits=GatewayLimits(max_attempts=5, can_cancel=True))
+    rig.servers(*(make_endpoint(n) for n in range(60)))
     for _ in range(40):  # as after a start with an old list on which most servers are gone
         name = rig.ask()
         for _ in range(4):
@@ -394,7 +404,7 @@
 
 def fleet(size: int = 4) -> EngineHarness:
     rig = EngineHarness()
-    rig.servers(*(entry(n) for n in range(size)))
+    rig.servers(*(make_endpoint(n) for n in range(size)))
     return rig
 
 
@@ -404,10 +414,10 @@
     for _ in range(3):
         bad(rig, rig.ask(**ask))
     for only in (1, 2, 3):
-        rig.servers(entry(0, state=EndpointLifecycle.DRAINING), entry(only))
+        rig.servers(make_endpoint(0, state=EndpointLifecycle.DRAINING), make_endpoint(only))
         for _ in range(3):
             rig.finish(rig.ask(**ask))
-    rig.servers(*(entry(n) for n in range(4)))
+    rig.servers(*(make_endpoint(n) for n in range(4)))
     return rig
 
 
@@ -457,7 +467,7 @@
 
 def test_an_outlier_is_logged_once():
     rig = EngineHarness()
-    rig.servers(entry(7))
+    rig.servers(make_endpoint(7))
     lines = []
     for _ in range(5):
         name = rig.ask()
@@ -508,8 +518,8 @@
 
 
 def test_what_is_queued_under_a_cap_waits_until_its_own_latency_objective():
-    rig = rig_with(classes=(*CLASSES, DEAR))
-    rig.servers(entry(1), entry(2))
+    rig = make_harness(classes=(*CLASSES, DEAR))
+    rig.servers(make_endpoint(1), make_endpoint(2))
     first, second = rig.ask("only-cap"), rig.ask("only-cap")
     rig.run(1500.0)  # less than the aim by more than a mean latency
     assert second not in rig.answers
@@ -539,8 +549,10 @@
 
 def few_warm() -> EngineHarness:
     """One warm server and four at a fifth of their capacity for long."""
-    rig = rig_with(contract=ServiceRules(8.0, 500.0, 0.2, 1e9, 3.0, 2000.0, 10_000.0))  # warm in eleven days
-    rig.servers(entry(1), *(entry(number, started_ms=rig.now) for number in (2, 3, 4, 5)))
+    rig = make_harness(
+        contract=ServiceRules(8.0, 500.0, 0.2, 1e9, 3.0, 2000.0, 10_000.0)
+    )  # warm in eleven days
+    rig.servers(make_endpoint(1), *(make_endpoint(number, started_ms=rig.now) for number in (2, 3, 4, 5)))
     return rig
 
 
@@ -564,7 +576,7 @@
 
 def test_warming_endpoint_that_fails_or_has_much_in_flight_is_passed_over():
     rig = few_warm()
-    rig.servers(*(entry(number) for number in range(6, 10)), kind=UpdateKind.DELTA)
+    rig.servers(*(make_endpoint(number) for number in range(6, 10)), kind=UpdateKind.DELTA)
     servers = rig.gateway.endpoints.by_id
     servers[3].failures[""] = FailureRecord(5.0, 5.0, Moment(rig.now, 0))
     servers[4].in_flight = {(str(number), 0) for number in range(9)}
@@ -579,8 +591,8 @@
 
 def test_draw_ranges_of_warming_endpoints_stay_while_they_warm_up():
     # where they moved, what waited or was sent again came in the turn of the next one, too
-    rig = rig_with(contract=RAMP)
-    rig.servers(*(entry(number, started_ms=rig.now) for number in range(1, 12)))
+    rig = make_harness(contract=RAMP)
+    rig.servers(*(make_endpoint(number, started_ms=rig.now) for number in range(1, 12)))
     met: list[set[int]] = [set() for _ in range(1000)]
     for _ in range(40):
         rig.now += 250.0
@@ -602,7 +614,8 @@
         rig = EngineHarness(replace(SETTINGS, gateways=40, index=index, contract=HALF_COLD), seed=index)
         warm, cold = range(1, 25), range(25, 61)
         rig.servers(
-            *(entry(number) for number in warm), *(entry(number, started_ms=rig.now) for number in cold)
+            *(make_endpoint(number) for number in warm),
+            *(make_endpoint(number, started_ms=rig.now) for number in cold),
         )
         for number in range(200):
             name = rig.ask()
--- a/tests/unit/test_quota_over_fleet.py
+++ b/tests/unit/test_quota_over_fleet.py
@@ -8,7 +8,7 @@
 import pytest
 
 from quota_gateway import ExportState, Plan, RestoreState, StateSnapshot
-from tests.support.engine_harness import SETTINGS, EngineHarness, entry
+from tests.support.engine_harness import SETTINGS, EngineHarness, make_endpoint
 
 GATEWAYS, SECONDS, TRIES, LATENCY_MS = 80, 30, 4, 300.0
 PLANS = (
@@ -27,7 +27,7 @@
             for index in range(GATEWAYS)
         ]
         for rig in self.rigs:
-            rig.servers(*(entry(number) for number in range(1, 9)))
+            rig.servers(*(make_endpoint(number) for number in range(1, 9)))
         self.store: dict[str, tuple[float, float]] = {}
         self.out: dict[str, list[float]] = {}
         self.metered: Counter[tuple[str, int]] = Counter()  # units sent in a second, or most attempts out
--- a/tests/unit/test_shutdown.py
+++ b/tests/unit/test_shutdown.py
@@ -3,7 +3,7 @@
 import pytest
 
 from quota_gateway import GatewayLimits, Idempotency, Plan, Reject, RequestClass, ShutdownStarted
-from tests.support.engine_harness import EngineHarness, entry, rig_with
+from tests.support.engine_harness import EngineHarness, make_endpoint, make_harness
 
 
 def test_all_pending_and_all_that_comes_is_answered_before_the_end(rig):
@@ -19,7 +19,7 @@
 
 def test_shutdown_does_not_prolong_a_shorter_timeout(rig):
     rig.do(ShutdownStarted(1000.0))
-    name = rig.ask(patience=100.0)
+    name = rig.ask(timeout_ms=100.0)
     rig.run(100.0)
     assert rig.answers == {name: "Reject"}
 
@@ -28,8 +28,8 @@
     """Two gateways of a customer with a quota of two units a second and four at once."""
     kinds = (RequestClass("safe", latency_objective_ms, 4000.0, Idempotency.IDEMPOTENT),)
     limits = GatewayLimits(can_send_retry_after=True, **more)
-    rig = rig_with(classes=kinds, limits=limits, plans=(Plan("metered", rate=2.0, burst=4.0),))
-    rig.servers(entry(1), entry(2))
+    rig = make_harness(classes=kinds, limits=limits, plans=(Plan("metered", rate=2.0, burst=4.0),))
+    rig.servers(make_endpoint(1), make_endpoint(2))
     return rig
 
 
@@ -53,8 +53,8 @@
 
 def test_retry_after_is_bounded_and_given_only_where_the_settings_allow_it():
     assert first_refusal(advising(1800.0, max_retry_after_ms=7.0)).retry_after_ms == 7.0
-    rig = rig_with(limits=GatewayLimits(), plans=(Plan("metered", rate=2.0, burst=4.0),))
-    rig.servers(entry(1), entry(2))
+    rig = make_harness(limits=GatewayLimits(), plans=(Plan("metered", rate=2.0, burst=4.0),))
+    rig.servers(make_endpoint(1), make_endpoint(2))
     assert first_refusal(rig).retry_after_ms == 0.0
 
 
--- a/tests/unit/test_slow_start.py
+++ b/tests/unit/test_slow_start.py
@@ -30,7 +30,7 @@
     TimerFired,
     UpdateKind,
 )
-from tests.support.engine_harness import SETTINGS, entry
+from tests.support.engine_harness import SETTINGS, make_endpoint
 
 RULES = ServiceRules(8.0, 500.0, 0.19, 18_000.0, 2.5, 3000.0, 10_000.0)
 START = 2500.0  # of the servers that start anew
@@ -117,7 +117,7 @@
 
     def row(self, number, **more):
         """The endpoint of a server as discovery lists it."""
-        return entry(number, cell=number if self.case.kinds == ("keyed-cell",) else 0, **more)
+        return make_endpoint(number, cell=number if self.case.kinds == ("keyed-cell",) else 0, **more)
 
     def push(self, when, call, *values):
         """Have something happen at a time."""
--- a/tests/unit/test_snapshot.py
+++ b/tests/unit/test_snapshot.py
@@ -11,7 +11,7 @@
 from quota_gateway import ExportState, RestoreState, StateSnapshot
 from quota_gateway.errors import StateError
 from quota_gateway.model.snapshot import EngineState
-from tests.support.engine_harness import SETTINGS, EngineHarness, entry
+from tests.support.engine_harness import SETTINGS, EngineHarness, make_endpoint
 
 RECORDED = Path(__file__).parent.parent / "support" / "snapshots" / "engine-state-4431b5a.json"
 LATER_MS = 10_000.0  # than all times in the record
@@ -26,7 +26,7 @@
 def test_engine_goes_on_from_the_snapshot_of_the_version_before():
     recorded = json.loads(RECORDED.read_text())
     harness = EngineHarness()
-    harness.servers(entry(1), entry(2), entry(3, started_ms=900.0), entry(4))
+    harness.servers(make_endpoint(1), make_endpoint(2), make_endpoint(3, started_ms=900.0), make_endpoint(4))
     harness.run(LATER_MS)
     harness.do(RestoreState(recorded))
     (action,) = [a for a in harness.do(ExportState()) if isinstance(a, StateSnapshot)]
