--- a/tests/net/test_discovery_client.py
+++ b/tests/net/test_discovery_client.py
@@ -1,4 +1,4 @@
-"""The discovery watch: snapshots and deltas, malformed documents, watches that end or fall silent."""
+"""The discovery client: snapshots and deltas, malformed documents, watches that end or fall silent."""
 
 import asyncio
 import json
@@ -17,13 +17,21 @@
 from tests.support.gateway_node import wait_until
 
 
+def make_client(updates: asyncio.Queue, on_unavailable) -> DiscoveryClient:
+    """A client that puts each update, with the addresses of its endpoints, into the queue."""
+
+    def put_update(update, addresses):
+        updates.put_nowait((update, addresses))
+
+    return DiscoveryClient(EndpointRegistry(), put_update, on_unavailable, 1)
+
+
 @asynccontextmanager
 async def running_client():
     """A running client, the fake discovery that it watches, and the updates it passed on."""
-    fake, updates = await FakeDiscovery().start(), asyncio.Queue()
-    discovery = DiscoveryClient(
-        EndpointRegistry(), lambda *arguments: updates.put_nowait(arguments), lambda: None, 1
-    )
+    fake = await FakeDiscovery().start()
+    updates = asyncio.Queue()
+    discovery = make_client(updates, lambda: None)
     discovery.watch(("127.0.0.1", fake.port))
     try:
         yield discovery, fake, updates
@@ -32,7 +40,7 @@
         fake.server.close()
 
 
-async def test_cached_list_then_deltas_and_a_watch_resumes_from_the_last_generation():
+async def test_deltas_follow_a_cached_list_and_a_new_watch_resumes_from_the_last_generation():
     async with running_client() as (discovery, fake, updates):
         discovery.load_known(
             {"generation": 41, "reset": True, "instances": [make_instance("s-1", 1), make_instance("s-2", 2)]}
@@ -41,7 +49,7 @@
         assert update.kind is UpdateKind.CACHED
         assert addresses == {1: ("127.0.0.1", 1), 2: ("127.0.0.1", 2)}
         target, watch = await fake.next_watch()
-        assert target == "/discovery/hosts?watch=1"  # the known list may be old, or another agent's
+        assert target == "/discovery/hosts?watch=1"  # the cached list may be old, or that of another agent
         line = encode_update(
             43, make_instance("s-2", 2, "Terminating"), make_instance("s-3", 3, started_ms=9)
         )
@@ -50,7 +58,7 @@
         update, addresses = await updates.get()
         assert update.kind is UpdateKind.DELTA
         assert update.version == 43
-        assert [(e.server, e.state, e.started_ms) for e in update.endpoints] == [
+        assert [(endpoint.server, endpoint.state, endpoint.started_ms) for endpoint in update.endpoints] == [
             (2, EndpointLifecycle.DRAINING, 0.0),
             (3, EndpointLifecycle.READY, 9.0),
         ]
@@ -87,7 +95,7 @@
         watch.write(encode_chunk(encode_update(2, make_instance("s-1", 1), reset=True)))
         update, _ = await updates.get()
         assert update.version == 2
-        assert [make_endpoint.server for make_endpoint in update.endpoints] == [1]
+        assert [endpoint.server for endpoint in update.endpoints] == [1]
 
 
 MALFORMED_FIELDS = [
@@ -107,30 +115,28 @@
 
 @pytest.mark.parametrize("reset", [False, True])
 @pytest.mark.parametrize("malformed", MALFORMED_FIELDS)
-async def test_malformed_row_costs_that_row_alone(malformed, reset):
+async def test_malformed_endpoint_is_ignored_and_the_others_of_its_update_are_read(malformed, reset):
     async with running_client() as (discovery, fake, updates):
         _, watch = await fake.next_watch()
         watch.write(
             encode_chunk(encode_update(1, make_instance("s-1", 1), make_instance("s-2", 2), reset=True))
         )
         await updates.get()
-        bad, new = {**make_instance("s-1", 1), **malformed}, {**make_instance("s-4", 4), **malformed}
-        rows = bad, new, 7, make_instance("s-2", 2, "Terminating"), make_instance("s-3", 3)
-        watch.write(encode_chunk(encode_update(2, *rows, reset=reset)))
+        malformed_known = {**make_instance("s-1", 1), **malformed}
+        malformed_new = {**make_instance("s-4", 4), **malformed}
+        draining = make_instance("s-2", 2, "Terminating")
+        instances = malformed_known, malformed_new, 7, draining, make_instance("s-3", 3)
+        watch.write(encode_chunk(encode_update(2, *instances, reset=reset)))
         update, addresses = await updates.get()
-        # the draining endpoint and the new one are notified; the one whose row is malformed stays as it was
-        assert [(e.server, e.state) for e in update.endpoints] == [
+        # the draining endpoint and the new one are in the update; the malformed known one stays as it was
+        assert [(endpoint.server, endpoint.state) for endpoint in update.endpoints] == [
             (1, EndpointLifecycle.READY),
             (2, EndpointLifecycle.DRAINING),
             (3, EndpointLifecycle.READY),
         ]
         assert addresses[1] == ("127.0.0.1", 1)
-        assert set(discovery.registry.numbers) == {
-            "s-1",
-            "s-2",
-            "s-3",
-        }
-        watch.write(encode_chunk(encode_update(3, make_instance("s-4", 4))))  # the watch goes on
+        assert set(discovery.registry.numbers) == {"s-1", "s-2", "s-3"}
+        watch.write(encode_chunk(encode_update(3, make_instance("s-4", 4))))  # the watch stays open
         assert (await updates.get())[1] == {4: ("127.0.0.1", 4)}
 
 
@@ -138,8 +144,9 @@
     async with running_client() as (_, fake, updates):
         _, watch = await fake.next_watch()
         for generation, name in ((1, 's-"{'), (2, "s-]\\"), (3, "s-3")):
-            plain = json.loads(encode_update(generation, make_instance(name, generation), reset=True))
-            for part in re.findall(b"(?s).{1,7}", json.dumps(plain, indent=2).encode() + b"\r\n\r\n"):
+            document = json.loads(encode_update(generation, make_instance(name, generation), reset=True))
+            indented = json.dumps(document, indent=2).encode() + b"\r\n\r\n"
+            for part in re.findall(b"(?s).{1,7}", indented):
                 watch.write(encode_chunk(part))
             update, addresses = await updates.get()
             assert update.version == generation
@@ -154,7 +161,7 @@
         watch.write(encode_chunk(encode_update(5, make_instance("s-1", 1), reset=True)))
         await updates.get()
         watch.write(encode_chunk(b'{"generation":6,"reset":false,"instances":[\n'))
-        while not watch.is_closing():  # it goes on and on, and nothing can come of it
+        while not watch.is_closing():  # whitespace without end, which never completes the document
             watch.write(encode_chunk(b" \t"))
             await asyncio.sleep(0.02)
         target, watch = await fake.next_watch()
@@ -168,12 +175,12 @@
     monkeypatch.setattr(watch_connection, "FIRST_LINE_TIMEOUT_S", 0.05)
     async with running_client() as (_, fake, updates):
         for _ in range(3):
-            await fake.next_watch()  # silent from the first moment: it is replaced
+            await fake.next_watch()  # silent from its start: it is replaced
         _, watch = await fake.next_watch()
         watch.write(encode_chunk(encode_update(5, make_instance("s-1", 1), reset=True)))
         await updates.get()
         await asyncio.sleep(4.0 * watch_connection.FIRST_LINE_TIMEOUT_S)
-        assert fake.request_targets.empty()  # it has spoken, and may be silent for longer
+        assert fake.request_targets.empty()  # after its first line it may be silent for longer
         watch.write(encode_chunk(encode_update(6, make_instance("s-1", 2))))
         await updates.get()
 
@@ -192,10 +199,10 @@
     )
 
 
-@pytest.mark.parametrize("known", [None, {}, [], {"generation": 1, "reset": True, "instances": [{}]}])
-async def test_malformed_cached_list_is_not_fatal(known):
+@pytest.mark.parametrize("cached", [None, {}, [], {"generation": 1, "reset": True, "instances": [{}]}])
+async def test_malformed_cached_list_is_not_fatal(cached):
     async with running_client() as (discovery, fake, updates):
-        discovery.load_known(known)
+        discovery.load_known(cached)
         target, _ = await fake.next_watch()
         assert target == "/discovery/hosts?watch=1"
         assert updates.empty()
@@ -212,55 +219,51 @@
 
 
 @pytest.mark.parametrize(
-    "answer",
+    "response",
     [
         b"HTTP/1.1 500 Odd\r\nContent-Length: 2\r\n\r\n{}",
         b"junk\r\n\r\n",
         b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
     ],
 )
-async def test_response_that_is_no_watch_is_retried(answer):
-    opened = asyncio.Queue()
+async def test_watch_is_retried_after_a_response_that_is_no_watch(response):
+    requests = asyncio.Queue()
 
-    async def odd(reader, writer):
-        opened.put_nowait(await reader.readuntil(b"\r\n\r\n"))
-        writer.write(answer)
+    async def respond(reader, writer):
+        requests.put_nowait(await reader.readuntil(b"\r\n\r\n"))
+        writer.write(response)
 
-    server = await asyncio.start_server(odd, "127.0.0.1", 0)
+    server = await asyncio.start_server(respond, "127.0.0.1", 0)
     discovery = DiscoveryClient(EndpointRegistry(), lambda *_: None, lambda: None, 1)
     discovery.watch(server.sockets[0].getsockname())
     for _ in range(3):
-        await opened.get()
+        await requests.get()
     discovery.end()
     server.close()
 
 
 async def test_unavailable_is_notified_for_each_rejected_watch_until_an_update_has_come():
-    opened, unavailable = 0, asyncio.Queue()
+    opened_watches = 0
+    unavailable = asyncio.Queue()
+    updates = asyncio.Queue()
 
-    async def reject_at_first(reader, writer):
-        nonlocal opened
-        opened += 1
+    async def reject_twice(reader, writer):
+        nonlocal opened_watches
+        opened_watches += 1
         await reader.readuntil(b"\r\n\r\n")
-        if opened < 3:
+        if opened_watches < 3:
             writer.write(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
         else:
             body = encode_update(1, make_instance("s-1", 1), reset=True) + b"\n"
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
 
-    server = await asyncio.start_server(reject_at_first, "127.0.0.1", 0)
-    updates: asyncio.Queue[object] = asyncio.Queue()
-    discovery = DiscoveryClient(
-        EndpointRegistry(),
-        lambda *arguments: updates.put_nowait(arguments),
-        lambda: unavailable.put_nowait(opened),
-        1,
-    )
+    server = await asyncio.start_server(reject_twice, "127.0.0.1", 0)
+    discovery = make_client(updates, lambda: unavailable.put_nowait(opened_watches))
     discovery.watch(server.sockets[0].getsockname())
     assert [await unavailable.get(), await unavailable.get()] == [1, 2]
     assert updates.empty()
     await updates.get()
-    await wait_until(lambda: opened >= 4)  # watches are opened on after that one has ended
+    await wait_until(lambda: opened_watches >= 4)  # further watches are opened after that one has ended
     assert unavailable.empty()
     discovery.end()
     server.close()
@@ -268,15 +271,15 @@
 
 async def test_backoff_of_rejected_watches_grows_and_differs_between_gateways():
     backoffs = [ReconnectBackoff(random.Random(seed)) for seed in range(40)]
-    waits = [[backoff.next_wait_s(was_rejected=True) for _ in range(12)] for backoff in backoffs]
-    assert all(
-        0.5 * reconnect_backoff.FIRST_BACKOFF_S <= first[0] <= reconnect_backoff.FIRST_BACKOFF_S
-        for first in waits
-    )
-    # once each has been turned away often, forty gateways ask ten to twenty times a second at most
-    assert 10.0 <= sum(1.0 / last[-1] for last in waits) <= 20.0
-    assert max(last[-1] for last in waits) <= 4.0  # and each well within the ten seconds it has
-    assert len({round(sum(row), 2) for row in waits}) > 30
+    waits_of_gateways = [[backoff.next_wait_s(was_rejected=True) for _ in range(12)] for backoff in backoffs]
+    first_waits = [waits[0] for waits in waits_of_gateways]
+    last_waits = [waits[-1] for waits in waits_of_gateways]
+    first_backoff_s = reconnect_backoff.FIRST_BACKOFF_S
+    assert all(0.5 * first_backoff_s <= wait <= first_backoff_s for wait in first_waits)
+    # after many rejections, forty gateways open ten to twenty watches a second
+    assert 10.0 <= sum(1.0 / wait for wait in last_waits) <= 20.0
+    assert max(last_waits) <= 4.0  # well within the ten seconds that each gateway has
+    assert len({round(sum(waits), 2) for waits in waits_of_gateways}) > 30
 
 
 def test_endpoint_that_is_gone_loses_its_number_and_no_number_is_reused():
@@ -292,55 +295,53 @@
     (second,) = registry.numbers.values()
     registry.read({"generation": 3, "reset": False, "instances": [make_instance("s-2", 2, "Gone")]})
     registry.read({"generation": 3, "reset": False, "instances": [make_instance("s-4", 4)]})
-    assert registry.numbers["s-4"] > second  # attempts on s-2 may still be out under its number
+    assert registry.numbers["s-4"] > second  # attempts at s-2 may still be in flight under its number
     registry.read({"generation": 3, "reset": True, "instances": [make_instance("s-3", 3)]})
     assert set(registry.numbers) == {"s-3"}
 
 
 async def test_address_change_keeps_the_old_watch_until_the_new_one_has_sent_the_complete_list():
     async with running_client() as (discovery, fake, updates):
-        _, old = await fake.next_watch()
-        old.write(
+        _, old_watch = await fake.next_watch()
+        old_watch.write(
             encode_chunk(encode_update(41, make_instance("s-1", 1), make_instance("s-2", 2), reset=True))
         )
         await updates.get()
-        for generation in (7, 3):  # more than once; versions of another agent tell nothing here
-            other = await FakeDiscovery().start()
-            discovery.watch(("127.0.0.1", other.port))
-            target, watch = await other.next_watch()
+        for generation in (7, 3):  # more than once; versions of different agents can't be compared
+            new_fake = await FakeDiscovery().start()
+            discovery.watch(("127.0.0.1", new_fake.port))
+            target, new_watch = await new_fake.next_watch()
             assert target == "/discovery/hosts?watch=1"
-            old.write(encode_chunk(encode_update(42, make_instance("s-2", 2, "Terminating"))))
+            old_watch.write(encode_chunk(encode_update(42, make_instance("s-2", 2, "Terminating"))))
             update, _ = await updates.get()
             assert update.kind is UpdateKind.DELTA
-            watch.write(
+            new_watch.write(
                 encode_chunk(
                     encode_update(generation, make_instance("s-2", 2), make_instance("s-3", 3), reset=True)
                 )
             )
             update, addresses = await updates.get()
             assert update.kind is UpdateKind.SNAPSHOT
-            assert sorted(addresses) == [
-                2,
-                3,
-            ]
-            assert discovery.active.address == ("127.0.0.1", other.port)
+            assert sorted(addresses) == [2, 3]
+            assert discovery.active.address == ("127.0.0.1", new_fake.port)
             assert discovery.candidate is None
-            await fake.closed_watches.get()  # the old one has been closed
-            fake, old = other, watch
+            await fake.closed_watches.get()  # the old watch has been closed
+            fake, old_watch = new_fake, new_watch
 
 
 async def test_address_change_to_a_silent_agent_keeps_the_old_watch_through_a_further_change():
     async with running_client() as (discovery, fake, updates):
-        _, old = await fake.next_watch()
-        old.write(encode_chunk(encode_update(1, make_instance("s-1", 1), reset=True)))
+        _, old_watch = await fake.next_watch()
+        old_watch.write(encode_chunk(encode_update(1, make_instance("s-1", 1), reset=True)))
         await updates.get()
-        silent, good = await FakeDiscovery().start(), await FakeDiscovery().start()
+        silent = await FakeDiscovery().start()
+        healthy = await FakeDiscovery().start()
         discovery.watch(("127.0.0.1", silent.port))
         await silent.next_watch()
-        discovery.watch(("127.0.0.1", good.port))
+        discovery.watch(("127.0.0.1", healthy.port))
         await silent.closed_watches.get()
-        old.write(encode_chunk(encode_update(2, make_instance("s-1", 5))))
+        old_watch.write(encode_chunk(encode_update(2, make_instance("s-1", 5))))
         assert (await updates.get())[1] == {1: ("127.0.0.1", 5)}
-        _, watch = await good.next_watch()
+        _, watch = await healthy.next_watch()
         watch.write(encode_chunk(encode_update(9, make_instance("s-1", 6), reset=True)))
         assert (await updates.get())[1] == {1: ("127.0.0.1", 6)}
--- a/tests/net/test_discovery_notification.py
+++ b/tests/net/test_discovery_notification.py
@@ -1,7 +1,7 @@
-"""An update counts as notified 6 s after discovery had it and could be reached, whatever faults came before.
+"""An update is notified within 6 s of when discovery had it and could be reached, after any faults.
 
-The clock of these tests is the loop's own, see tests/support/virtual_loop.py: a chain of a minute takes
-a moment, and bounds in seconds hold on any machine.
+These tests run on the virtual clock of tests/support/virtual_loop.py: faults that last a minute take a
+moment, and bounds in seconds hold on any machine.
 """
 
 from __future__ import annotations
@@ -21,10 +21,13 @@
 
 NOTIFIED_WITHIN_S = 6.0  # STANDING: of the moment in which discovery had a change and could be reached
 NOTIFIED_AFTER_SIGHUP_WITHIN_S = 4.0  # TERMS: the same after SIGHUP
-CONNECT_S, SLOW_CONNECT_S = 0.9, 1.5  # that a connection takes to come up; STANDING has as much for servers
+CONNECT_DELAY_S = 0.9  # that a connection takes to come up
+SLOW_CONNECT_DELAY_S = 1.5  # the same; STANDING has as much for servers
+LATE_REJECTION_DELAY_S = 2.4
+HEARTBEAT_INTERVAL_S = 2.0
 TEST_TIMEOUT_S = 60.0
-HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-REJECTED = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
+RESPONSE_HEADER = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+REJECTION = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 FAULTS = (
     "refuses connections",
     "hangs up",
@@ -38,84 +41,104 @@
 
 
 class FaultyDiscovery:
-    """A discovery whose state is scripted; ``calls`` are the loop times at which watches were opened."""
-
-    def __init__(self, state: str = "up") -> None:
-        self.state, self.generation, self.port = state, 1, 0
-        self.calls: list[float] = []
-        self.server: asyncio.Server | None = None
-        self.open: set[asyncio.Task[None]] = set()  # watches that are served
-        self.changed, self.call = asyncio.Event(), asyncio.Event()
-
-    async def next_call(self) -> None:
+    """A discovery that is up or has one of ``FAULTS``.
+
+    Attributes:
+        state: "up" or the fault.
+        generation: The version of its endpoint list.
+        port: Where it listens, the same in each state.
+        opened_at_s: The times of the loop at which watches were opened.
+    """
+
+    def __init__(self) -> None:
+        self.state = "up"
+        self.generation = 1
+        self.port = 0
+        self.opened_at_s: list[float] = []
+        self._server: asyncio.Server | None = None
+        self._open_watches: set[asyncio.Task[None]] = set()
+        self._list_changed = asyncio.Event()
+        self._watch_opened = asyncio.Event()
+
+    async def next_watch(self) -> None:
         """Wait until the next watch is opened."""
-        self.call.clear()
-        await self.call.wait()
+        self._watch_opened.clear()
+        await self._watch_opened.wait()
 
     def break_watches(self, how: str) -> None:
-        """All watches that are open fall silent, end, or are reset."""
-        for task in list(self.open):
+        """Let all open watches "fall silent", "end", or "are reset"."""
+        for task in list(self._open_watches):
             task.cancel(how)
 
     async def set_state(self, state: str) -> None:
-        """Change the state for watches to come."""
+        """Change the state for watches that are opened from now on."""
         self.state = state
         listens = state != "refuses connections"
-        if listens and self.server is None:
-            self.server = await asyncio.start_server(self._serve, "127.0.0.1", self.port)
-            self.port = self.server.sockets[0].getsockname()[1]
-        elif self.server and not listens:
-            self.server.close()
-            self.server = None
-
-    def publish_change(self) -> None:
-        """Have a change of the list from now on."""
+        if listens and self._server is None:
+            self._server = await asyncio.start_server(self._serve, "127.0.0.1", self.port)
+            self.port = self._server.sockets[0].getsockname()[1]
+        elif self._server and not listens:
+            self._server.close()
+            self._server = None
+
+    def publish_update(self) -> None:
+        """Change the endpoint list, and send it to all open watches."""
         self.generation += 1
-        self.changed.set()
-        self.changed = asyncio.Event()
+        self._list_changed.set()
+        self._list_changed = asyncio.Event()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        loop, state = asyncio.get_running_loop(), self.state
-        self.calls.append(loop.time())
-        self.call.set()
+        state = self.state
+        self.opened_at_s.append(asyncio.get_running_loop().time())
+        self._watch_opened.set()
         with suppress(OSError, asyncio.IncompleteReadError):
             if state == "hangs up":
                 writer.close()
                 return
             await reader.readuntil(b"\r\n\r\n")
-            if state.startswith("rejects") or state == "answers nothing":
-                await asyncio.sleep(2.4 if state == "rejects late" else 0.0)
-                writer.write(HEAD + b"0\r\n\r\n" if state == "answers nothing" else REJECTED)
-            elif state != "is silent":
-                writer.write(HEAD)
-            if state == "sends half a line":
-                writer.write(
-                    encode_chunk(encode_update(self.generation, make_instance("s", 1), reset=True)[:30])
-                )
-            if state == "up":
-                task = loop.create_task(self._feed(writer))
-                self.open.add(task)
-                task.add_done_callback(self.open.discard)
+            await self._respond(writer, state)
             while await reader.read(1000):
                 pass
         writer.close()
 
-    async def _feed(self, writer: asyncio.StreamWriter) -> None:
+    async def _respond(self, writer: asyncio.StreamWriter, state: str) -> None:
+        """Answer the request for a watch as in this state."""
+        if state == "rejects late":
+            await asyncio.sleep(LATE_REJECTION_DELAY_S)
+        match state:
+            case "rejects" | "rejects late":
+                writer.write(REJECTION)
+            case "answers nothing":
+                writer.write(RESPONSE_HEADER + b"0\r\n\r\n")
+            case "sends headers alone":
+                writer.write(RESPONSE_HEADER)
+            case "sends half a line":
+                line = encode_update(self.generation, make_instance("s", 1), reset=True)
+                writer.write(RESPONSE_HEADER)
+                writer.write(encode_chunk(line[:30]))
+            case "up":
+                writer.write(RESPONSE_HEADER)
+                self._start_watch(writer)
+            case _:
+                assert state == "is silent"
+
+    def _start_watch(self, writer: asyncio.StreamWriter) -> None:
+        task = asyncio.get_running_loop().create_task(self._send_updates(writer))
+        self._open_watches.add(task)
+        task.add_done_callback(self._open_watches.discard)
+
+    async def _send_updates(self, writer: asyncio.StreamWriter) -> None:
+        """Send each version of the list, and heartbeats; a cancellation says how the watch breaks."""
         sent_generation = 0
         try:
             while not writer.is_closing():
-                changed = self.changed
+                list_changed = self._list_changed
                 if sent_generation != self.generation:
                     sent_generation = self.generation
-                    writer.write(
-                        encode_chunk(
-                            encode_update(
-                                sent_generation, make_instance(f"s-{sent_generation}", 1), reset=True
-                            )
-                        )
-                    )
+                    instance = make_instance(f"s-{sent_generation}", 1)
+                    writer.write(encode_chunk(encode_update(sent_generation, instance, reset=True)))
                 with suppress(TimeoutError):
-                    await asyncio.wait_for(changed.wait(), 2.0)
+                    await asyncio.wait_for(list_changed.wait(), HEARTBEAT_INTERVAL_S)
                     continue
                 writer.write(encode_chunk(b"\n"))
         except asyncio.CancelledError as how:
@@ -126,41 +149,43 @@
 
 
 class UpdateRecorder:
-    """Watches discovery; ``received_at_s`` is when each version was notified."""
+    """Watches discovery and records when it was notified of each version."""
 
     def __init__(self, seed: int) -> None:
         self.received_at_s: dict[int, float] = {}
-        self.updated = asyncio.Event()
+        self._update_received = asyncio.Event()
         self.client = DiscoveryClient(EndpointRegistry(), self._record, lambda: None, seed)
 
     def _record(self, update: EndpointUpdate, _: object) -> None:
         self.received_at_s.setdefault(update.version, asyncio.get_running_loop().time())
-        self.updated.set()
+        self._update_received.set()
 
     async def received_at(self, version: int) -> float:
         """When it was notified of this version, which may still have to come."""
         async with asyncio.timeout(TEST_TIMEOUT_S):
             while version not in self.received_at_s:
-                self.updated.clear()
-                await self.updated.wait()
+                self._update_received.clear()
+                await self._update_received.wait()
         return self.received_at_s[version]
 
 
 async def recover(discovery: FaultyDiscovery, recorder: UpdateRecorder) -> float:
-    """Seconds from now, when discovery is back and has a change, to when that is notified."""
+    """Let discovery recover with an update; the seconds until that is notified."""
     await discovery.set_state("up")
-    discovery.publish_change()
-    back = asyncio.get_running_loop().time()
-    wait = await recorder.received_at(discovery.generation) - back
+    discovery.publish_update()
+    recovered_at_s = asyncio.get_running_loop().time()
+    wait_s = await recorder.received_at(discovery.generation) - recovered_at_s
     recorder.client.end()
     await discovery.set_state("refuses connections")
-    return wait
+    return wait_s
 
 
 async def start(seed: int) -> tuple[VirtualLoop, FaultyDiscovery, UpdateRecorder]:
-    """A discovery that is up, and a recorder that has its first list."""
-    loop, discovery, recorder = asyncio.get_running_loop(), FaultyDiscovery(), UpdateRecorder(seed)
+    """The loop, a discovery that is up, and a recorder that has its first list."""
+    loop = asyncio.get_running_loop()
     assert isinstance(loop, VirtualLoop)
+    discovery = FaultyDiscovery()
+    recorder = UpdateRecorder(seed)
     await discovery.set_state("up")
     recorder.client.watch(("127.0.0.1", discovery.port))
     await recorder.received_at(1)
@@ -173,7 +198,7 @@
     loop, discovery, recorder = await start(seed)
     await asyncio.sleep(draw.uniform(0.5, 10.0))
     for _ in range(draw.randint(1, 4)):
-        loop.connect_delay_s = draw.choice((0.0, draw.uniform(0.0, CONNECT_S)))
+        loop.connect_delay_s = draw.choice((0.0, draw.uniform(0.0, CONNECT_DELAY_S)))
         await discovery.set_state(draw.choice(FAULTS))
         discovery.break_watches(draw.choice(("fall silent", "are reset", "end")))
         await asyncio.sleep(draw.uniform(0.1, 12.0))
@@ -181,7 +206,7 @@
 
 
 async def wait_after_watch_opened(state: str, connect_delay_s: float, seed: int) -> float:
-    """The same where discovery recovers in a bad moment of a long fault: just after a watch was opened."""
+    """Seconds to the notification where discovery recovers just after a watch was opened in a long fault."""
     loop, discovery, recorder = await start(seed)
     loop.connect_delay_s = connect_delay_s
     await discovery.set_state(state)
@@ -190,7 +215,7 @@
     if state == "refuses connections":
         await asyncio.sleep(random.Random(seed).uniform(0.0, 2.0))
     else:
-        await discovery.next_call()
+        await discovery.next_watch()
     return await recover(discovery, recorder)
 
 
@@ -199,7 +224,7 @@
     assert {seed: wait for seed, wait in waits.items() if wait >= NOTIFIED_WITHIN_S} == {}
 
 
-@pytest.mark.parametrize("connect_delay_s", [0.0, CONNECT_S, SLOW_CONNECT_S])
+@pytest.mark.parametrize("connect_delay_s", [0.0, CONNECT_DELAY_S, SLOW_CONNECT_DELAY_S])
 @pytest.mark.parametrize("state", FAULTS)
 def test_update_is_notified_within_six_seconds_of_a_recovery_just_after_a_watch_was_opened(
     state, connect_delay_s
@@ -209,10 +234,10 @@
 
 
 async def wait_after_silence(seed: int) -> float:
-    """The same where open watches fall silent just when there is a change, while discovery can be reached."""
+    """Seconds to the notification where watches fall silent just before an update, and can be reopened."""
     loop, discovery, recorder = await start(seed)
     await asyncio.sleep(random.Random(seed).uniform(0.0, 4.0))
-    loop.connect_delay_s = SLOW_CONNECT_S
+    loop.connect_delay_s = SLOW_CONNECT_DELAY_S
     discovery.break_watches("fall silent")
     return await recover(discovery, recorder)
 
@@ -223,42 +248,39 @@
 
 
 async def waits_after_address_change(state: str, seed: int) -> tuple[float, float]:
-    """Seconds from an address change to an agent that is up, and from the recovery of a further one."""
-    loop = asyncio.get_running_loop()
-    old, new, third = FaultyDiscovery(), FaultyDiscovery(), FaultyDiscovery()
-    assert isinstance(loop, VirtualLoop)
-    for discovery in (old, new, third):
+    """Seconds to the notification after a change to an agent that is up, and after a faulty one recovers."""
+    loop, old, recorder = await start(seed)
+    new = FaultyDiscovery()
+    third = FaultyDiscovery()
+    for discovery in (new, third):
         await discovery.set_state("up")
-    recorder = UpdateRecorder(seed)
-    recorder.client.watch(("127.0.0.1", old.port))
-    await recorder.received_at(1)
-    loop.connect_delay_s = SLOW_CONNECT_S
+    loop.connect_delay_s = SLOW_CONNECT_DELAY_S
     await old.set_state(state)
     old.break_watches("fall silent")
     await asyncio.sleep(random.Random(seed).uniform(0.0, 9.0))
     new.generation = 2
-    signalled = loop.time()
+    signalled_at_s = loop.time()
     recorder.client.watch(("127.0.0.1", new.port))
-    first = await recorder.received_at(2) - signalled
+    first_wait_s = await recorder.received_at(2) - signalled_at_s
     await third.set_state(state)
     third.generation = 3
     recorder.client.watch(("127.0.0.1", third.port))
     await asyncio.sleep(random.Random(seed).uniform(0.0, 9.0))
-    second = await recover(third, recorder)
+    second_wait_s = await recover(third, recorder)
     for discovery in (old, new):
         await discovery.set_state("refuses connections")
-    return first, second
+    return first_wait_s, second_wait_s
 
 
 @pytest.mark.parametrize("state", FAULTS)
-def test_update_after_an_address_change_is_notified_in_time_whatever_fault_the_old_address_has(state):
+def test_update_after_an_address_change_is_notified_in_time_after_any_fault_at_the_old_address(state):
     waits = [run_virtual(waits_after_address_change(state, seed)) for seed in range(5)]
     assert max(first for first, _ in waits) < NOTIFIED_AFTER_SIGHUP_WITHIN_S
     assert max(second for _, second in waits) < NOTIFIED_WITHIN_S
 
 
-async def calls_of_fleet(gateways: int, state: str) -> list[float]:
-    """When a fleet whose watches all ended at once opens them, in the last ten of twenty-five seconds."""
+async def watches_opened_by_fleet(gateways: int, state: str) -> list[float]:
+    """The times at which a fleet opens watches, 15 to 25 seconds after all of its watches were reset."""
     discovery = FaultyDiscovery()
     await discovery.set_state("up")
     recorders = [UpdateRecorder(seed) for seed in range(gateways)]
@@ -272,13 +294,13 @@
     for recorder in recorders:
         recorder.client.end()
     await discovery.set_state("refuses connections")
-    after = asyncio.get_running_loop().time() - 10.0
-    return [at for at in discovery.calls if at >= after]
+    start_s = asyncio.get_running_loop().time() - 10.0
+    return [opened_s for opened_s in discovery.opened_at_s if opened_s >= start_s]
 
 
 @pytest.mark.parametrize("state", ["rejects", "rejects late", "is silent"])
-def test_two_hundred_gateways_without_updates_reconnect_seldom_and_not_in_step(state):
-    calls = run_virtual(calls_of_fleet(200, state))
-    assert len(calls) / 10.0 <= 200 / 2.5
-    tenths = Counter(int(10.0 * at) for at in calls)
-    assert max(tenths.values()) <= 200 / 6  # though all began in the same moment
+def test_two_hundred_gateways_without_updates_reconnect_rarely_and_at_different_times(state):
+    opened_at_s = run_virtual(watches_opened_by_fleet(200, state))
+    assert len(opened_at_s) / 10.0 <= 200 / 2.5
+    opened_in_tenths = Counter(int(10.0 * opened_s) for opened_s in opened_at_s)
+    assert max(opened_in_tenths.values()) <= 200 / 6  # though all began at the same time
