--- a/tests/unit/test_leaky_bucket.py
+++ b/tests/unit/test_leaky_bucket.py
@@ -350,8 +350,8 @@
 
 
 @dataclass
-class CapTrial:
-    """A customer under an in-flight cap that asks by random gateways of a wide set, and what they forward.
+class InFlightCapSimulation:
+    """Random requests of a customer with an in-flight cap by a wide gateway set, and what is forwarded.
 
     Attributes:
         forwarded_within: Requests forwarded while fewer than the cap were in flight.
@@ -382,8 +382,8 @@
         for rig in self.rigs:
             rig.servers(make_endpoint(1), make_endpoint(2))
 
-    def run(self, mean_interval_ms: float) -> CapTrial:
-        """Ask at random times, this long apart on average; the trial with its counts."""
+    def run(self, mean_interval_ms: float) -> None:
+        """Ask at random times, this long apart on average."""
         weights = [1.0 / rank for rank in range(1, self.GATEWAYS + 1)]
         now_ms = 0.0
         while now_ms < self.DURATION_MS:
@@ -391,7 +391,6 @@
             self._finish_until(now_ms)
             rig = self.random.choices(self.rigs, weights)[0]
             self._ask(rig, now_ms)
-        return self
 
     def _finish_until(self, now_ms: float) -> None:
         """End the attempts that are due, each with a usage report of the period before the last."""
@@ -421,12 +420,14 @@
 
 
 def test_contention_at_a_cap_is_noticed_by_each_gateway_of_a_wide_set():
-    trial = CapTrial(seed=1).run(mean_interval_ms=50.0)  # eight would be in flight on average
-    forwarded = trial.forwarded_within + trial.forwarded_beyond
-    assert trial.forwarded_beyond < 0.3 * forwarded
+    simulation = InFlightCapSimulation(seed=1)
+    simulation.run(mean_interval_ms=50.0)  # eight would be in flight on average
+    forwarded = simulation.forwarded_within + simulation.forwarded_beyond
+    assert simulation.forwarded_beyond < 0.3 * forwarded
 
 
 def test_customer_of_a_wide_set_without_contention_is_forwarded_under_a_cap():
-    trial = CapTrial(seed=1).run(mean_interval_ms=1000.0)
-    forwarded = trial.forwarded_within + trial.forwarded_beyond
-    assert trial.rejected <= 0.25 * forwarded
+    simulation = InFlightCapSimulation(seed=1)
+    simulation.run(mean_interval_ms=1000.0)
+    forwarded = simulation.forwarded_within + simulation.forwarded_beyond
+    assert simulation.rejected <= 0.25 * forwarded
--- a/tests/unit/test_quota_over_fleet.py
+++ b/tests/unit/test_quota_over_fleet.py
@@ -49,7 +49,7 @@
     """Many gateways, the usage reports of all, and clients that retry by another gateway when rejected.
 
     Attributes:
-        asked: Requests of each customer, without retries.
+        requested: Requests of each customer, without retries.
         forwarded: Requests of each customer that a gateway forwarded.
         beyond_quota: How many of those were beyond the quota of their customer.
     """
@@ -63,7 +63,7 @@
         ]
         for harness in self.harnesses:
             harness.servers(*(make_endpoint(number) for number in range(1, SERVERS + 1)))
-        self.asked: Counter[str] = Counter()
+        self.requested: Counter[str] = Counter()
         self.forwarded: Counter[str] = Counter()
         self.beyond_quota = 0
         self._token_buckets: dict[str, tuple[float, float]] = {}  # units left, and when they were counted
@@ -93,7 +93,7 @@
         harness = self.random.choice(self.harnesses)
         harness.run(event.time_ms - harness.now)
         customer = event.customer
-        self.asked[customer] += event.attempts_left == MAX_ATTEMPTS
+        self.requested[customer] += event.attempts_left == MAX_ATTEMPTS
         request_id = harness.ask(
             self.plan.name, customer=customer, units=REQUEST_UNITS, gateway_set_size=GATEWAYS
         )
@@ -156,9 +156,9 @@
     assert fleet.beyond_quota <= most_beyond_quota
     within_quota = sum(fleet.forwarded.values()) - fleet.beyond_quota
     assert within_quota >= 180  # 300 and 480 if all were forwarded
-    usual_asked = sum(fleet.asked[customer] for customer in usual)
+    usual_requested = sum(fleet.requested[customer] for customer in usual)
     usual_forwarded = sum(fleet.forwarded[customer] for customer in usual)
-    assert usual_forwarded >= 0.25 * usual_asked
+    assert usual_forwarded >= 0.25 * usual_requested
 
 
 @pytest.mark.parametrize("plan", PLANS)
@@ -166,11 +166,11 @@
     fleet = Fleet(plan, 1)
     customers = [f"usual-{number}" for number in range(120)]
     for _ in range(4):
-        fleet.asked.clear()
+        fleet.requested.clear()
         fleet.forwarded.clear()
         fleet.run(dict.fromkeys(customers, 0.15))
     assert fleet.beyond_quota <= 5
-    assert sum(fleet.forwarded.values()) >= 0.85 * sum(fleet.asked.values())
+    assert sum(fleet.forwarded.values()) >= 0.85 * sum(fleet.requested.values())
 
 
 def make_fleet_member() -> EngineHarness:
