--- a/quota_gateway/net/client_connection.py
+++ b/quota_gateway/net/client_connection.py
@@ -57,7 +57,7 @@
         self.is_closing = False  # no more commands are taken
         self.must_linger = False  # what still comes is not read, and would turn a close into a reset
         self.is_write_blocked = False
-        self.intake = CommandIntake(self, owner, resumed.has_sent_command, resumed.request_count)
+        self.intake = CommandIntake(owner, resumed.has_sent_command, resumed.request_count)
         self._owner = owner
         self._resumed = resumed
         self._unsent_bytes = 0  # what the client had not taken when it stopped to
@@ -99,12 +99,12 @@
     def data_received(self, data: bytes) -> None:
         """Take in bytes and read the commands that they complete."""
         if not self.is_closing:
-            self.intake.feed(data)
+            self.intake.feed(self, data)
 
     def pause_writing(self) -> None:
         """Read no further where the client does not take its replies, and give it up after a while."""
         self.is_write_blocked = True
-        self.intake.update_read_pause()
+        self.intake.update_read_pause(self)
         if self.transport:
             self._unsent_bytes = self.transport.get_write_buffer_size()
             self.buffers.count(self._unsent_bytes)
@@ -169,7 +169,7 @@
             self.transport.abort()  # it does not take its error
             return
         if not self.is_closing:
-            self.intake.reject_input("timeout")
+            self.intake.reject_input(self, "timeout")
         for reply in list(self.pending_replies):
             if reply.reply is None:
                 self._owner.driver.client_disconnected(reply.request_id)
@@ -189,7 +189,7 @@
         if transport is None or transport.is_closing():
             return
         self._write_due(transport)
-        self.intake.continue_after_reply()
+        self.intake.continue_after_reply(self)
 
     def _write_due(self, transport: asyncio.Transport) -> None:
         """Write replies in the order of their commands, up to the first that is not known yet."""
@@ -252,7 +252,7 @@
     def finish(self) -> None:
         """Take no more commands, and close as soon as nothing is owed."""
         self.is_closing = True
-        self.intake.update_read_pause()
+        self.intake.update_read_pause(self)
         self.close_if_done()
 
     def abort(self) -> None:
--- a/quota_gateway/net/client_listener.py
+++ b/quota_gateway/net/client_listener.py
@@ -178,14 +178,14 @@
         self.is_suspended = True
         self._stop_accepting()
         for connection in list(self.connections):
-            connection.intake.update_read_pause()
+            connection.intake.update_read_pause(connection)
 
     def resume(self) -> None:
         """Go on as before, as there is no other process after all."""
         self.is_suspended = False
         self._start_accepting()
         for connection in list(self.connections):
-            connection.intake.read_commands()
+            connection.intake.read_commands(connection)
 
     def stop_listening(self) -> None:
         """Accept no more, and close each connection once nothing is owed on it.
--- a/quota_gateway/net/command_intake.py
+++ b/quota_gateway/net/command_intake.py
@@ -57,11 +57,11 @@
 class CommandIntake:
     """Reads one connection's commands, and pauses its reading while no more may be in hand.
 
-    See docs/decisions/client-limits.md for the bounds.
+    See docs/decisions/client-limits.md for the bounds. The connection is handed to each call: kept here it
+    would be part of a reference cycle, whose memory is freed only when the garbage collector gets to it.
     """
 
     __slots__ = (
-        "_connection",
         "_consecutive_errors",
         "_is_reading",
         "_services",
@@ -75,12 +75,10 @@
 
     def __init__(
         self,
-        connection: CommandConnection,
         services: IntakeServices,
         has_sent_command: bool,
         request_count: int,
     ) -> None:
-        self._connection = connection
         self._services = services
         self.reader = CommandReader()
         self.has_sent_command = has_sent_command
@@ -91,73 +89,69 @@
         self._is_reading = False
         self._consecutive_errors = 0
 
-    def feed(self, data: bytes) -> None:
+    def feed(self, connection: CommandConnection, data: bytes) -> None:
         """Take in bytes and read the commands that they complete."""
         self.reader.feed(data)
         self.last_received_s = self._services.loop.time()
-        self._connection.buffers.count(len(data), in_hand=False)
-        self.read_commands()
+        connection.buffers.count(len(data), in_hand=False)
+        self.read_commands(connection)
 
-    def read_commands(self) -> None:
+    def read_commands(self, connection: CommandConnection) -> None:
         """Read commands, but no more than may be in hand at once, and not so many that others wait."""
-        connection = self._connection
         self._is_reading = True
-        taken, is_within_command = self._take_commands()
+        taken, is_within_command = self._take_commands(connection)
         self._is_reading = False
         if is_within_command and connection.buffers.budget.is_exceeded():
-            self.reject_input("out of memory")
+            self.reject_input(connection, "out of memory")
         if taken == MAX_COMMANDS_PER_TURN and not self.is_read_scheduled:
             self.is_read_scheduled = True
-            self._services.loop.call_soon(self._continue_reading)
-        self.update_read_pause()
+            self._services.loop.call_soon(self._continue_reading, connection)
+        self.update_read_pause(connection)
         self._services.idle_connections.update(connection, is_within_command, taken > 0)
         connection.close_if_done()
 
-    def _take_commands(self) -> tuple[int, bool]:
+    def _take_commands(self, connection: CommandConnection) -> tuple[int, bool]:
         """Take the commands that are there; how many, and whether one has begun that is not complete."""
-        connection = self._connection
         taken = 0
         while (
             not connection.is_closing
             and connection.transport
-            and not self._is_at_limit()
+            and not self._is_at_limit(connection)
             and taken < MAX_COMMANDS_PER_TURN
         ):
             unread_bytes = len(self.reader.buffer)
             try:
                 command = self.reader.next_command()
             except ProtocolError as error:
-                self.reject_input(f"Protocol error: {error}")
+                self.reject_input(connection, f"Protocol error: {error}")
                 break
             if command is None:
                 return taken, unread_bytes > 0
             taken += 1
             self.has_sent_command = True
-            self._dispatch(command, unread_bytes - len(self.reader.buffer))
+            self._dispatch(connection, command, unread_bytes - len(self.reader.buffer))
         return taken, False
 
-    def continue_after_reply(self) -> None:
+    def continue_after_reply(self, connection: CommandConnection) -> None:
         """Go on where reading had paused, now that replies were written; note an idle connection.
 
         A command that is answered at once comes here from within ``read_commands``, which goes on itself.
         """
-        connection = self._connection
         if self._is_reading:
             return
         if self.is_read_paused and not connection.is_closing:
-            self.read_commands()
+            self.read_commands(connection)
         elif not connection.pending_replies:
             self._services.idle_connections.mark_idle(connection)
         connection.close_if_done()
 
-    def _continue_reading(self) -> None:
+    def _continue_reading(self, connection: CommandConnection) -> None:
         self.is_read_scheduled = False
-        if self._connection.transport:
-            self.read_commands()
+        if connection.transport:
+            self.read_commands(connection)
 
-    def _is_at_limit(self) -> bool:
+    def _is_at_limit(self, connection: CommandConnection) -> bool:
         """Whether no more commands may be in hand now."""
-        connection = self._connection
         return (
             connection.is_write_blocked
             or self._services.is_suspended
@@ -165,12 +159,12 @@
             or connection.buffers.in_hand_bytes > MAX_IN_HAND_BYTES
         )
 
-    def update_read_pause(self) -> None:
+    def update_read_pause(self, connection: CommandConnection) -> None:
         """Read from the socket, or stop to, by whether more commands may be taken."""
-        transport = self._connection.transport
+        transport = connection.transport
         if transport is None or transport.is_closing():
             return
-        must_pause = self._connection.is_closing or self.is_read_scheduled or self._is_at_limit()
+        must_pause = connection.is_closing or self.is_read_scheduled or self._is_at_limit(connection)
         if must_pause == self.is_read_paused:
             return
         self.is_read_paused = must_pause
@@ -179,19 +173,18 @@
         else:
             transport.resume_reading()
 
-    def _dispatch(self, command: list[bytes], size_bytes: int) -> None:
+    def _dispatch(self, connection: CommandConnection, command: list[bytes], size_bytes: int) -> None:
         name = command[0].upper()
         if name in (CALL_GET, CALL_POST):
-            self._submit_request(command, size_bytes)
+            self._submit_request(connection, command, size_bytes)
             return
-        self._connection.buffers.count(-size_bytes, in_hand=False)
+        connection.buffers.count(-size_bytes, in_hand=False)
         if name == PING:
-            self._connection.reply_now(self._services.ping_reply())
+            connection.reply_now(self._services.ping_reply())
         else:
-            self._reply_error("unknown command")
+            self._reply_error(connection, "unknown command")
 
-    def _submit_request(self, command: list[bytes], size_bytes: int) -> None:
-        connection = self._connection
+    def _submit_request(self, connection: CommandConnection, command: list[bytes], size_bytes: int) -> None:
         driver = self._services.driver
         try:
             request, encode = self._services.request_parser.parse(command)
@@ -199,7 +192,7 @@
                 raise CommandError("a request of this id is in hand")
         except CommandError as error:
             connection.buffers.count(-size_bytes, in_hand=False)
-            self._reply_error(str(error))
+            self._reply_error(connection, str(error))
             return
         self._consecutive_errors = 0
         self.request_count += 1
@@ -218,25 +211,23 @@
             request.timeout_ms,
         )
 
-    def _reply_error(self, reason: str) -> None:
+    def _reply_error(self, connection: CommandConnection, reason: str) -> None:
         """Answer a bad command; after many in a row the connection ends."""
-        connection = self._connection
         self._consecutive_errors += 1
         connection.is_closing = connection.is_closing or self._consecutive_errors >= MAX_CONSECUTIVE_ERRORS
         connection.must_linger = connection.is_closing
         connection.reply_now(_error_line(reason))
 
-    def reject_input(self, reason: str) -> None:
+    def reject_input(self, connection: CommandConnection, reason: str) -> None:
         """Answer what can't be read, and close the connection after the replies before it."""
         log.info("client connection rejected reason=%s", reason)
-        connection = self._connection
         connection.is_closing = True
         connection.must_linger = True
         connection.buffers.count(-len(self.reader.buffer), in_hand=False)
         self.reader = CommandReader()
         self._services.idle_connections.update(connection, within_command=True, took_command=False)
         connection.reply_now(_error_line(reason))
-        self.update_read_pause()
+        self.update_read_pause(connection)
 
     def has_partial_command(self) -> bool:
         """Whether bytes have come that were not taken as a command."""
@@ -244,11 +235,8 @@
 
     def is_receiving_body(self) -> bool:
         """Whether all of a command has come but a body, and that is still arriving."""
-        return (
-            not self._connection.is_closing
-            and self.reader.is_within_body()
-            and self._services.loop.time() - self.last_received_s < BODY_GAP_TIMEOUT_S
-        )
+        silent_s = self._services.loop.time() - self.last_received_s
+        return self.reader.is_within_body() and silent_s < BODY_GAP_TIMEOUT_S
 
 
 def _error_line(reason: str) -> bytes:
--- a/quota_gateway/net/idle_connections.py
+++ b/quota_gateway/net/idle_connections.py
@@ -141,7 +141,7 @@
                 break
             del self.awaiting_command[connection]
             self.awaiting_body[connection] = None
-        for connection in [item for item in self.awaiting_body if not item.intake.is_receiving_body()]:
+        for connection in [item for item in self.awaiting_body if not _is_receiving_body(item)]:
             del self.awaiting_body[connection]
             connection.time_out()
 
@@ -187,5 +187,9 @@
         return closed
 
 
+def _is_receiving_body(connection: TrackedConnection) -> bool:
+    return not connection.is_closing and connection.intake.is_receiving_body()
+
+
 def _grace_s(connection: TrackedConnection) -> float:
     return STOPPED_GRACE_S if connection.intake.has_partial_command() else SILENT_GRACE_S
--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -1,9 +1,11 @@
 """What clients see: replies in order, malformed input, disconnects, slow readers, limits on connections."""
 
 import asyncio
+import gc
 import os
 import socket
 import struct
+import weakref
 
 import pytest
 
@@ -565,3 +567,19 @@
         for _ in range(MAX_PIPELINED_COMMANDS + more):
             assert await peer.read_reply() == b"v"
         assert await peer.read_reply() is None
+
+
+async def test_closed_connection_is_freed_without_the_garbage_collector():
+    async with run_gateway(FakeUpstream()) as gateway:
+        client = await gateway.connect_client()
+        await client.request(encode_call(1))
+        (connection,) = gateway.client_listener.connections
+        freed = weakref.ref(connection)
+        del connection
+        gc.disable()
+        try:
+            client.writer.close()
+            await wait_until(lambda: freed() is None)
+        finally:
+            gc.enable()
+        assert not gateway.client_listener.connections
