--- a/tests/unit/test_edge_sizes.py
+++ b/tests/unit/test_edge_sizes.py
@@ -8,22 +8,22 @@
 from tests.support.engine_harness import SETTINGS, EngineHarness, make_endpoint
 
 
-def send_and_expect_answers(engine: EngineHarness, gateway_set_size: int, request_count: int = 40) -> None:
+def send_and_expect_answers(harness: EngineHarness, gateway_set_size: int, request_count: int = 40) -> None:
     """Send requests of every plan and class, end their attempts, and expect one answer to each."""
     plans_and_classes = [
         (plan.name, request_class.name)
-        for plan in engine.settings.plans
-        for request_class in engine.settings.classes
+        for plan in harness.settings.plans
+        for request_class in harness.settings.classes
     ]
     for number in range(request_count):
         plan, class_name = plans_and_classes[number % len(plans_and_classes)]
         customer = f"c{number % 7}"
-        request_id = engine.ask(plan, class_name, customer, gateway_set_size=gateway_set_size)
-        if request_id in engine.sent and request_id not in engine.answers:
-            engine.finish(request_id)
-        engine.run(10.0)
-    engine.run(4000.0)
-    assert len(engine.answers) == request_count
+        request_id = harness.ask(plan, class_name, customer, gateway_set_size=gateway_set_size)
+        if request_id in harness.sent and request_id not in harness.answers:
+            harness.finish(request_id)
+        harness.run(10.0)
+    harness.run(4000.0)
+    assert len(harness.answers) == request_count
 
 
 @pytest.mark.parametrize(
@@ -31,44 +31,44 @@
 )
 @pytest.mark.parametrize("servers", [1, 3, 400])
 def test_every_request_is_answered_at_any_size(gateways, gateway_set_size, servers):
-    engine = EngineHarness(replace(SETTINGS, gateways=gateways))
+    harness = EngineHarness(replace(SETTINGS, gateways=gateways))
     endpoints = [make_endpoint(number, "ab"[number % 2]) for number in range(servers)]
-    engine.servers(*endpoints, kind=UpdateKind.CACHED)
-    send_and_expect_answers(engine, gateway_set_size)
+    harness.servers(*endpoints, kind=UpdateKind.CACHED)
+    send_and_expect_answers(harness, gateway_set_size)
 
 
 @pytest.mark.parametrize("load", [None, (), (None, None), (0.5,), (0.5, 3.0, 7.0)])
 def test_load_reports_may_be_missing_short_or_null(load):
-    engine = EngineHarness(replace(SETTINGS, load_report_fields=("util", "queue")))
-    engine.servers(make_endpoint(1))
+    harness = EngineHarness(replace(SETTINGS, load_report_fields=("util", "queue")))
+    harness.servers(make_endpoint(1))
     for _ in range(3):
-        request_id = engine.ask()
-        engine.do(Outcome(request_id, 0, 1, AttemptStatus.OK, 50.0, True, load=load))
-    assert engine.ask() in engine.sent
+        request_id = harness.ask()
+        harness.do(Outcome(request_id, 0, 1, AttemptStatus.OK, 50.0, True, load=load))
+    assert harness.ask() in harness.sent
 
 
 def test_an_old_load_report_decays():
     # server 1 reported a queue of 20; after enough time and attempts it is chosen like any other
-    engine = EngineHarness(replace(SETTINGS, load_report_fields=("queue",)))
-    engine.servers(make_endpoint(1), make_endpoint(2))
-    engine.gateway.balancer.on_load_report(engine.gateway.endpoints.by_id[1], (20.0,))
-    assert {engine.sent[engine.ask()][0] for _ in range(5)} == {2}
-    engine.run(60_000.0)
-    assert 1 in {engine.sent[engine.ask()][0] for _ in range(8)}
+    harness = EngineHarness(replace(SETTINGS, load_report_fields=("queue",)))
+    harness.servers(make_endpoint(1), make_endpoint(2))
+    harness.gateway.balancer.on_load_report(harness.gateway.endpoints.by_id[1], (20.0,))
+    assert {harness.sent[harness.ask()][0] for _ in range(5)} == {2}
+    harness.run(60_000.0)
+    assert 1 in {harness.sent[harness.ask()][0] for _ in range(8)}
 
 
 def test_without_usage_reports_a_customer_of_one_gateway_may_retry():
     # a period of zero means that no usage report ever comes; this gateway has the whole burst, so the
     # local quota has room for a retry
-    engine = EngineHarness(replace(SETTINGS, usage_period_ms=0.0, gateways=300))
-    engine.servers(make_endpoint(1))
-    engine.do(Request("x", "safe", "metered", "c", 4000.0, 1, 1, is_retry=True))
-    assert "x" in engine.sent
+    harness = EngineHarness(replace(SETTINGS, usage_period_ms=0.0, gateways=300))
+    harness.servers(make_endpoint(1))
+    harness.do(Request("x", "safe", "metered", "c", 4000.0, 1, 1, is_retry=True))
+    assert "x" in harness.sent
 
 
 def test_a_snapshot_without_endpoints_queues_then_rejects():
-    engine = EngineHarness()
-    engine.servers(kind=UpdateKind.CACHED)
-    request_id = engine.ask(timeout_ms=300.0)
-    engine.run(299.0)
-    assert engine.answers[request_id] == "Reject"
+    harness = EngineHarness()
+    harness.servers(kind=UpdateKind.CACHED)
+    request_id = harness.ask(timeout_ms=300.0)
+    harness.run(299.0)
+    assert harness.answers[request_id] == "Reject"
