--- a/tests/unit/test_properties.py
+++ b/tests/unit/test_properties.py
@@ -1,5 +1,8 @@
 """The service rules as properties: they hold for any sequence of events within bounds."""
 
+from dataclasses import dataclass
+from typing import NamedTuple
+
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -9,6 +12,7 @@
     EndpointLifecycle,
     Idempotency,
     Outcome,
+    RequestClass,
     UpdateKind,
 )
 from tests.support.engine_harness import SETTINGS, EngineHarness, make_endpoint
@@ -28,33 +32,100 @@
     AttemptStatus.RESET,
     AttemptStatus.CANCELLED,
 }
+
+
+@dataclass(frozen=True)
+class SendRequest:
+    """A client sends a new request."""
+
+    plan: str
+    class_name: str
+    timeout_ms: float
+    units: int
+
+
+@dataclass(frozen=True)
+class EndAttempt:
+    """One of the attempts in flight ends, if there is any."""
+
+    index: int
+    status: AttemptStatus
+
+
+@dataclass(frozen=True)
+class Wait:
+    """Time passes."""
+
+    duration_ms: float
+
+
+@dataclass(frozen=True)
+class UpdateEndpoint:
+    """Discovery reports the state of an endpoint."""
+
+    number: int
+    lifecycle: EndpointLifecycle
+
+
+@dataclass(frozen=True)
+class DisconnectClient:
+    """The client of one open request disconnects, if there is any."""
+
+    index: int
+
+
+Step = SendRequest | EndAttempt | Wait | UpdateEndpoint | DisconnectClient
 STEPS = st.one_of(
-    st.tuples(
-        st.just("request"),
+    st.builds(
+        SendRequest,
         st.sampled_from(PLAN_NAMES),
         st.sampled_from(CLASS_NAMES),
         st.floats(20.0, 4000.0),
         st.integers(1, 4),
     ),
-    st.tuples(st.just("outcome"), st.integers(0, 50), st.sampled_from(FAILURE_STATUSES)),
-    st.tuples(st.just("outcome"), st.integers(0, 50), st.just(AttemptStatus.OK)),
-    st.tuples(st.just("wait"), st.floats(0.0, 900.0)),
-    st.tuples(st.just("endpoint"), st.integers(1, 4), st.sampled_from(list(EndpointLifecycle))),
-    st.tuples(st.just("disconnect"), st.integers(0, 50)),
+    st.builds(EndAttempt, st.integers(0, 50), st.sampled_from(FAILURE_STATUSES)),
+    st.builds(EndAttempt, st.integers(0, 50), st.just(AttemptStatus.OK)),
+    st.builds(Wait, st.floats(0.0, 900.0)),
+    st.builds(UpdateEndpoint, st.integers(1, 4), st.sampled_from(list(EndpointLifecycle))),
+    st.builds(DisconnectClient, st.integers(0, 50)),
 )
 
 
+class RequestRecord(NamedTuple):
+    """What the checker keeps of a request."""
+
+    request_class: RequestClass
+    plan: str
+    units: int
+    deadline_ms: float
+
+
+class AttemptRecord(NamedTuple):
+    """What the checker keeps of an attempt in flight."""
+
+    number: int
+    server: int
+    started_ms: float
+
+
+class CeilingUsage(NamedTuple):
+    """Units of a request that was forwarded under the ceiling, and when."""
+
+    time_ms: float
+    units: int
+
+
 class RuleChecker(EngineHarness):
     """Keeps its own record of every request and checks each attempt and answer against the rules."""
 
     def __init__(self):
         super().__init__()
-        self.requests = {}  # class, plan, units and deadline, by request
-        self.in_flight = {}  # number, server and start of the attempt, by request; None once it has ended
-        self.possibly_executed_at = {}  # start of the first such attempt, by request
-        self.ready = set()
-        self.closed = set()  # requests that are answered or whose client has disconnected
-        self.ceiling_usage = []  # time and units of each forwarded request under the ceiling
+        self.requests: dict[str, RequestRecord] = {}
+        self.in_flight: dict[str, AttemptRecord] = {}
+        self.possibly_executed_at: dict[str, float] = {}  # start of the first such attempt, by request
+        self.ready: set[int] = set()
+        self.closed: set[str] = set()  # requests that are answered or whose client has disconnected
+        self.ceiling_usage: list[CeilingUsage] = []
 
     def do(self, event):
         """Hand over an event and check what the engine does."""
@@ -71,16 +142,16 @@
 
     def check_attempt(self, request_id, servers, attempts_before):
         """Check that an attempt was allowed: its number, endpoint, time, idempotency and ceiling."""
-        _, plan, units, deadline = self.requests[request_id]
+        record = self.requests[request_id]
         assert len(servers) == attempts_before + 1 <= MAX_ATTEMPTS
-        assert not self.in_flight.get(request_id)
+        assert request_id not in self.in_flight
         assert request_id not in self.closed
         assert servers[-1] in self.ready
-        assert self.now < deadline
+        assert self.now < record.deadline_ms
         self.check_idempotency(request_id)
-        self.in_flight[request_id] = (len(servers) - 1, servers[-1], self.now)
-        if attempts_before == 0 and plan == "ceiling":
-            self.ceiling_usage.append((self.now, units))
+        self.in_flight[request_id] = AttemptRecord(attempts_before, servers[-1], self.now)
+        if attempts_before == 0 and record.plan == "ceiling":
+            self.ceiling_usage.append(CeilingUsage(self.now, record.units))
             self.check_ceiling()
 
     def check_idempotency(self, request_id):
@@ -88,51 +159,50 @@
         executed_at = self.possibly_executed_at.get(request_id)
         if executed_at is None:
             return
-        request_class = self.requests[request_id][0]
+        request_class = self.requests[request_id].request_class
         assert request_class.idempotency is not Idempotency.NON_IDEMPOTENT
         if request_class.idempotency is Idempotency.KEYED:
             assert self.now - executed_at < request_class.idempotency_window_ms
 
     def check_ceiling(self):
         """Check that no period until now has exceeded the burst and rate of the ceiling."""
-        for start, _ in self.ceiling_usage:
-            used = sum(units for time, units in self.ceiling_usage if time >= start)
-            refilled = CEILING_UNITS_PER_SECOND * (self.now - start) / 1000.0
+        for first in self.ceiling_usage:
+            used = sum(usage.units for usage in self.ceiling_usage if usage.time_ms >= first.time_ms)
+            refilled = CEILING_UNITS_PER_SECOND * (self.now - first.time_ms) / 1000.0
             assert used <= CEILING_BURST_UNITS + refilled + ROUNDING_UNITS
 
     def check_answer(self, request_id):
         """Check that an answer is in time and the only one, and that a rejected request is safe to retry."""
-        request_class, _, _, deadline = self.requests[request_id]
-        assert self.now <= deadline + ANSWER_SLACK_MS
+        record = self.requests[request_id]
+        assert self.now <= record.deadline_ms + ANSWER_SLACK_MS
         assert request_id not in self.closed
         self.closed.add(request_id)
-        possibly_executed = self.possibly_executed_at.get(request_id) is not None or self.in_flight.get(
-            request_id
-        )
+        possibly_executed = request_id in self.possibly_executed_at or request_id in self.in_flight
         if self.answers[request_id] == "Reject" and possibly_executed:
-            is_idempotent = request_class.idempotency is Idempotency.IDEMPOTENT
-            assert is_idempotent or request_class.name == "keyed-all"
+            is_idempotent = record.request_class.idempotency is Idempotency.IDEMPOTENT
+            assert is_idempotent or record.request_class.name == "keyed-all"
 
-    def step(self, step):
+    def step(self, step: Step):
         """Carry out one generated step."""
-        kind, *arguments = step
-        if kind == "request":
-            self.send_request(*arguments)
-        elif kind == "wait":
-            self.run(*arguments)
-        elif kind == "endpoint":
-            self.update_endpoint(*arguments)
-        elif kind == "disconnect":
-            self.disconnect_client(*arguments)
-        elif kind == "outcome":
-            self.end_some_attempt(*arguments)
-
-    def send_request(self, plan, class_name, timeout_ms, units):
+        match step:
+            case SendRequest():
+                self.send_request(step)
+            case EndAttempt(index, status):
+                self.end_some_attempt(index, status)
+            case Wait(duration_ms):
+                self.run(duration_ms)
+            case UpdateEndpoint(number, lifecycle):
+                self.update_endpoint(number, lifecycle)
+            case DisconnectClient(index):
+                self.disconnect_client(index)
+
+    def send_request(self, step):
         """Record a new request and send it."""
         request_id = f"r{self.count + 1}"
-        request_class = self.gateway.classes[class_name]
-        self.requests[request_id] = (request_class, plan, units, self.now + timeout_ms)
-        self.ask(plan, class_name, timeout_ms=timeout_ms, units=units)
+        request_class = self.gateway.classes[step.class_name]
+        deadline_ms = self.now + step.timeout_ms
+        self.requests[request_id] = RequestRecord(request_class, step.plan, step.units, deadline_ms)
+        self.ask(step.plan, step.class_name, timeout_ms=step.timeout_ms, units=step.units)
 
     def update_endpoint(self, number, lifecycle):
         """Deliver an update of one endpoint."""
@@ -152,20 +222,20 @@
 
     def end_some_attempt(self, index, status):
         """End one of the attempts in flight, if there is any."""
-        in_flight = [request_id for request_id, attempt in self.in_flight.items() if attempt]
+        in_flight = list(self.in_flight)
         if in_flight:
             self.end_attempt(in_flight[index % len(in_flight)], status)
 
     def end_attempt(self, request_id, status):
         """End the attempt in flight of a request."""
-        number, server, started_at = self.in_flight[request_id]
-        self.in_flight[request_id] = None
-        if status in POSSIBLY_EXECUTED and self.possibly_executed_at.get(request_id) is None:
-            self.possibly_executed_at[request_id] = started_at
+        attempt = self.in_flight.pop(request_id)
+        if status in POSSIBLY_EXECUTED and request_id not in self.possibly_executed_at:
+            self.possibly_executed_at[request_id] = attempt.started_ms
         is_closed = status is AttemptStatus.OK or request_id in self.closed
         if is_closed:
             self.closed.add(request_id)
-        self.do(Outcome(request_id, number, server, status, self.now - started_at, is_closed))
+        latency_ms = self.now - attempt.started_ms
+        self.do(Outcome(request_id, attempt.number, attempt.server, status, latency_ms, is_closed))
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
@@ -173,7 +243,7 @@
 def test_rules_hold_and_every_request_is_answered(steps):
     checker = RuleChecker()
     for number in (1, 2):
-        checker.step(("endpoint", number, EndpointLifecycle.READY))
+        checker.step(UpdateEndpoint(number, EndpointLifecycle.READY))
     for step in steps:
         checker.step(step)
     checker.run(5000.0)
