--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -6,7 +6,7 @@
 
 
 @pytest.fixture
-def rig() -> EngineHarness:
+def harness() -> EngineHarness:
     """A policy engine with two endpoints, on a scripted clock."""
     engine = EngineHarness()
     engine.servers(make_endpoint(1), make_endpoint(2))
--- a/tests/net/test_detachments.py
+++ b/tests/net/test_detachments.py
@@ -21,72 +21,72 @@
 
 FAILING_SERVER = "s-fault"  # a call for it raises
 DISCOVERY_UPDATES = [
-    lambda rig: rig.servers(make_endpoint(1), make_endpoint(2)),
-    lambda rig: rig.servers(make_endpoint(1, started_ms=rig.now), kind=UpdateKind.DELTA),
-    lambda rig: (rig.servers(make_endpoint(2)), rig.servers(make_endpoint(1), make_endpoint(2))),
-    lambda rig: (
-        rig.servers(make_endpoint(1, state=EndpointLifecycle.GONE), kind=UpdateKind.DELTA),
-        rig.servers(make_endpoint(1), kind=UpdateKind.DELTA),
+    lambda harness: harness.servers(make_endpoint(1), make_endpoint(2)),
+    lambda harness: harness.servers(make_endpoint(1, started_ms=harness.now), kind=UpdateKind.DELTA),
+    lambda harness: (harness.servers(make_endpoint(2)), harness.servers(make_endpoint(1), make_endpoint(2))),
+    lambda harness: (
+        harness.servers(make_endpoint(1, state=EndpointLifecycle.GONE), kind=UpdateKind.DELTA),
+        harness.servers(make_endpoint(1), kind=UpdateKind.DELTA),
     ),
 ]
 
 
-def chosen_servers(rig, count: int = 60) -> list[int]:
+def chosen_servers(harness, count: int = 60) -> list[int]:
     """Send so many requests, one after the other; give the servers that they went to."""
-    names = [rig.ask(timeout_ms=100.0) for _ in range(count) if not rig.run(1.0)]
-    servers = [rig.sent[name][0] for name in names if name in rig.sent]
+    names = [harness.ask(timeout_ms=100.0) for _ in range(count) if not harness.run(1.0)]
+    servers = [harness.sent[name][0] for name in names if name in harness.sent]
     for name in names:
-        if name in rig.sent:
-            rig.finish(name)
+        if name in harness.sent:
+            harness.finish(name)
     return servers
 
 
-def capacity_share(rig, server: int) -> float:
+def capacity_share(harness, server: int) -> float:
     """How much of its capacity a server is given while it warms up."""
-    return rig.gateway.slow_start.capacity_share(rig.gateway.endpoints.by_id[server])
+    return harness.gateway.slow_start.capacity_share(harness.gateway.endpoints.by_id[server])
 
 
 @pytest.mark.parametrize("update", DISCOVERY_UPDATES)
-def test_detached_server_gets_no_request_whatever_discovery_says(rig, update):
-    rig.do(DetachServer(1))
-    update(rig)
-    rig.do(DetachServer(1))  # the call may come twice
-    assert set(chosen_servers(rig)) == {2}
-    rig.do(AttachServer(1))
-    rig.run(20_000.0)
-    assert set(chosen_servers(rig)) == {1, 2}
+def test_detached_server_gets_no_request_whatever_discovery_says(harness, update):
+    harness.do(DetachServer(1))
+    update(harness)
+    harness.do(DetachServer(1))  # the call may come twice
+    assert set(chosen_servers(harness)) == {2}
+    harness.do(AttachServer(1))
+    harness.run(20_000.0)
+    assert set(chosen_servers(harness)) == {1, 2}
 
 
 @pytest.mark.parametrize("update", [DISCOVERY_UPDATES[0], DISCOVERY_UPDATES[2], lambda _: None])
-def test_attached_server_warms_up_even_if_no_update_tells_of_its_start(rig, update):
-    rig.do(DetachServer(1))
-    rig.run(1000.0)
-    rig.do(AttachServer(1))
-    update(rig)
-    assert 0 < chosen_servers(rig, 400).count(1) < 200 * 0.45  # an even share would be 200
-    share = capacity_share(rig, 1)
+def test_attached_server_warms_up_even_if_no_update_tells_of_its_start(harness, update):
+    harness.do(DetachServer(1))
+    harness.run(1000.0)
+    harness.do(AttachServer(1))
+    update(harness)
+    assert 0 < chosen_servers(harness, 400).count(1) < 200 * 0.45  # an even share would be 200
+    share = capacity_share(harness, 1)
     assert 0.2 <= share < 0.3
-    rig.servers(
-        make_endpoint(1, started_ms=rig.now - 900.0), kind=UpdateKind.DELTA
+    harness.servers(
+        make_endpoint(1, started_ms=harness.now - 900.0), kind=UpdateKind.DELTA
     )  # the list tells of it after all
-    assert capacity_share(rig, 1) > share
+    assert capacity_share(harness, 1) > share
 
 
-def test_attaching_a_server_that_was_not_detached_has_no_effect(rig):
-    rig.do(AttachServer(1))
-    assert capacity_share(rig, 1) == 1.0
+def test_attaching_a_server_that_was_not_detached_has_no_effect(harness):
+    harness.do(AttachServer(1))
+    assert capacity_share(harness, 1) == 1.0
 
 
 def test_queued_requests_go_to_a_server_as_it_is_attached():
-    rig = make_harness()
-    rig.servers(make_endpoint(1))
-    rig.do(DetachServer(1))
-    names = [rig.ask() for _ in range(30)]
-    assert not rig.sent
-    rig.do(AttachServer(1))
-    rig.run(2000.0)
-    assert rig.sent
-    assert set(rig.sent) <= set(names)
+    harness = make_harness()
+    harness.servers(make_endpoint(1))
+    harness.do(DetachServer(1))
+    names = [harness.ask() for _ in range(30)]
+    assert not harness.sent
+    harness.do(AttachServer(1))
+    harness.run(2000.0)
+    assert harness.sent
+    assert set(harness.sent) <= set(names)
 
 
 def test_number_of_a_detached_server_outlives_its_absence_from_discovery():
--- a/tests/process/test_recorded_handover.py
+++ b/tests/process/test_recorded_handover.py
@@ -25,40 +25,40 @@
     return HandoverOffer.from_json(OFFER_HEADER, json.dumps(RECORD["body"]).encode())
 
 
-def export(rig: EngineHarness) -> dict:
+def export(harness: EngineHarness) -> dict:
     """The engine's state as it comes out of the channel."""
-    (snapshot,) = [action for action in rig.do(ExportState()) if isinstance(action, StateSnapshot)]
+    (snapshot,) = [action for action in harness.do(ExportState()) if isinstance(action, StateSnapshot)]
     return json.loads(json.dumps(snapshot.state))
 
 
 def restore(now_ms: float = RECORD["restored_at_ms"]) -> EngineHarness:
     """An engine that has restored the recorded state."""
-    rig = EngineHarness()
-    rig.now = now_ms
-    rig.servers(make_endpoint(1), make_endpoint(2), make_endpoint(3))
-    rig.do(RestoreState(recorded_offer().state))
-    return rig
+    harness = EngineHarness()
+    harness.now = now_ms
+    harness.servers(make_endpoint(1), make_endpoint(2), make_endpoint(3))
+    harness.do(RestoreState(recorded_offer().state))
+    return harness
 
 
-def replay(rig: EngineHarness) -> None:
+def replay(harness: EngineHarness) -> None:
     """The events by which the recorded state came about."""
-    rig.servers(make_endpoint(1), make_endpoint(2), make_endpoint(3))
+    harness.servers(make_endpoint(1), make_endpoint(2), make_endpoint(3))
     for step in range(120):
         plan = ("free", "metered", "ceiling", "capped")[step % 4]
         class_name = ("safe", "keyed", "unsafe")[step % 3]
-        name = rig.ask(plan, class_name, f"c-{step % 5}", 4000.0, 1 + step % 2)
-        if name in rig.sent:
+        name = harness.ask(plan, class_name, f"c-{step % 5}", 4000.0, 1 + step % 2)
+        if name in harness.sent:
             status = AttemptStatus.ERROR if step % 17 == 0 else AttemptStatus.OK
-            rig.finish(name, status, None, float(step % 90), 1 + step % 2, 20.0 + step % 7)
-        rig.run(30.0)
-    rig.do(DetachServer(1))
-    rig.do(DetachServer(2))
-    rig.run(100.0)
-    rig.do(AttachServer(2))
+            harness.finish(name, status, None, float(step % 90), 1 + step % 2, 20.0 + step % 7)
+        harness.run(30.0)
+    harness.do(DetachServer(1))
+    harness.do(DetachServer(2))
+    harness.run(100.0)
+    harness.do(AttachServer(2))
     for _ in range(4):
-        rig.ask("metered", "safe", "waiting")
-    rig.ask("only-cap", "safe", "in-flight")
-    rig.run(10.0)
+        harness.ask("metered", "safe", "waiting")
+    harness.ask("only-cap", "safe", "in-flight")
+    harness.run(10.0)
 
 
 def test_record_holds_buckets_detachments_failure_rates_latencies_and_requests_in_flight():
@@ -79,34 +79,34 @@
 
 
 def test_same_events_lead_to_the_recorded_state():
-    rig = EngineHarness()
-    replay(rig)
-    assert rig.now == RECORD["exported_at_ms"]
-    state = export(rig)
+    harness = EngineHarness()
+    replay(harness)
+    assert harness.now == RECORD["exported_at_ms"]
+    state = export(harness)
     assert list(state) == list(RECORD["body"]["state"])
     assert state == RECORD["body"]["state"]
 
 
 def test_restored_bucket_and_cap_go_on_where_the_recorded_process_was():
-    rig = restore()
+    harness = restore()
     full = {tuple(customer[:2]): customer[3] for customer in RECORD["body"]["state"]["customers"]}
     assert full["metered", "waiting"] > full["metered", "c-1"]
-    restored = {tuple(customer[:2]): customer[3] for customer in export(rig)["customers"]}
+    restored = {tuple(customer[:2]): customer[3] for customer in export(harness)["customers"]}
     assert restored == full
-    first = rig.ask("only-cap", "safe", "in-flight")
-    assert first not in rig.sent  # its one place of this gateway is taken in the other process
-    assert rig.ask("only-cap", "safe", "somebody-else") in rig.sent
+    first = harness.ask("only-cap", "safe", "in-flight")
+    assert first not in harness.sent  # its one place of this gateway is taken in the other process
+    assert harness.ask("only-cap", "safe", "somebody-else") in harness.sent
 
 
 def test_restored_detachment_holds_until_the_server_is_attached():
-    rig = restore()
-    rig.servers(make_endpoint(1))
-    name = rig.ask("free")
-    rig.run(100.0)
-    assert name not in rig.sent
-    rig.do(AttachServer(1))
-    rig.run(2000.0)
-    assert rig.sent[name][0] == 1
+    harness = restore()
+    harness.servers(make_endpoint(1))
+    name = harness.ask("free")
+    harness.run(100.0)
+    assert name not in harness.sent
+    harness.do(AttachServer(1))
+    harness.run(2000.0)
+    assert harness.sent[name][0] == 1
 
 
 def test_restored_latencies_are_those_of_the_recorded_process():
--- a/tests/process/test_upgrade.py
+++ b/tests/process/test_upgrade.py
@@ -376,53 +376,53 @@
     return len(list(Path("/proc/self/fd").iterdir()))
 
 
-def successor_of(rig: EngineHarness, **changes) -> tuple[EngineHarness, dict]:
+def successor_of(harness: EngineHarness, **changes) -> tuple[EngineHarness, dict]:
     """Make an engine that takes over from this one; give it with the state that it restored."""
-    (left,) = [action for action in rig.do(ExportState()) if isinstance(action, StateSnapshot)]
+    (left,) = [action for action in harness.do(ExportState()) if isinstance(action, StateSnapshot)]
     made = make_harness(**changes)
-    made.now = rig.now
+    made.now = harness.now
     made.servers(make_endpoint(1), make_endpoint(2))
     made.do(RestoreState(json.loads(json.dumps(left.state))))
     return made, left.state
 
 
-def capacity_share(rig: EngineHarness, server: int) -> float:
+def capacity_share(harness: EngineHarness, server: int) -> float:
     """How much of its capacity a server is given while it warms up."""
-    return rig.gateway.slow_start.capacity_share(rig.gateway.endpoints.by_id[server])
+    return harness.gateway.slow_start.capacity_share(harness.gateway.endpoints.by_id[server])
 
 
-def is_ready(rig: EngineHarness, server: int) -> bool:
+def is_ready(harness: EngineHarness, server: int) -> bool:
     """Whether a server may be chosen."""
-    return rig.gateway.endpoints.by_id[server].is_ready
+    return harness.gateway.endpoints.by_id[server].is_ready
 
 
-def ready_servers(rig: EngineHarness) -> list[int]:
+def ready_servers(harness: EngineHarness) -> list[int]:
     """The servers that the engine chooses from."""
-    return [server.id for server in rig.gateway.endpoints.ready]
+    return [server.id for server in harness.gateway.endpoints.ready]
 
 
-def test_buckets_and_in_flight_limits_hold_over_both_processes(rig):
-    admitted = [rig.ask("metered", timeout_ms=50.0) for _ in range(4)]
-    in_flight = [rig.ask("only-cap") for _ in range(1)]
-    successor, _ = successor_of(rig)
+def test_buckets_and_in_flight_limits_hold_over_both_processes(harness):
+    admitted = [harness.ask("metered", timeout_ms=50.0) for _ in range(4)]
+    in_flight = [harness.ask("only-cap") for _ in range(1)]
+    successor, _ = successor_of(harness)
     before = successor.gateway.customers["metered", "c"].excess
-    assert before == rig.gateway.customers["metered", "c"].excess > 0.0
+    assert before == harness.gateway.customers["metered", "c"].excess > 0.0
     rejected = [successor.ask("metered", timeout_ms=50.0) for _ in range(2)]
     assert not any(name in successor.sent for name in rejected)
     second = successor.ask("only-cap")
     assert second not in successor.sent  # its one place here is taken, in the other process
     notifications = [
-        action.usage for action in rig.finish(in_flight[0]) if isinstance(action, NotifyPeerProcess)
+        action.usage for action in harness.finish(in_flight[0]) if isinstance(action, NotifyPeerProcess)
     ]
     assert notifications == [PeerProcessUsage("only-cap", "c", 0)]
     successor.do(notifications[0])
     assert second in successor.sent
-    assert admitted[0] in rig.sent
+    assert admitted[0] in harness.sent
 
 
-def test_requests_in_flight_in_a_process_that_ended_count_no_more(rig):
-    rig.ask("only-cap")
-    successor, _ = successor_of(rig)
+def test_requests_in_flight_in_a_process_that_ended_count_no_more(harness):
+    harness.ask("only-cap")
+    successor, _ = successor_of(harness)
     name = successor.ask("only-cap")
     assert name not in successor.sent
     successor.do(PeerProcessExited())
@@ -430,16 +430,16 @@
     assert not [a for a in successor.finish(name) if isinstance(a, NotifyPeerProcess)]
 
 
-def test_detachments_and_warm_up_progress_are_handed_over(rig):
-    rig.do(DetachServer(1))
-    rig.do(DetachServer(2))
-    rig.run(100.0)
-    rig.do(AttachServer(2))
-    rig.run(1000.0)
-    successor, _ = successor_of(rig)
+def test_detachments_and_warm_up_progress_are_handed_over(harness):
+    harness.do(DetachServer(1))
+    harness.do(DetachServer(2))
+    harness.run(100.0)
+    harness.do(AttachServer(2))
+    harness.run(1000.0)
+    successor, _ = successor_of(harness)
     assert not is_ready(successor, 1)
     share = capacity_share(successor, 2)
-    assert share == capacity_share(rig, 2) < 1.0
+    assert share == capacity_share(harness, 2) < 1.0
     successor.servers(make_endpoint(1), make_endpoint(2))
     assert ready_servers(successor) == [2]
     assert capacity_share(successor, 2) == share
@@ -462,9 +462,9 @@
         lambda s: s.update(latency={"safe": [[1]]}),
     ],
 )
-def test_malformed_state_is_rejected_whole(rig, damage):
-    rig.ask("metered")
-    _, state = successor_of(rig)
+def test_malformed_state_is_rejected_whole(harness, damage):
+    harness.ask("metered")
+    _, state = successor_of(harness)
     successor = make_harness()
     successor.servers(make_endpoint(1), make_endpoint(2))
     state = json.loads(json.dumps(state))
--- a/tests/unit/test_leaky_bucket.py
+++ b/tests/unit/test_leaky_bucket.py
@@ -17,186 +17,186 @@
 BRIEF = RequestClass("brief", 500.0, 4000.0, Idempotency.IDEMPOTENT)
 
 
-def finish_if_forwarded(rig, name) -> bool:
+def finish_if_forwarded(harness, name) -> bool:
     """Whether the request was forwarded; if so, it is answered at once."""
-    if name in rig.sent:
-        rig.finish(name)
-    return name in rig.sent
+    if name in harness.sent:
+        harness.finish(name)
+    return name in harness.sent
 
 
-def test_burst_is_forwarded_then_excess_is_delayed_then_rejected(rig):
+def test_burst_is_forwarded_then_excess_is_delayed_then_rejected(harness):
     # rate 5/s and burst 4 for each of two gateways; the first request leaves an excess of one unit
-    names = [rig.ask("metered") for _ in range(10)]
-    assert [name in rig.sent for name in names] == [True] * 4 + [False] * 6
-    assert [name in rig.answers for name in names] == [False] * 8 + [True] * 2
+    names = [harness.ask("metered") for _ in range(10)]
+    assert [name in harness.sent for name in names] == [True] * 4 + [False] * 6
+    assert [name in harness.answers for name in names] == [False] * 8 + [True] * 2
 
 
-def test_delay_is_the_excess_over_burst_at_the_rate(rig):
+def test_delay_is_the_excess_over_burst_at_the_rate(harness):
     for _ in range(4):
-        rig.ask("metered")
-    delayed = rig.ask("metered")  # excess 5000, burst 4000: 1000 thousandths at 5 a second are 200 ms
-    rig.run(199.0)
-    assert delayed not in rig.sent
-    rig.run(1.0)
-    assert delayed in rig.sent
+        harness.ask("metered")
+    delayed = harness.ask("metered")  # excess 5000, burst 4000: 1000 thousandths at 5 a second are 200 ms
+    harness.run(199.0)
+    assert delayed not in harness.sent
+    harness.run(1.0)
+    assert delayed in harness.sent
 
 
-def test_rejection_does_not_change_the_excess(rig):
+def test_rejection_does_not_change_the_excess(harness):
     for _ in range(20):
-        rig.ask("metered")
-    customer = rig.gateway.customers["metered", "c"]
+        harness.ask("metered")
+    customer = harness.gateway.customers["metered", "c"]
     assert customer.excess == 8000.0
 
 
-def test_excess_drains_at_the_rate_and_not_below_zero(rig):
-    rig.ask("metered", units=3)
-    rig.run(400.0)  # 5 units a second: 2000 thousandths drained, 1000 added
-    rig.ask("metered")
-    assert rig.gateway.customers["metered", "c"].excess == 2000.0
-    rig.run(5000.0)
-    rig.ask("metered")
-    assert rig.gateway.customers["metered", "c"].excess == 0.0
+def test_excess_drains_at_the_rate_and_not_below_zero(harness):
+    harness.ask("metered", units=3)
+    harness.run(400.0)  # 5 units a second: 2000 thousandths drained, 1000 added
+    harness.ask("metered")
+    assert harness.gateway.customers["metered", "c"].excess == 2000.0
+    harness.run(5000.0)
+    harness.ask("metered")
+    assert harness.gateway.customers["metered", "c"].excess == 0.0
 
 
-def test_delay_past_the_deadline_is_a_rejection_and_costs_no_excess(rig):
+def test_delay_past_the_deadline_is_a_rejection_and_costs_no_excess(harness):
     for _ in range(4):
-        rig.ask("metered")
-    assert rig.answers.get(rig.ask("metered", timeout_ms=200.0)) == "Reject"
-    assert rig.gateway.customers["metered", "c"].excess == 4000.0
+        harness.ask("metered")
+    assert harness.answers.get(harness.ask("metered", timeout_ms=200.0)) == "Reject"
+    assert harness.gateway.customers["metered", "c"].excess == 4000.0
 
 
-def test_burst_is_never_below_the_largest_request(rig):
-    assert rig.ask("metered", units=6) in rig.sent  # the burst of the local quota is 4
+def test_burst_is_never_below_the_largest_request(harness):
+    assert harness.ask("metered", units=6) in harness.sent  # the burst of the local quota is 4
 
 
 def test_quota_is_split_over_three_gateways_and_complete_at_a_gateway_set_of_one():
-    rig = make_harness(gateways=3)
-    rig.servers(make_endpoint(1), make_endpoint(2), make_endpoint(3))
-    forwarded = [rig.ask("metered", gateway_set_size=3) in rig.sent for _ in range(4)]
+    harness = make_harness(gateways=3)
+    harness.servers(make_endpoint(1), make_endpoint(2), make_endpoint(3))
+    forwarded = [harness.ask("metered", gateway_set_size=3) in harness.sent for _ in range(4)]
     assert forwarded == [True, True, False, False]  # 8 / 3 = 2.67
     forwarded = []
     for _ in range(9):
-        name = rig.ask("metered", customer="one", gateway_set_size=1)
-        forwarded.append(finish_if_forwarded(rig, name))
+        name = harness.ask("metered", customer="one", gateway_set_size=1)
+        forwarded.append(finish_if_forwarded(harness, name))
     assert forwarded == [True] * 8 + [False]
 
 
-def test_quota_share_grows_by_the_headroom_and_falls_back(rig):
-    quota_share = rig.gateway.quota.share
-    rig.finish(rig.ask("metered"), used=40.0)
-    customer = rig.gateway.customers["metered", "c"]
+def test_quota_share_grows_by_the_headroom_and_falls_back(harness):
+    quota_share = harness.gateway.quota.share
+    harness.finish(harness.ask("metered"), used=40.0)
+    customer = harness.gateway.customers["metered", "c"]
     assert quota_share(customer) == (1.0 + 0.1 * 0.6) / 2
-    rig.finish(rig.ask("metered"), used=120.0)
+    harness.finish(harness.ask("metered"), used=120.0)
     assert quota_share(customer) == 0.5
-    rig.finish(rig.ask("metered"), used=0.0)
+    harness.finish(harness.ask("metered"), used=0.0)
     assert quota_share(customer) == 0.55
-    rig.run(4001.0)  # no usage report for more than four usage periods
-    rig.ask("free")
+    harness.run(4001.0)  # no usage report for more than four usage periods
+    harness.ask("free")
     assert quota_share(customer) == 0.5
 
 
-def test_estimated_units_are_settled_on_the_answer(rig):
-    name = rig.ask("metered", units=2)
-    rig.finish(name, units=5.0)
-    assert rig.gateway.customers["metered", "c"].excess == 5000.0
+def test_estimated_units_are_settled_on_the_answer(harness):
+    name = harness.ask("metered", units=2)
+    harness.finish(name, units=5.0)
+    assert harness.gateway.customers["metered", "c"].excess == 5000.0
 
 
-def test_delayed_request_whose_client_disconnected_gives_its_units_back(rig):
-    names = [rig.ask("metered") for _ in range(6)]
-    rig.do(ClientDisconnected(names[5]))
-    assert rig.gateway.customers["metered", "c"].excess == 5000.0
-    rig.run(4000.0)
-    assert names[5] not in rig.sent
+def test_delayed_request_whose_client_disconnected_gives_its_units_back(harness):
+    names = [harness.ask("metered") for _ in range(6)]
+    harness.do(ClientDisconnected(names[5]))
+    assert harness.gateway.customers["metered", "c"].excess == 5000.0
+    harness.run(4000.0)
+    assert names[5] not in harness.sent
 
 
-def test_in_flight_cap_is_divided_between_gateways_and_queues_requests_beyond_the_share(rig):
-    names = [rig.ask("capped") for _ in range(3)]
-    assert [name in rig.sent for name in names] == [True, True, False]
-    rig.finish(names[0])
-    assert names[2] in rig.sent
+def test_in_flight_cap_is_divided_between_gateways_and_queues_requests_beyond_the_share(harness):
+    names = [harness.ask("capped") for _ in range(3)]
+    assert [name in harness.sent for name in names] == [True, True, False]
+    harness.finish(names[0])
+    assert names[2] in harness.sent
 
 
 def test_in_flight_share_is_at_least_one():
-    rig = make_harness(gateways=4)
-    rig.servers(make_endpoint(1))
-    assert rig.ask("only-cap", gateway_set_size=4) in rig.sent
-    assert rig.ask("only-cap", gateway_set_size=4) not in rig.sent
+    harness = make_harness(gateways=4)
+    harness.servers(make_endpoint(1))
+    assert harness.ask("only-cap", gateway_set_size=4) in harness.sent
+    assert harness.ask("only-cap", gateway_set_size=4) not in harness.sent
 
 
-def test_plan_without_limits_is_not_delayed(rig):
-    assert all(finish_if_forwarded(rig, rig.ask("free")) for _ in range(50))
+def test_plan_without_limits_is_not_delayed(harness):
+    assert all(finish_if_forwarded(harness, harness.ask("free")) for _ in range(50))
 
 
-def test_unknown_plan_or_class_is_rejected_and_logged_once(rig):
-    unknown = [rig.ask("nope"), rig.ask("nope"), rig.ask("free", class_name="nope")]
-    assert [rig.answers[name] for name in unknown] == ["Reject"] * 3
+def test_unknown_plan_or_class_is_rejected_and_logged_once(harness):
+    unknown = [harness.ask("nope"), harness.ask("nope"), harness.ask("free", class_name="nope")]
+    assert [harness.answers[name] for name in unknown] == ["Reject"] * 3
 
 
-def test_customer_state_is_dropped_once_it_equals_that_of_a_new_customer(rig):
+def test_customer_state_is_dropped_once_it_equals_that_of_a_new_customer(harness):
     for number in range(3000):
-        name = rig.ask("metered", customer=f"c{number}")
-        rig.finish(name, AttemptStatus.OK)
-        rig.run(10.0)
-    assert len(rig.gateway.customers) < 600
-    assert len(rig.gateway.requests) == 0
+        name = harness.ask("metered", customer=f"c{number}")
+        harness.finish(name, AttemptStatus.OK)
+        harness.run(10.0)
+    assert len(harness.gateway.customers) < 600
+    assert len(harness.gateway.requests) == 0
 
 
-def test_customer_state_that_must_be_kept_does_not_keep_that_of_later_customers(rig):
-    rig.ask("metered", customer="in flight")
+def test_customer_state_that_must_be_kept_does_not_keep_that_of_later_customers(harness):
+    harness.ask("metered", customer="in flight")
     for number in range(3000):
-        name = rig.ask("metered", customer=f"c{number}")
-        rig.finish(name, AttemptStatus.OK)
-        rig.run(10.0)
-    assert len(rig.gateway.customers) < 600
-    assert ("metered", "in flight") in rig.gateway.customers
+        name = harness.ask("metered", customer=f"c{number}")
+        harness.finish(name, AttemptStatus.OK)
+        harness.run(10.0)
+    assert len(harness.gateway.customers) < 600
+    assert ("metered", "in flight") in harness.gateway.customers
 
 
-def test_finished_request_leaves_no_timer_behind(rig):
+def test_finished_request_leaves_no_timer_behind(harness):
     for _ in range(20):
-        name = rig.ask("free")
-        rig.finish(name)
-    assert not rig.gateway.timers.armed
-    assert not rig.gateway.requests
+        name = harness.ask("free")
+        harness.finish(name)
+    assert not harness.gateway.timers.armed
+    assert not harness.gateway.requests
 
 
 def test_delay_past_the_shortest_latency_objective_is_a_rejection():
     # latency objective 500 ms, first mean latency 100 ms: a delay may last 400 ms, two units at 5 a second
-    rig = make_harness(classes=(*CLASSES, BRIEF))
-    rig.servers(make_endpoint(1), make_endpoint(2))
+    harness = make_harness(classes=(*CLASSES, BRIEF))
+    harness.servers(make_endpoint(1), make_endpoint(2))
     for _ in range(4):
-        rig.ask("metered")
-    assert rig.ask("metered", "brief", units=2) in rig.answers
-    assert rig.ask("metered", "brief", units=1) not in rig.answers
+        harness.ask("metered")
+    assert harness.ask("metered", "brief", units=2) in harness.answers
+    assert harness.ask("metered", "brief", units=1) not in harness.answers
 
 
 def rig_with_priority_class() -> EngineHarness:
     """A harness with a further class, "dear", of four times the priority weight."""
-    rig = make_harness(classes=(*CLASSES, DEAR))
-    rig.servers(make_endpoint(1), make_endpoint(2))
-    return rig
+    harness = make_harness(classes=(*CLASSES, DEAR))
+    harness.servers(make_endpoint(1), make_endpoint(2))
+    return harness
 
 
 def test_class_of_highest_priority_has_a_larger_burst_and_that_of_lowest_keeps_the_even_share():
     # burst 4 for the lowest priority weight; 4 x (1 + 0.25 x 3 / 4) = 4.75 for the highest: 0.25 of the
     # fifth unit is over the burst, a delay of 50 ms at 5 a second
-    rig = rig_with_priority_class()
-    assert all(rig.ask("metered") in rig.sent for _ in range(4))
-    delayed = rig.ask("metered", "dear")
-    assert delayed not in rig.sent
-    rig.run(51.0)
-    assert delayed in rig.sent
+    harness = rig_with_priority_class()
+    assert all(harness.ask("metered") in harness.sent for _ in range(4))
+    delayed = harness.ask("metered", "dear")
+    assert delayed not in harness.sent
+    harness.run(51.0)
+    assert delayed in harness.sent
 
 
 def test_excess_beyond_the_burst_is_reserved_for_classes_of_higher_priority():
     # the shortest latency objective is 1000 ms: the class of lowest priority weight is delayed by 100 ms at
     # most, half a unit at 5 a second
-    rig = rig_with_priority_class()
+    harness = rig_with_priority_class()
     for _ in range(4):
-        rig.ask("metered")
-    assert rig.answers[rig.ask("metered")] == "Reject"
-    rig.run(150.0)
-    assert rig.ask("metered") not in rig.answers  # a quarter of a unit is missing
-    assert rig.ask("metered", "dear") not in rig.answers
+        harness.ask("metered")
+    assert harness.answers[harness.ask("metered")] == "Reject"
+    harness.run(150.0)
+    assert harness.ask("metered") not in harness.answers  # a quarter of a unit is missing
+    assert harness.ask("metered", "dear") not in harness.answers
 
 
 # Thin local quotas: of burst 8 and rate 10, each of 60 gateways has a burst of 0.13 units, and drains a
@@ -205,64 +205,64 @@
 
 def rig_with_thin_share(gateway_set_size: int = 60) -> EngineHarness:
     """A harness of one of 60 gateways; its customer comes by a gateway set of this size."""
-    rig = EngineHarness(replace(SETTINGS, gateways=60))
-    rig.servers(make_endpoint(1), make_endpoint(2))
-    rig.gateway_set_size = gateway_set_size
-    return rig
+    harness = EngineHarness(replace(SETTINGS, gateways=60))
+    harness.servers(make_endpoint(1), make_endpoint(2))
+    harness.gateway_set_size = gateway_set_size
+    return harness
 
 
-def ask_with_thin_share(rig, **request_fields) -> str:
+def ask_with_thin_share(harness, **request_fields) -> str:
     """A new request of one unit by the gateway set of the harness; its id."""
-    rig.count += 1
-    name = f"r{rig.count}"
-    request = Request(name, "safe", "metered", "c", 4000.0, 1, rig.gateway_set_size, **request_fields)
-    rig.do(request)
+    harness.count += 1
+    name = f"r{harness.count}"
+    request = Request(name, "safe", "metered", "c", 4000.0, 1, harness.gateway_set_size, **request_fields)
+    harness.do(request)
     return name
 
 
 @pytest.mark.parametrize(("gateway_set_size", "answer"), [(60, "Reject"), (2, None)])
 def test_marked_retry_is_rejected_under_a_thin_quota_share_only(gateway_set_size, answer):
-    rig = rig_with_thin_share(gateway_set_size)
-    assert rig.answers.get(ask_with_thin_share(rig, is_retry=True)) == answer
+    harness = rig_with_thin_share(gateway_set_size)
+    assert harness.answers.get(ask_with_thin_share(harness, is_retry=True)) == answer
 
 
 def test_headroom_of_the_last_usage_report_grows_the_burst_of_a_thin_quota_share():
-    rig = rig_with_thin_share()
-    rig.finish(
-        ask_with_thin_share(rig), used=40.0
+    harness = rig_with_thin_share()
+    harness.finish(
+        ask_with_thin_share(harness), used=40.0
     )  # burst 1 x (1 + 2 x 0.6) = 2.2 of the drained local quota
-    rig.run(5000.0)  # more than four usage periods later, less than one request takes to drain
-    assert ask_with_thin_share(rig) in rig.sent
-    rig.run(100.0)
-    assert rig.answers[ask_with_thin_share(rig)] == "Reject", (
+    harness.run(5000.0)  # more than four usage periods later, less than one request takes to drain
+    assert ask_with_thin_share(harness) in harness.sent
+    harness.run(100.0)
+    assert harness.answers[ask_with_thin_share(harness)] == "Reject", (
         "three requests: more than the local quota and two requests"
     )
 
 
 def test_thin_quota_share_over_quota_or_without_a_recent_usage_report_has_the_even_burst():
     for usage_percent, wait_ms in ((100.0, 500.0), (40.0, 6100.0)):
-        rig = rig_with_thin_share()
-        rig.finish(ask_with_thin_share(rig), used=usage_percent)
-        rig.run(wait_ms)
-        second = ask_with_thin_share(rig)
-        third = ask_with_thin_share(rig)
-        assert rig.answers[third] == "Reject"
-        assert (second in rig.sent) == (wait_ms > 6000.0)  # the first has drained by then
+        harness = rig_with_thin_share()
+        harness.finish(ask_with_thin_share(harness), used=usage_percent)
+        harness.run(wait_ms)
+        second = ask_with_thin_share(harness)
+        third = ask_with_thin_share(harness)
+        assert harness.answers[third] == "Reject"
+        assert (second in harness.sent) == (wait_ms > 6000.0)  # the first has drained by then
 
 
 def test_all_gateways_together_forward_little_of_a_customer_far_over_its_quota():
     # 60 gateways, requests for 600 s of quota in 20 s, each rejected one is retried at another gateway
     forwarded = 0
     for index in range(60):
-        rig = EngineHarness(replace(SETTINGS, gateways=60, index=index), seed=index)
-        rig.servers(make_endpoint(1), make_endpoint(2))
-        rig.gateway_set_size = 60
+        harness = EngineHarness(replace(SETTINGS, gateways=60, index=index), seed=index)
+        harness.servers(make_endpoint(1), make_endpoint(2))
+        harness.gateway_set_size = 60
         for step in range(100):
-            name = ask_with_thin_share(rig, is_retry=step % 2 == 1)
-            if name in rig.sent:
-                rig.finish(name, used=300.0)
-            rig.run(200.0)
-        forwarded += len(rig.sent)
+            name = ask_with_thin_share(harness, is_retry=step % 2 == 1)
+            if name in harness.sent:
+                harness.finish(name, used=300.0)
+            harness.run(200.0)
+        forwarded += len(harness.sent)
     # by each gateway: one at first, and what drains in 20 s at 10 / 60 a second
     assert forwarded <= 60 * (1 + 20 * 10 / 60 + 1)
 
@@ -273,20 +273,20 @@
         EngineHarness(replace(SETTINGS, gateways=3, index=index, classes=(*CLASSES, BRIEF)))
         for index in range(3)
     ]
-    for rig in rigs:
-        rig.servers(make_endpoint(1), make_endpoint(2))
-        rig.finish(rig.ask("only-cap", gateway_set_size=3), used=usage_percent)
+    for harness in rigs:
+        harness.servers(make_endpoint(1), make_endpoint(2))
+        harness.finish(harness.ask("only-cap", gateway_set_size=3), used=usage_percent)
     return rigs
 
 
 def gateways_that_forward(rigs: list[EngineHarness]) -> list[int]:
     """The indexes of the gateways that forward a request of the customer at once; it is answered."""
     forwarding = []
-    for index, rig in enumerate(rigs):
-        name = rig.ask("only-cap", "brief", gateway_set_size=3)
-        if name in rig.sent:
+    for index, harness in enumerate(rigs):
+        name = harness.ask("only-cap", "brief", gateway_set_size=3)
+        if name in harness.sent:
             forwarding.append(index)
-            rig.finish(name)
+            harness.finish(name)
     return forwarding
 
 
@@ -295,8 +295,8 @@
     turns = []
     for _ in range(6):
         turns.append(tuple(gateways_that_forward(rigs)))
-        for rig in rigs:
-            rig.run(1000.0)
+        for harness in rigs:
+            harness.run(1000.0)
     assert all(len(turn) == 2 for turn in turns)
     assert len(set(turns[:3])) == 3
     assert turns[:3] == turns[3:]
@@ -310,38 +310,40 @@
 
 def test_each_gateway_has_its_place_again_once_contention_has_expired():
     rigs = gateway_set_of_three(usage_percent=150.0)
-    for rig in rigs:
-        rig.run(10_000.0)
+    for harness in rigs:
+        harness.run(10_000.0)
     assert gateways_that_forward(rigs) == [0, 1, 2]
 
 
 def test_request_out_of_turn_is_rejected_at_once_unless_the_turn_comes_in_time():
-    rig = EngineHarness(replace(SETTINGS, gateways=3, index=2, classes=(*CLASSES, BRIEF)))
-    rig.servers(make_endpoint(1), make_endpoint(2))
-    rig.now = 3000.0  # a round of turns begins: the last gateway of the set has the next one
-    rig.finish(rig.ask("only-cap", gateway_set_size=3), used=150.0)
-    assert rig.ask("only-cap", "brief", gateway_set_size=3) in rig.answers  # its turn comes 1000 ms on
-    rig.run(800.0)
-    queued = rig.ask("only-cap", "brief", gateway_set_size=3)
-    assert queued not in rig.sent
-    assert queued not in rig.answers
-    rig.run(210.0)
-    assert queued in rig.sent
+    harness = EngineHarness(replace(SETTINGS, gateways=3, index=2, classes=(*CLASSES, BRIEF)))
+    harness.servers(make_endpoint(1), make_endpoint(2))
+    harness.now = 3000.0  # a round of turns begins: the last gateway of the set has the next one
+    harness.finish(harness.ask("only-cap", gateway_set_size=3), used=150.0)
+    assert (
+        harness.ask("only-cap", "brief", gateway_set_size=3) in harness.answers
+    )  # its turn comes 1000 ms on
+    harness.run(800.0)
+    queued = harness.ask("only-cap", "brief", gateway_set_size=3)
+    assert queued not in harness.sent
+    assert queued not in harness.answers
+    harness.run(210.0)
+    assert queued in harness.sent
 
 
 def test_request_that_finds_the_place_occupied_starts_the_turns_before_a_usage_report():
     rigs = gateway_set_of_three(usage_percent=100.0)
-    first = [rig.ask("only-cap", "brief", gateway_set_size=3) for rig in rigs]
-    second = [rig.ask("only-cap", "brief", gateway_set_size=3) for rig in rigs]
-    assert all(name in rig.sent for rig, name in zip(rigs, first, strict=True))
-    for rig, name in zip(rigs, first, strict=True):
-        rig.finish(name)
-    assert sum(name in rig.sent for rig, name in zip(rigs, second, strict=True)) == 2
-    for rig in rigs:
-        rig.run(1000.0)
-    for rig, name in zip(rigs, second, strict=True):
-        if name in rig.sent:
-            rig.finish(name)
+    first = [harness.ask("only-cap", "brief", gateway_set_size=3) for harness in rigs]
+    second = [harness.ask("only-cap", "brief", gateway_set_size=3) for harness in rigs]
+    assert all(name in harness.sent for harness, name in zip(rigs, first, strict=True))
+    for harness, name in zip(rigs, first, strict=True):
+        harness.finish(name)
+    assert sum(name in harness.sent for harness, name in zip(rigs, second, strict=True)) == 2
+    for harness in rigs:
+        harness.run(1000.0)
+    for harness, name in zip(rigs, second, strict=True):
+        if name in harness.sent:
+            harness.finish(name)
     assert gateways_that_forward(rigs) == [
         0,
         1,
@@ -379,8 +381,8 @@
             EngineHarness(replace(SETTINGS, gateways=self.GATEWAYS, index=index, plans=plans), seed=index)
             for index in range(self.GATEWAYS)
         ]
-        for rig in self.rigs:
-            rig.servers(make_endpoint(1), make_endpoint(2))
+        for harness in self.rigs:
+            harness.servers(make_endpoint(1), make_endpoint(2))
 
     def run(self, mean_interval_ms: float) -> None:
         """Ask at random times, this long apart on average."""
@@ -389,34 +391,34 @@
         while now_ms < self.DURATION_MS:
             now_ms += self.random.expovariate(1.0 / mean_interval_ms)
             self._finish_until(now_ms)
-            rig = self.random.choices(self.rigs, weights)[0]
-            self._ask(rig, now_ms)
+            harness = self.random.choices(self.rigs, weights)[0]
+            self._ask(harness, now_ms)
 
     def _finish_until(self, now_ms: float) -> None:
         """End the attempts that are due, each with a usage report of the period before the last."""
         due = [attempt for attempt in self.in_flight if attempt[0] <= now_ms]
-        for end_ms, rig, name in sorted(due, key=lambda attempt: attempt[0]):
-            self._advance(rig, end_ms)
+        for end_ms, harness, name in sorted(due, key=lambda attempt: attempt[0]):
+            self._advance(harness, end_ms)
             period = int(end_ms // 1000) - 2
             usage_percent = 100.0 * self.most_in_flight[period] / self.CAP if period >= 0 else None
-            rig.finish(name, used=usage_percent, latency=self.LATENCY_MS)
+            harness.finish(name, used=usage_percent, latency=self.LATENCY_MS)
         self.in_flight = [attempt for attempt in self.in_flight if attempt[0] > now_ms]
 
-    def _ask(self, rig: EngineHarness, now_ms: float) -> None:
+    def _ask(self, harness: EngineHarness, now_ms: float) -> None:
         """Send a request by this gateway, and count what becomes of it."""
-        self._advance(rig, now_ms)
-        name = rig.ask("wide-cap", gateway_set_size=self.GATEWAYS)
-        if name not in rig.sent:
+        self._advance(harness, now_ms)
+        name = harness.ask("wide-cap", gateway_set_size=self.GATEWAYS)
+        if name not in harness.sent:
             self.rejected += 1
             return
         self.forwarded_within += len(self.in_flight) < self.CAP
         self.forwarded_beyond += len(self.in_flight) >= self.CAP
-        self.in_flight.append((now_ms + self.LATENCY_MS, rig, name))
+        self.in_flight.append((now_ms + self.LATENCY_MS, harness, name))
         second = int(now_ms // 1000)
         self.most_in_flight[second] = max(self.most_in_flight[second], len(self.in_flight))
 
-    def _advance(self, rig: EngineHarness, now_ms: float) -> None:
-        rig.run(max(0.0, self.START_MS + now_ms - rig.now))
+    def _advance(self, harness: EngineHarness, now_ms: float) -> None:
+        harness.run(max(0.0, self.START_MS + now_ms - harness.now))
 
 
 def test_contention_at_a_cap_is_noticed_by_each_gateway_of_a_wide_set():
--- a/tests/unit/test_protocol_rules.py
+++ b/tests/unit/test_protocol_rules.py
@@ -42,10 +42,10 @@
 @pytest.mark.parametrize(
     ("class_name", "answer"), [("safe", "Reject"), ("keyed", "Fail"), ("unsafe", "Fail")]
 )
-def test_silent_attempt_is_answered_before_the_client_times_out(rig, class_name, answer):
-    request_id = rig.ask(class_name=class_name, timeout_ms=300.0)
-    rig.run(299.0)
-    assert rig.answers[request_id] == answer
+def test_silent_attempt_is_answered_before_the_client_times_out(harness, class_name, answer):
+    request_id = harness.ask(class_name=class_name, timeout_ms=300.0)
+    harness.run(299.0)
+    assert harness.answers[request_id] == answer
 
 
 def test_without_endpoints_a_request_is_queued_then_rejected():
@@ -66,11 +66,11 @@
     assert harness.sent[request_id] == [1]
 
 
-def test_nothing_is_sent_after_the_answer(rig):
-    request_id = rig.ask(timeout_ms=300.0)
-    rig.run(299.0)
-    rig.finish(request_id, AttemptStatus.ERROR)
-    assert len(rig.sent[request_id]) == 1
+def test_nothing_is_sent_after_the_answer(harness):
+    request_id = harness.ask(timeout_ms=300.0)
+    harness.run(299.0)
+    harness.finish(request_id, AttemptStatus.ERROR)
+    assert len(harness.sent[request_id]) == 1
 
 
 # 2. No double execution
@@ -78,18 +78,18 @@
 
 @pytest.mark.parametrize("status", NOT_EXECUTED)
 @pytest.mark.parametrize("class_name", ["safe", "keyed", "unsafe"])
-def test_an_attempt_proven_not_to_be_executed_is_retried_elsewhere(rig, class_name, status):
-    request_id = rig.ask(class_name=class_name)
-    rig.finish(request_id, status)
-    assert sorted(rig.sent[request_id]) == [1, 2]
+def test_an_attempt_proven_not_to_be_executed_is_retried_elsewhere(harness, class_name, status):
+    request_id = harness.ask(class_name=class_name)
+    harness.finish(request_id, status)
+    assert sorted(harness.sent[request_id]) == [1, 2]
 
 
 @pytest.mark.parametrize("status", POSSIBLY_EXECUTED)
-def test_non_idempotent_is_failed_once_it_may_have_been_executed(rig, status):
-    request_id = rig.ask(class_name="unsafe")
-    rig.finish(request_id, status)
-    assert len(rig.sent[request_id]) == 1
-    assert rig.answers[request_id] == "Fail"
+def test_non_idempotent_is_failed_once_it_may_have_been_executed(harness, status):
+    request_id = harness.ask(class_name="unsafe")
+    harness.finish(request_id, status)
+    assert len(harness.sent[request_id]) == 1
+    assert harness.answers[request_id] == "Fail"
 
 
 def test_non_idempotent_is_rejected_when_no_attempt_was_executed():
@@ -101,11 +101,11 @@
     assert harness.answers[request_id] == "Reject"
 
 
-def test_non_idempotent_that_may_have_been_executed_at_the_second_attempt_is_failed(rig):
-    request_id = rig.ask(class_name="unsafe")
-    rig.finish(request_id, AttemptStatus.OVERLOADED)
-    rig.finish(request_id, AttemptStatus.RESET)
-    assert rig.answers[request_id] == "Fail"
+def test_non_idempotent_that_may_have_been_executed_at_the_second_attempt_is_failed(harness):
+    request_id = harness.ask(class_name="unsafe")
+    harness.finish(request_id, AttemptStatus.OVERLOADED)
+    harness.finish(request_id, AttemptStatus.RESET)
+    assert harness.answers[request_id] == "Fail"
 
 
 @pytest.mark.parametrize(
@@ -122,19 +122,19 @@
         assert len(harness.sent[request_id]) == 2
 
 
-def test_keyed_is_failed_outside_its_idempotency_window(rig):
-    request_id = rig.ask(class_name="keyed", timeout_ms=3900.0)
-    rig.gateway.requests[request_id].tried_endpoints.clear()  # the window alone decides
-    rig.now += 3000.0
-    rig.finish(request_id, AttemptStatus.ERROR)
-    assert len(rig.sent[request_id]) == 1
-    assert rig.answers[request_id] == "Fail"
+def test_keyed_is_failed_outside_its_idempotency_window(harness):
+    request_id = harness.ask(class_name="keyed", timeout_ms=3900.0)
+    harness.gateway.requests[request_id].tried_endpoints.clear()  # the window alone decides
+    harness.now += 3000.0
+    harness.finish(request_id, AttemptStatus.ERROR)
+    assert len(harness.sent[request_id]) == 1
+    assert harness.answers[request_id] == "Fail"
 
 
-def test_one_attempt_in_flight_where_hedging_is_not_allowed(rig):
-    request_id = rig.ask()
-    rig.run(3900.0)
-    assert len(rig.sent[request_id]) == 1
+def test_one_attempt_in_flight_where_hedging_is_not_allowed(harness):
+    request_id = harness.ask()
+    harness.run(3900.0)
+    assert len(harness.sent[request_id]) == 1
 
 
 def test_silent_attempt_is_hedged_where_allowed():
@@ -150,23 +150,23 @@
 
 
 @pytest.mark.parametrize("state", [EndpointLifecycle.DRAINING, EndpointLifecycle.GONE])
-def test_nothing_is_sent_to_a_draining_or_removed_endpoint(rig, state):
-    rig.servers(make_endpoint(1, state=state), kind=UpdateKind.DELTA)
-    assert {rig.sent[rig.ask()][0] for _ in range(3)} == {2}
+def test_nothing_is_sent_to_a_draining_or_removed_endpoint(harness, state):
+    harness.servers(make_endpoint(1, state=state), kind=UpdateKind.DELTA)
+    assert {harness.sent[harness.ask()][0] for _ in range(3)} == {2}
 
 
-def test_a_snapshot_that_lacks_an_endpoint_removes_it(rig):
-    rig.servers(make_endpoint(2))
-    assert {rig.sent[rig.ask()][0] for _ in range(3)} == {2}
+def test_a_snapshot_that_lacks_an_endpoint_removes_it(harness):
+    harness.servers(make_endpoint(2))
+    assert {harness.sent[harness.ask()][0] for _ in range(3)} == {2}
 
 
-def test_draining_is_checked_again_after_a_delay(rig):
-    request_ids = [rig.ask("metered") for _ in range(6)]
+def test_draining_is_checked_again_after_a_delay(harness):
+    request_ids = [harness.ask("metered") for _ in range(6)]
     for request_id in request_ids[:4]:
-        rig.finish(request_id)
-    rig.servers(make_endpoint(1, state=EndpointLifecycle.DRAINING), kind=UpdateKind.DELTA)
-    rig.run(1000.0)
-    assert rig.sent[request_ids[5]] == [2]
+        harness.finish(request_id)
+    harness.servers(make_endpoint(1, state=EndpointLifecycle.DRAINING), kind=UpdateKind.DELTA)
+    harness.run(1000.0)
+    assert harness.sent[request_ids[5]] == [2]
 
 
 # 4. Slow start
@@ -215,11 +215,11 @@
 # 5. Hard ceilings
 
 
-def test_ceiling_starts_empty_and_fills_at_its_share(rig):
-    request_ids = [rig.ask("ceiling") for _ in range(3)]
-    assert not any(request_id in rig.sent for request_id in request_ids)
-    rig.run(250.0)  # 5 units a second for this gateway
-    assert sum(request_id in rig.sent for request_id in request_ids) == 1
+def test_ceiling_starts_empty_and_fills_at_its_share(harness):
+    request_ids = [harness.ask("ceiling") for _ in range(3)]
+    assert not any(request_id in harness.sent for request_id in request_ids)
+    harness.run(250.0)  # 5 units a second for this gateway
+    assert sum(request_id in harness.sent for request_id in request_ids) == 1
 
 
 def test_ceiling_bounds_the_requests_forwarded_in_any_period():
@@ -282,39 +282,39 @@
     assert high_priority in harness.sent
 
 
-def test_slow_answers_do_not_stop_forwarding(rig):
+def test_slow_answers_do_not_stop_forwarding(harness):
     # mean latency above the objective: nothing may be delayed any more; what needs no delay is forwarded
     for _ in range(60):
-        request_id = rig.ask("metered")
-        if request_id in rig.sent:
-            rig.finish(request_id, latency=3900.0)
-        rig.run(1000.0)
-    assert rig.gateway.latencies.means["safe"][1][0] > 2000.0
-    assert rig.ask("metered") in rig.sent
+        request_id = harness.ask("metered")
+        if request_id in harness.sent:
+            harness.finish(request_id, latency=3900.0)
+        harness.run(1000.0)
+    assert harness.gateway.latencies.means["safe"][1][0] > 2000.0
+    assert harness.ask("metered") in harness.sent
 
 
-def test_a_timeout_of_the_client_does_not_make_its_endpoint_an_outlier(rig):
+def test_a_timeout_of_the_client_does_not_make_its_endpoint_an_outlier(harness):
     for _ in range(4):
-        request_id = rig.ask(timeout_ms=100.0)
-        rig.run(100.0)
-        rig.finish(request_id, AttemptStatus.CANCELLED, latency=98.0)
-    assert not any(endpoint.failures for endpoint in rig.gateway.endpoints.by_id.values())
-
-
-def test_a_pending_request_id_is_not_answered_by_its_repeat(rig):
-    request_id = rig.ask(class_name="unsafe")
-    rig.count -= 1
-    assert rig.ask(class_name="unsafe") == request_id
-    assert request_id not in rig.answers
-    assert len(rig.sent[request_id]) == 1
-
-
-def test_with_all_endpoints_draining_a_request_is_queued_then_rejected(rig):
-    rig.servers(*(make_endpoint(number, state=EndpointLifecycle.DRAINING) for number in (1, 2)))
-    request_id = rig.ask(timeout_ms=300.0)
-    rig.run(299.0)
-    assert rig.answers[request_id] == "Reject"
-    assert request_id not in rig.sent
+        request_id = harness.ask(timeout_ms=100.0)
+        harness.run(100.0)
+        harness.finish(request_id, AttemptStatus.CANCELLED, latency=98.0)
+    assert not any(endpoint.failures for endpoint in harness.gateway.endpoints.by_id.values())
+
+
+def test_a_pending_request_id_is_not_answered_by_its_repeat(harness):
+    request_id = harness.ask(class_name="unsafe")
+    harness.count -= 1
+    assert harness.ask(class_name="unsafe") == request_id
+    assert request_id not in harness.answers
+    assert len(harness.sent[request_id]) == 1
+
+
+def test_with_all_endpoints_draining_a_request_is_queued_then_rejected(harness):
+    harness.servers(*(make_endpoint(number, state=EndpointLifecycle.DRAINING) for number in (1, 2)))
+    request_id = harness.ask(timeout_ms=300.0)
+    harness.run(299.0)
+    assert harness.answers[request_id] == "Reject"
+    assert request_id not in harness.sent
 
 
 # Beyond the rules: adaptive concurrency limit over any number of gateways
--- a/tests/unit/test_shutdown.py
+++ b/tests/unit/test_shutdown.py
@@ -10,22 +10,22 @@
 LONG_RETRY_AFTER_MS = 60_000.0
 
 
-def test_pending_and_later_requests_are_all_answered_before_the_shutdown_ends(rig):
-    pending = [rig.ask(class_name=class_name) for class_name in ("safe", "unsafe")]
-    rig.run(100.0)
-    rig.do(ShutdownStarted(1000.0))
-    later = rig.ask(class_name="safe")
-    rig.run(990.0)
-    assert not rig.answers
-    rig.run(10.0)
-    assert rig.answers == {pending[0]: "Reject", pending[1]: "Fail", later: "Reject"}
-
-
-def test_shutdown_does_not_prolong_a_shorter_timeout(rig):
-    rig.do(ShutdownStarted(1000.0))
-    request_id = rig.ask(timeout_ms=100.0)
-    rig.run(100.0)
-    assert rig.answers == {request_id: "Reject"}
+def test_pending_and_later_requests_are_all_answered_before_the_shutdown_ends(harness):
+    pending = [harness.ask(class_name=class_name) for class_name in ("safe", "unsafe")]
+    harness.run(100.0)
+    harness.do(ShutdownStarted(1000.0))
+    later = harness.ask(class_name="safe")
+    harness.run(990.0)
+    assert not harness.answers
+    harness.run(10.0)
+    assert harness.answers == {pending[0]: "Reject", pending[1]: "Fail", later: "Reject"}
+
+
+def test_shutdown_does_not_prolong_a_shorter_timeout(harness):
+    harness.do(ShutdownStarted(1000.0))
+    request_id = harness.ask(timeout_ms=100.0)
+    harness.run(100.0)
+    assert harness.answers == {request_id: "Reject"}
 
 
 def make_harness_with_retry_after(latency_objective_ms: float, max_retry_after_ms: float) -> EngineHarness:
