--- a/quota_gateway/resources.py
+++ b/quota_gateway/resources.py
@@ -30,9 +30,8 @@
     + FILE_DESCRIPTORS
     + SPARE_DESCRIPTORS
 )
-ADMIN_DESCRIPTORS = (
-    2 * MAX_ADMIN_CONNECTIONS + 1
-)  # one that makes room is closed a little later; the listener
+# one that makes room is closed a little later; the listener
+ADMIN_DESCRIPTORS = 2 * MAX_ADMIN_CONNECTIONS + 1
 UPSTREAM_SHARE = 0.25  # of the rest; clients need more, most of them without a request in flight
 MIN_CONNECTIONS = 2  # of both sides together, however low the limit is
 
