--- a/quota_gateway/net/active_request.py
+++ b/quota_gateway/net/active_request.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple, Protocol
 
 from quota_gateway.model import RequestClass
-from quota_gateway.net.attempt import Attempt
+from quota_gateway.net.upstream.attempt import Attempt
 
 
 class BodyWriter(Protocol):
--- /dev/null
+++ b/quota_gateway/net/admin/__init__.py
@@ -0,0 +1,1 @@
+"""Operators' calls, and the servers that operators detach."""
--- a/quota_gateway/net/detachments.py
+++ b/quota_gateway/net/admin/detachments.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from quota_gateway.model import AttachServer, DetachServer
+from quota_gateway.net.discovery.endpoint_registry import EndpointRegistry
 from quota_gateway.net.driver import Driver
-from quota_gateway.net.endpoint_registry import EndpointRegistry
-from quota_gateway.net.peer_processes import PeerProcesses
+from quota_gateway.net.handover.peer_processes import PeerProcesses
 
 
 class Detachments:
--- /dev/null
+++ b/quota_gateway/net/clients/__init__.py
@@ -0,0 +1,1 @@
+"""Client connections: accepting, reading commands, writing replies in order, closing."""
--- a/quota_gateway/net/command_intake.py
+++ b/quota_gateway/net/clients/command_intake.py
@@ -11,12 +11,12 @@
 from typing import Protocol
 
 from quota_gateway.errors import CommandError, ProtocolError
-from quota_gateway.net.arrival import BACKLOG_READ_S, NEGLIGIBLE_S, StallDetector, arrival_s
+from quota_gateway.net.clients.arrival import BACKLOG_READ_S, NEGLIGIBLE_S, StallDetector, arrival_s
+from quota_gateway.net.clients.commands import CALL_GET, CALL_POST, PING, RequestParser
+from quota_gateway.net.clients.idle_connections import IdleConnections, TrackedConnection
+from quota_gateway.net.clients.pending_reply import PendingReply, ReplyChannel
 from quota_gateway.net.clock import MS_PER_S
-from quota_gateway.net.commands import CALL_GET, CALL_POST, PING, RequestParser
 from quota_gateway.net.driver import ActiveRequest, Driver
-from quota_gateway.net.idle_connections import IdleConnections, TrackedConnection
-from quota_gateway.net.pending_reply import PendingReply, ReplyChannel
 from quota_gateway.net.resp import CommandReader
 from quota_gateway.telemetry import Metric
 
--- a/quota_gateway/net/client_connection.py
+++ b/quota_gateway/net/clients/connection.py
@@ -14,9 +14,9 @@
 from typing import Protocol, cast
 
 from quota_gateway import model as api
-from quota_gateway.net.buffer_budget import BufferBudget, BufferUsage
-from quota_gateway.net.command_intake import CommandIntake, IntakeServices
-from quota_gateway.net.pending_reply import PendingReply
+from quota_gateway.net.clients.buffer_budget import BufferBudget, BufferUsage
+from quota_gateway.net.clients.command_intake import CommandIntake, IntakeServices
+from quota_gateway.net.clients.pending_reply import PendingReply
 from quota_gateway.telemetry import Invariant, Metric
 
 LINGER_S = 0.3  # a rejected connection stays so long, unread, that the error is not lost to a reset
--- a/quota_gateway/net/client_listener.py
+++ b/quota_gateway/net/clients/listener.py
@@ -9,12 +9,12 @@
 
 from quota_gateway import model as api
 from quota_gateway.net.acceptor import Acceptor, AcceptorOwner
-from quota_gateway.net.arrival import StallDetector, arrival_s
-from quota_gateway.net.buffer_budget import BufferBudget
-from quota_gateway.net.client_connection import ClientConnection, ResumedConnection
-from quota_gateway.net.commands import RequestParser
+from quota_gateway.net.clients.arrival import StallDetector, arrival_s
+from quota_gateway.net.clients.buffer_budget import BufferBudget
+from quota_gateway.net.clients.commands import RequestParser
+from quota_gateway.net.clients.connection import ClientConnection, ResumedConnection
+from quota_gateway.net.clients.idle_connections import IdleConnections
 from quota_gateway.net.driver import Driver
-from quota_gateway.net.idle_connections import IdleConnections
 from quota_gateway.net.transient_errors import errno_name
 from quota_gateway.telemetry import Metric
 
--- a/quota_gateway/net/pending_reply.py
+++ b/quota_gateway/net/clients/pending_reply.py
@@ -5,8 +5,8 @@
 from collections import deque
 from typing import Protocol
 
-from quota_gateway.net.attempt import Attempt
-from quota_gateway.net.buffer_budget import BufferUsage
+from quota_gateway.net.clients.buffer_budget import BufferUsage
+from quota_gateway.net.upstream.attempt import Attempt
 
 
 class ReplyChannel(Protocol):
--- a/quota_gateway/net/discovery_client.py
+++ b/quota_gateway/net/discovery/client.py
@@ -10,9 +10,9 @@
 from quota_gateway import model as api
 from quota_gateway.errors import DiscoveryError
 from quota_gateway.net.address import Address
-from quota_gateway.net.discovery_watch import DiscoveryWatcher
-from quota_gateway.net.endpoint_registry import EndpointRegistry
-from quota_gateway.net.endpoint_row import RegistryChange
+from quota_gateway.net.discovery.endpoint_registry import EndpointRegistry
+from quota_gateway.net.discovery.endpoint_row import RegistryChange
+from quota_gateway.net.discovery.watch import DiscoveryWatcher
 from quota_gateway.telemetry import Metrics
 
 log = logging.getLogger(__name__)
--- a/quota_gateway/net/endpoint_registry.py
+++ b/quota_gateway/net/discovery/endpoint_registry.py
@@ -7,10 +7,10 @@
 
 from quota_gateway import model as api
 from quota_gateway.errors import DiscoveryError
-from quota_gateway.net.endpoint_row import RegistryChange
-from quota_gateway.net.endpoint_table import EndpointTable
-from quota_gateway.net.registry_state import RegistryState
-from quota_gateway.net.snapshot_reader import SnapshotReader
+from quota_gateway.net.discovery.endpoint_row import RegistryChange
+from quota_gateway.net.discovery.endpoint_table import EndpointTable
+from quota_gateway.net.discovery.registry_state import RegistryState
+from quota_gateway.net.discovery.snapshot_reader import SnapshotReader
 
 
 class EndpointRegistry(EndpointTable):
--- a/quota_gateway/net/endpoint_table.py
+++ b/quota_gateway/net/discovery/endpoint_table.py
@@ -5,9 +5,9 @@
 from itertools import count
 
 from quota_gateway import model as api
-from quota_gateway.net.endpoint_row import NO_ADDRESS, AddressedEndpoint, EndpointRow
-from quota_gateway.net.nearest_endpoints import NearestEndpoints
-from quota_gateway.net.start_times import StartTimes
+from quota_gateway.net.discovery.endpoint_row import NO_ADDRESS, AddressedEndpoint, EndpointRow
+from quota_gateway.net.discovery.nearest_endpoints import NearestEndpoints
+from quota_gateway.net.discovery.start_times import StartTimes
 from quota_gateway.policy.subset import Subset
 
 # Numbers of endpoints without a row that are remembered: one that returns soon is known by its old number.
--- a/quota_gateway/net/registry_state.py
+++ b/quota_gateway/net/discovery/registry_state.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from quota_gateway.errors import StateError
-from quota_gateway.net.endpoint_row import EndpointRow
+from quota_gateway.net.discovery.endpoint_row import EndpointRow
 
 # The keys on the channel between two processes: one of another version may be at its other end.
 ROWS_KEY = "rows"
--- a/quota_gateway/net/snapshot_reader.py
+++ b/quota_gateway/net/discovery/snapshot_reader.py
@@ -12,7 +12,7 @@
 
 from quota_gateway import model as api
 from quota_gateway.errors import DiscoveryError
-from quota_gateway.net.endpoint_row import (
+from quota_gateway.net.discovery.endpoint_row import (
     LIFECYCLE_GONE,
     AddressedEndpoint,
     EndpointRow,
@@ -20,9 +20,9 @@
     name_in,
     parse_row,
 )
-from quota_gateway.net.endpoint_table import EndpointTable
-from quota_gateway.net.nearest_endpoints import NearestEndpoints
-from quota_gateway.net.snapshot_document import SnapshotDocumentParser
+from quota_gateway.net.discovery.endpoint_table import EndpointTable
+from quota_gateway.net.discovery.nearest_endpoints import NearestEndpoints
+from quota_gateway.net.discovery.snapshot_document import SnapshotDocumentParser
 
 log = logging.getLogger(__name__)
 
--- a/quota_gateway/net/discovery_watch.py
+++ b/quota_gateway/net/discovery/watch.py
@@ -11,10 +11,10 @@
 from quota_gateway import model as api
 from quota_gateway.errors import DiscoveryError
 from quota_gateway.net.address import Address
-from quota_gateway.net.endpoint_registry import EndpointRegistry
-from quota_gateway.net.endpoint_row import RegistryChange
-from quota_gateway.net.reconnect_backoff import ReconnectBackoff
-from quota_gateway.net.watch_connection import WatchConnection, WatchEndReason
+from quota_gateway.net.discovery.endpoint_registry import EndpointRegistry
+from quota_gateway.net.discovery.endpoint_row import RegistryChange
+from quota_gateway.net.discovery.reconnect_backoff import ReconnectBackoff
+from quota_gateway.net.discovery.watch_connection import WatchConnection, WatchEndReason
 from quota_gateway.telemetry import Metrics
 
 log = logging.getLogger(__name__)
--- a/quota_gateway/net/watch_connection.py
+++ b/quota_gateway/net/discovery/watch_connection.py
@@ -17,10 +17,10 @@
 
 from quota_gateway.errors import DiscoveryError
 from quota_gateway.net.address import Address
-from quota_gateway.net.endpoint_registry import EndpointRegistry
-from quota_gateway.net.endpoint_row import RegistryChange
-from quota_gateway.net.json_lines import HEARTBEAT, JsonLineReader
-from quota_gateway.net.snapshot_reader import StreamingSnapshotReader
+from quota_gateway.net.discovery.endpoint_registry import EndpointRegistry
+from quota_gateway.net.discovery.endpoint_row import RegistryChange
+from quota_gateway.net.discovery.json_lines import HEARTBEAT, JsonLineReader
+from quota_gateway.net.discovery.snapshot_reader import StreamingSnapshotReader
 from quota_gateway.telemetry import Metric, Metrics
 
 log = logging.getLogger(__name__)
--- a/quota_gateway/net/driver.py
+++ b/quota_gateway/net/driver.py
@@ -32,13 +32,13 @@
     TimerFired,
 )
 from quota_gateway.net.active_request import ActiveAttempt, ActiveRequest, BodyWriter, ExecutedAttempt
-from quota_gateway.net.attempt import Attempt, BodyConsumer, UpstreamReply, discard_piece
 from quota_gateway.net.clock import Clock
-from quota_gateway.net.peer_processes import UsageListener
+from quota_gateway.net.handover.peer_processes import UsageListener
 from quota_gateway.net.request_guard import RequestGuard
 from quota_gateway.net.timer_queue import TimerQueue
-from quota_gateway.net.upstream_host import UpstreamHost
-from quota_gateway.net.upstream_pool import UpstreamPool
+from quota_gateway.net.upstream.attempt import Attempt, BodyConsumer, UpstreamReply, discard_piece
+from quota_gateway.net.upstream.host import UpstreamHost
+from quota_gateway.net.upstream.pool import UpstreamPool
 from quota_gateway.policy.engine import PolicyEngine
 from quota_gateway.policy.retries import NEVER_EXECUTED
 from quota_gateway.telemetry import Invariant, Metric
--- a/quota_gateway/net/handover.py
+++ b/quota_gateway/net/handover/handover.py
@@ -9,16 +9,16 @@
 
 from pathlib import Path
 
-from quota_gateway.net.client_listener import ClientListener
-from quota_gateway.net.detachments import Detachments
+from quota_gateway.net.admin.detachments import Detachments
+from quota_gateway.net.clients.listener import ClientListener
+from quota_gateway.net.discovery.endpoint_registry import EndpointRegistry
 from quota_gateway.net.driver import Driver
-from quota_gateway.net.endpoint_registry import EndpointRegistry
-from quota_gateway.net.handover_receiver import HandoverReceiver, HandoverState, request_handover
-from quota_gateway.net.handover_sender import HandoverSender
-from quota_gateway.net.peer_processes import PeerProcesses
-from quota_gateway.net.peer_requests import PeerRequestHandler
-from quota_gateway.net.rendezvous import rendezvous_path
-from quota_gateway.net.upstream_pool import UpstreamPool
+from quota_gateway.net.handover.peer_processes import PeerProcesses
+from quota_gateway.net.handover.peer_requests import PeerRequestHandler
+from quota_gateway.net.handover.receiver import HandoverReceiver, HandoverState, request_handover
+from quota_gateway.net.handover.rendezvous import rendezvous_path
+from quota_gateway.net.handover.sender import HandoverSender
+from quota_gateway.net.upstream.pool import UpstreamPool
 
 __all__ = [
     "Handover",
--- a/quota_gateway/net/peer_processes.py
+++ b/quota_gateway/net/handover/peer_processes.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 
 from quota_gateway.model import PeerProcessUsage
-from quota_gateway.net.peer_messages import DetachmentReply, DetachmentRequest, UsageNotification
-from quota_gateway.net.process_channel import ChannelMessage, ProcessChannel
+from quota_gateway.net.handover.peer_messages import DetachmentReply, DetachmentRequest, UsageNotification
+from quota_gateway.net.handover.process_channel import ChannelMessage, ProcessChannel
 
 DETACHMENT_TIMEOUT_S = 0.4  # for the other process to carry out a detachment: an operator waits 1 s in all
 
--- a/quota_gateway/net/peer_requests.py
+++ b/quota_gateway/net/handover/peer_requests.py
@@ -2,11 +2,16 @@
 
 from __future__ import annotations
 
-from quota_gateway.net.detachments import Detachments
+from quota_gateway.net.admin.detachments import Detachments
 from quota_gateway.net.driver import Driver
-from quota_gateway.net.peer_messages import DetachmentReply, DetachmentRequest, MessageKind, UsageNotification
-from quota_gateway.net.peer_processes import PeerProcesses
-from quota_gateway.net.process_channel import ChannelMessage, ProcessChannel, ReceivedMessage
+from quota_gateway.net.handover.peer_messages import (
+    DetachmentReply,
+    DetachmentRequest,
+    MessageKind,
+    UsageNotification,
+)
+from quota_gateway.net.handover.peer_processes import PeerProcesses
+from quota_gateway.net.handover.process_channel import ChannelMessage, ProcessChannel, ReceivedMessage
 
 
 class PeerRequestHandler:
--- a/quota_gateway/net/handover_receiver.py
+++ b/quota_gateway/net/handover/receiver.py
@@ -12,10 +12,10 @@
 
 from quota_gateway.errors import HandoverError
 from quota_gateway.model import PeerProcessExited
-from quota_gateway.net import rendezvous
-from quota_gateway.net.client_listener import ClientListener, ResumedConnection
+from quota_gateway.net.clients.listener import ClientListener, ResumedConnection
 from quota_gateway.net.driver import Driver
-from quota_gateway.net.peer_messages import (
+from quota_gateway.net.handover import rendezvous
+from quota_gateway.net.handover.peer_messages import (
     DescriptorsInUse,
     HandoverOffer,
     Hello,
@@ -23,10 +23,10 @@
     PassedConnection,
     Serving,
 )
-from quota_gateway.net.peer_processes import PeerProcesses
-from quota_gateway.net.peer_requests import PeerRequestHandler
-from quota_gateway.net.process_channel import ChannelMessage, ProcessChannel, ReceivedMessage
-from quota_gateway.net.upstream_pool import UpstreamPool
+from quota_gateway.net.handover.peer_processes import PeerProcesses
+from quota_gateway.net.handover.peer_requests import PeerRequestHandler
+from quota_gateway.net.handover.process_channel import ChannelMessage, ProcessChannel, ReceivedMessage
+from quota_gateway.net.upstream.pool import UpstreamPool
 from quota_gateway.telemetry import Metric
 
 log = logging.getLogger(__name__)
--- a/quota_gateway/net/handover_sender.py
+++ b/quota_gateway/net/handover/sender.py
@@ -12,21 +12,21 @@
 
 from quota_gateway.errors import HandoverError
 from quota_gateway.model import PeerProcessExited
-from quota_gateway.net import rendezvous
-from quota_gateway.net.client_listener import ClientConnection, ClientListener
+from quota_gateway.net.clients.listener import ClientConnection, ClientListener
+from quota_gateway.net.discovery.endpoint_registry import EndpointRegistry
 from quota_gateway.net.driver import Driver
-from quota_gateway.net.endpoint_registry import EndpointRegistry
-from quota_gateway.net.peer_messages import (
+from quota_gateway.net.handover import rendezvous
+from quota_gateway.net.handover.peer_messages import (
     DescriptorsInUse,
     HandoverOffer,
     Hello,
     MessageKind,
     PassedConnection,
 )
-from quota_gateway.net.peer_processes import PeerProcesses
-from quota_gateway.net.peer_requests import PeerRequestHandler
-from quota_gateway.net.process_channel import ChannelMessage, ProcessChannel, ReceivedMessage
-from quota_gateway.net.upstream_pool import UpstreamPool
+from quota_gateway.net.handover.peer_processes import PeerProcesses
+from quota_gateway.net.handover.peer_requests import PeerRequestHandler
+from quota_gateway.net.handover.process_channel import ChannelMessage, ProcessChannel, ReceivedMessage
+from quota_gateway.net.upstream.pool import UpstreamPool
 from quota_gateway.telemetry import Metric
 
 log = logging.getLogger(__name__)
--- a/quota_gateway/net/request_guard.py
+++ b/quota_gateway/net/request_guard.py
@@ -11,7 +11,7 @@
 
 from quota_gateway.model import AttemptStatus, Idempotency, IdempotencyScope, RequestClass, Settings
 from quota_gateway.net.active_request import ActiveAttempt, ActiveRequest, ExecutedAttempt
-from quota_gateway.net.upstream_host import UpstreamHost
+from quota_gateway.net.upstream.host import UpstreamHost
 from quota_gateway.telemetry import Invariant, Metric, Telemetry
 
 MAX_DEADLINE_EXCESS_MS = 150.0  # by which a command may say more than its client has left
--- a/quota_gateway/net/upstream_connection.py
+++ b/quota_gateway/net/upstream/connection.py
@@ -14,10 +14,10 @@
 
 from quota_gateway.errors import ProtocolError
 from quota_gateway.model import AttemptStatus
-from quota_gateway.net.attempt import Attempt, UpstreamReply
-from quota_gateway.net.reply_parser import ReplyParser
 from quota_gateway.net.resp import ReplyReader
-from quota_gateway.net.upstream_host import UpstreamHost
+from quota_gateway.net.upstream.attempt import Attempt, UpstreamReply
+from quota_gateway.net.upstream.host import UpstreamHost
+from quota_gateway.net.upstream.reply_parser import ReplyParser
 from quota_gateway.telemetry import Invariant, Metric, Telemetry
 
 log = logging.getLogger(__name__)
--- a/quota_gateway/net/upstream_host.py
+++ b/quota_gateway/net/upstream/host.py
@@ -6,7 +6,7 @@
 
 from quota_gateway.model import AttemptStatus, Endpoint, EndpointLifecycle
 from quota_gateway.net.address import Address
-from quota_gateway.net.attempt import Attempt
+from quota_gateway.net.upstream.attempt import Attempt
 
 
 class HostConnection(Protocol):
--- a/quota_gateway/net/upstream_pool.py
+++ b/quota_gateway/net/upstream/pool.py
@@ -10,11 +10,11 @@
 from quota_gateway.errors import ProtocolError
 from quota_gateway.model import AttemptStatus, EndpointLifecycle, EndpointUpdate, Settings, UpdateKind
 from quota_gateway.net.address import Address
-from quota_gateway.net.attempt import Attempt, UpstreamReply
 from quota_gateway.net.clock import MS_PER_S
-from quota_gateway.net.reply_parser import ReplyParser
-from quota_gateway.net.upstream_connection import UpstreamConnection
-from quota_gateway.net.upstream_host import UpstreamHost
+from quota_gateway.net.upstream.attempt import Attempt, UpstreamReply
+from quota_gateway.net.upstream.connection import UpstreamConnection
+from quota_gateway.net.upstream.host import UpstreamHost
+from quota_gateway.net.upstream.reply_parser import ReplyParser
 from quota_gateway.telemetry import Telemetry
 
 __all__ = ["Attempt", "UpstreamConnection", "UpstreamPool", "UpstreamReply"]
--- a/quota_gateway/net/reply_parser.py
+++ b/quota_gateway/net/upstream/reply_parser.py
@@ -8,8 +8,8 @@
 
 from quota_gateway.errors import ProtocolError
 from quota_gateway.model import AttemptStatus
-from quota_gateway.net.attempt import UpstreamReply
 from quota_gateway.net.resp import RawReply
+from quota_gateway.net.upstream.attempt import UpstreamReply
 from quota_gateway.settings_format import REPORT_FIELD
 
 log = logging.getLogger(__name__)
--- a/quota_gateway/server.py
+++ b/quota_gateway/server.py
@@ -15,18 +15,18 @@
 from quota_gateway.config import Config, read_discovery_address
 from quota_gateway.errors import ConfigError
 from quota_gateway.net.address import Address
-from quota_gateway.net.admin import AdminServer
-from quota_gateway.net.client_listener import ClientListener
-from quota_gateway.net.detachments import Detachments
-from quota_gateway.net.discovery_client import DiscoveryClient
+from quota_gateway.net.admin.detachments import Detachments
+from quota_gateway.net.admin.server import AdminServer
+from quota_gateway.net.clients.listener import ClientListener
+from quota_gateway.net.discovery.client import DiscoveryClient
+from quota_gateway.net.discovery.endpoint_registry import EndpointRegistry
+from quota_gateway.net.discovery.start_times import StartTimes
 from quota_gateway.net.driver import Clock, Driver
-from quota_gateway.net.endpoint_registry import EndpointRegistry
-from quota_gateway.net.handover import Handover, HandoverState, rendezvous_path, request_handover
-from quota_gateway.net.handover_receiver import OFFER_TIMEOUT_S
-from quota_gateway.net.peer_processes import PeerProcesses
-from quota_gateway.net.start_times import StartTimes
+from quota_gateway.net.handover.handover import Handover, HandoverState, rendezvous_path, request_handover
+from quota_gateway.net.handover.peer_processes import PeerProcesses
+from quota_gateway.net.handover.receiver import OFFER_TIMEOUT_S
 from quota_gateway.net.transient_errors import BIND_ERRORS
-from quota_gateway.net.upstream_pool import UpstreamPool
+from quota_gateway.net.upstream.pool import UpstreamPool
 from quota_gateway.policy.engine import PolicyEngine
 from quota_gateway.resources import divide_resources
 from quota_gateway.telemetry import Metric, Telemetry
--- a/scale/hollow.py
+++ b/scale/hollow.py
@@ -11,11 +11,11 @@
 
 from quota_gateway import model
 from quota_gateway.net.address import Address
-from quota_gateway.net.discovery_client import DiscoveryClient
+from quota_gateway.net.discovery.client import DiscoveryClient
+from quota_gateway.net.discovery.endpoint_registry import EndpointRegistry
+from quota_gateway.net.discovery.endpoint_row import RegistryChange
 from quota_gateway.net.driver import ActiveRequest, Clock, Driver
-from quota_gateway.net.endpoint_registry import EndpointRegistry
-from quota_gateway.net.endpoint_row import RegistryChange
-from quota_gateway.net.upstream_pool import UpstreamPool
+from quota_gateway.net.upstream.pool import UpstreamPool
 from quota_gateway.policy.engine import PolicyEngine
 from quota_gateway.settings_format import settings_from_document
 from scale.arrivals import encode_request, poisson_arrivals
--- a/scale/subset_timing.py
+++ b/scale/subset_timing.py
@@ -11,7 +11,7 @@
 from math import ceil
 from typing import NamedTuple
 
-from quota_gateway.net.nearest_endpoints import NearestEndpoints
+from quota_gateway.net.discovery.nearest_endpoints import NearestEndpoints
 from quota_gateway.policy import subset
 from scale.subset_strategies import CHOSEN_STRATEGY, Topology
 
--- a/scale/subsets.py
+++ b/scale/subsets.py
@@ -16,7 +16,7 @@
 import msgspec
 import numpy as np
 
-from quota_gateway.net.nearest_endpoints import NearestEndpoints
+from quota_gateway.net.discovery.nearest_endpoints import NearestEndpoints
 from quota_gateway.policy import subset
 from scale.subset_metrics import (
     SERVERS_PER_RACK,
--- a/soak/planted.py
+++ b/soak/planted.py
@@ -12,10 +12,10 @@
 from quota_gateway import server as gateway_server
 from quota_gateway.model import AttemptStatus, EndpointLifecycle
 from quota_gateway.net import request_guard
-from quota_gateway.net.client_connection import ClientConnection
-from quota_gateway.net.client_listener import ClientListener
+from quota_gateway.net.clients.connection import ClientConnection
+from quota_gateway.net.clients.listener import ClientListener
 from quota_gateway.net.driver import Driver
-from quota_gateway.net.upstream_host import UpstreamHost
+from quota_gateway.net.upstream.host import UpstreamHost
 from quota_gateway.policy import engine, retries
 from quota_gateway.policy.endpoints import EndpointTable
 from quota_gateway.policy.slow_start import SlowStart
--- a/tests/net/test_accept_faults.py
+++ b/tests/net/test_accept_faults.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from quota_gateway.net.handover import request_handover
+from quota_gateway.net.handover.handover import request_handover
 from tests.support.fake_upstream import FakeUpstream
 from tests.support.gateway_node import run_gateway, wait_until
 from tests.support.resp_encoding import encode_call
--- a/tests/net/test_arrival.py
+++ b/tests/net/test_arrival.py
@@ -5,9 +5,10 @@
 
 import pytest
 
-from quota_gateway.net import acceptor, arrival, command_intake
-from quota_gateway.net.arrival import StallDetector, arrival_s, seconds_since_data
-from quota_gateway.net.command_intake import MAX_PIPELINED_COMMANDS
+from quota_gateway.net import acceptor
+from quota_gateway.net.clients import arrival, command_intake
+from quota_gateway.net.clients.arrival import StallDetector, arrival_s, seconds_since_data
+from quota_gateway.net.clients.command_intake import MAX_PIPELINED_COMMANDS
 from tests.support.fake_upstream import FakeUpstream
 from tests.support.gateway_node import run_gateway, wait_until
 from tests.support.resp_encoding import encode_call, encode_reply
--- a/tests/net/test_client_disconnect.py
+++ b/tests/net/test_client_disconnect.py
@@ -13,8 +13,11 @@
 import pytest
 
 from quota_gateway import Endpoint, GatewayLimits, Idempotency, Plan, RequestClass, TimerFired
-from quota_gateway.net import client_connection, client_listener, command_intake, upstream_pool
-from quota_gateway.net.upstream_pool import Attempt, UpstreamConnection
+from quota_gateway.net.clients import command_intake
+from quota_gateway.net.clients import connection as client_connection
+from quota_gateway.net.clients import listener as client_listener
+from quota_gateway.net.upstream import pool as upstream_pool
+from quota_gateway.net.upstream.pool import Attempt, UpstreamConnection
 from tests.support.fake_client import FakeClient
 from tests.support.fake_upstream import FakeUpstream
 from tests.support.gateway_node import run_gateway, wait_until
--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -10,10 +10,10 @@
 import pytest
 
 from quota_gateway import Plan
-from quota_gateway.net import command_intake, idle_connections
-from quota_gateway.net.command_intake import MAX_PIPELINED_COMMANDS
+from quota_gateway.net.clients import command_intake, idle_connections
+from quota_gateway.net.clients.command_intake import MAX_PIPELINED_COMMANDS
 from quota_gateway.net.driver import Driver
-from quota_gateway.net.upstream_pool import UpstreamConnection
+from quota_gateway.net.upstream.pool import UpstreamConnection
 from tests.support.fake_upstream import FakeUpstream
 from tests.support.gateway_node import connect_slow_reader, run_gateway, wait_until
 from tests.support.resp_encoding import encode_call, encode_command, encode_reply
--- a/tests/net/test_descriptors.py
+++ b/tests/net/test_descriptors.py
@@ -12,8 +12,8 @@
 import pytest
 
 from quota_gateway import AttemptStatus, Endpoint, EndpointUpdate, UpdateKind, resources
-from quota_gateway.net.attempt import Attempt
-from quota_gateway.net.upstream_pool import UpstreamPool
+from quota_gateway.net.upstream.attempt import Attempt
+from quota_gateway.net.upstream.pool import UpstreamPool
 from tests.support import gateway_process
 from tests.support.fake_discovery import (
     CLOSED_BY_GATEWAY,
--- a/tests/net/test_detachments.py
+++ b/tests/net/test_detachments.py
@@ -8,10 +8,10 @@
 import pytest
 
 from quota_gateway import AttachServer, AttemptStatus, DetachServer, EndpointLifecycle, UpdateKind
-from quota_gateway.net import admin
-from quota_gateway.net.admin import AdminResponse, AdminServer
-from quota_gateway.net.discovery_client import EndpointRegistry
-from quota_gateway.net.upstream_pool import Attempt, UpstreamReply
+from quota_gateway.net.admin import server as admin
+from quota_gateway.net.admin.server import AdminResponse, AdminServer
+from quota_gateway.net.discovery.client import EndpointRegistry
+from quota_gateway.net.upstream.pool import Attempt, UpstreamReply
 from quota_gateway.telemetry import Metric
 from tests.support.admin_calls import encode_post, send_admin_call
 from tests.support.engine_harness import make_endpoint, make_harness
--- a/tests/net/test_discovery_client.py
+++ b/tests/net/test_discovery_client.py
@@ -9,10 +9,11 @@
 import pytest
 
 from quota_gateway import EndpointLifecycle, UpdateKind
-from quota_gateway.net import discovery_watch, reconnect_backoff, watch_connection
-from quota_gateway.net.discovery_client import DiscoveryClient
-from quota_gateway.net.endpoint_registry import EndpointRegistry
-from quota_gateway.net.reconnect_backoff import ReconnectBackoff
+from quota_gateway.net.discovery import reconnect_backoff, watch_connection
+from quota_gateway.net.discovery import watch as discovery_watch
+from quota_gateway.net.discovery.client import DiscoveryClient
+from quota_gateway.net.discovery.endpoint_registry import EndpointRegistry
+from quota_gateway.net.discovery.reconnect_backoff import ReconnectBackoff
 from tests.support.fake_discovery import FakeDiscovery, encode_chunk, encode_update, make_instance
 from tests.support.gateway_node import wait_until
 
--- a/tests/net/test_discovery_notification.py
+++ b/tests/net/test_discovery_notification.py
@@ -14,8 +14,8 @@
 import pytest
 
 from quota_gateway import EndpointUpdate
-from quota_gateway.net.discovery_client import DiscoveryClient
-from quota_gateway.net.endpoint_registry import EndpointRegistry
+from quota_gateway.net.discovery.client import DiscoveryClient
+from quota_gateway.net.discovery.endpoint_registry import EndpointRegistry
 from tests.support.fake_discovery import encode_chunk, encode_update, make_instance
 from tests.support.virtual_loop import VirtualLoop, run_virtual
 
--- a/tests/net/test_driver.py
+++ b/tests/net/test_driver.py
@@ -23,8 +23,8 @@
     UpdateKind,
 )
 from quota_gateway.net.active_request import ActiveRequest
-from quota_gateway.net.attempt import Attempt
-from quota_gateway.net.upstream_connection import UpstreamConnection
+from quota_gateway.net.upstream.attempt import Attempt
+from quota_gateway.net.upstream.connection import UpstreamConnection
 from tests.support.fake_upstream import FakeUpstream
 from tests.support.gateway_node import HEDGING_LIMITS, run_gateway, wait_until
 from tests.support.resp_encoding import encode_call, encode_reply
--- a/tests/net/test_endpoint_row.py
+++ b/tests/net/test_endpoint_row.py
@@ -4,7 +4,7 @@
 
 from quota_gateway import Endpoint, EndpointLifecycle
 from quota_gateway.errors import DiscoveryError
-from quota_gateway.net.endpoint_row import MAX_NAME_LENGTH, name_in, parse_row
+from quota_gateway.net.discovery.endpoint_row import MAX_NAME_LENGTH, name_in, parse_row
 
 ROW = {
     "instanceId": "s-1",
--- a/tests/net/test_idle_connections.py
+++ b/tests/net/test_idle_connections.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from quota_gateway.net import command_intake, idle_connections
-from quota_gateway.net.idle_connections import IdleConnections
+from quota_gateway.net.clients import command_intake, idle_connections
+from quota_gateway.net.clients.idle_connections import IdleConnections
 from tests.support.fake_upstream import FakeUpstream
 from tests.support.gateway_node import run_gateway
 from tests.support.resp_encoding import encode_call, encode_command, encode_reply
--- a/tests/net/test_json_lines.py
+++ b/tests/net/test_json_lines.py
@@ -3,7 +3,7 @@
 import pytest
 
 from quota_gateway.errors import DiscoveryError
-from quota_gateway.net.json_lines import HEARTBEAT, JsonLineReader
+from quota_gateway.net.discovery.json_lines import HEARTBEAT, JsonLineReader
 
 
 def read_all(*lines: bytes) -> list[object]:
--- a/tests/net/test_large_endpoint_lists.py
+++ b/tests/net/test_large_endpoint_lists.py
@@ -21,10 +21,10 @@
     UpdateKind,
 )
 from quota_gateway.errors import DiscoveryError
-from quota_gateway.net import snapshot_reader, watch_connection
-from quota_gateway.net.discovery_client import DiscoveryClient
-from quota_gateway.net.endpoint_registry import EndpointRegistry
-from quota_gateway.net.snapshot_reader import StreamingSnapshotReader
+from quota_gateway.net.discovery import snapshot_reader, watch_connection
+from quota_gateway.net.discovery.client import DiscoveryClient
+from quota_gateway.net.discovery.endpoint_registry import EndpointRegistry
+from quota_gateway.net.discovery.snapshot_reader import StreamingSnapshotReader
 from quota_gateway.policy.subset import Subset
 from tests.support.engine_harness import SETTINGS, EngineHarness
 from tests.support.fake_discovery import FakeDiscovery, encode_chunk, encode_update, make_instance
--- a/tests/net/test_large_replies.py
+++ b/tests/net/test_large_replies.py
@@ -5,9 +5,9 @@
 import pytest
 
 from quota_gateway.errors import ProtocolError
-from quota_gateway.net import upstream_pool
-from quota_gateway.net.command_intake import MAX_PIPELINED_COMMANDS
+from quota_gateway.net.clients.command_intake import MAX_PIPELINED_COMMANDS
 from quota_gateway.net.resp import ReplyReader
+from quota_gateway.net.upstream import pool as upstream_pool
 from tests.support.fake_upstream import FakeUpstream
 from tests.support.gateway_node import HEDGING_LIMITS, run_gateway, wait_until
 from tests.support.resp_encoding import encode_call, encode_reply
--- a/tests/net/test_peer_messages.py
+++ b/tests/net/test_peer_messages.py
@@ -8,7 +8,7 @@
 
 from quota_gateway import PeerProcessUsage
 from quota_gateway.errors import HandoverError
-from quota_gateway.net.peer_messages import (
+from quota_gateway.net.handover.peer_messages import (
     DescriptorsInUse,
     DetachmentReply,
     DetachmentRequest,
@@ -19,7 +19,7 @@
     Serving,
     UsageNotification,
 )
-from quota_gateway.net.process_channel import (
+from quota_gateway.net.handover.process_channel import (
     MAX_MESSAGE_BYTES,
     PIECE_BYTES,
     ChannelMessage,
--- a/tests/net/test_process_channel.py
+++ b/tests/net/test_process_channel.py
@@ -4,7 +4,7 @@
 import errno
 import socket
 
-from quota_gateway.net.process_channel import ChannelMessage, ProcessChannel
+from quota_gateway.net.handover.process_channel import ChannelMessage, ProcessChannel
 
 END_TIMEOUT_S = 5.0  # generous: the end is due in the next turns of the loop
 
--- a/tests/net/test_registry_state.py
+++ b/tests/net/test_registry_state.py
@@ -6,8 +6,8 @@
 
 from quota_gateway import Endpoint, EndpointLifecycle, EndpointUpdate, UpdateKind
 from quota_gateway.errors import StateError
-from quota_gateway.net.endpoint_registry import EndpointRegistry
-from quota_gateway.net.registry_state import RegistryState
+from quota_gateway.net.discovery.endpoint_registry import EndpointRegistry
+from quota_gateway.net.discovery.registry_state import RegistryState
 from tests.support.fake_discovery import make_instance
 
 # Recorded from the version before these modules were split (commit 4431b5a): s-1 and s-2 were listed, s-1
--- a/tests/net/test_reply_parser.py
+++ b/tests/net/test_reply_parser.py
@@ -1,8 +1,8 @@
 """The meaning of servers' replies."""
 
 from quota_gateway import AttemptStatus
-from quota_gateway.net.attempt import UpstreamReply
-from quota_gateway.net.reply_parser import ReplyParser
+from quota_gateway.net.upstream.attempt import UpstreamReply
+from quota_gateway.net.upstream.reply_parser import ReplyParser
 
 
 def test_usage_and_load_reports_are_parsed_from_replies_and_error_lines():
--- a/tests/net/test_request_guard.py
+++ b/tests/net/test_request_guard.py
@@ -6,9 +6,9 @@
 
 from quota_gateway import AttemptStatus, Endpoint, IdempotencyScope
 from quota_gateway.net.active_request import ActiveAttempt, ActiveRequest, ExecutedAttempt
-from quota_gateway.net.attempt import Attempt
 from quota_gateway.net.request_guard import MAX_ENCODED_AGE_MS, RequestGuard
-from quota_gateway.net.upstream_host import UpstreamHost
+from quota_gateway.net.upstream.attempt import Attempt
+from quota_gateway.net.upstream.host import UpstreamHost
 from quota_gateway.telemetry import Invariant, Metric, Telemetry
 from tests.support.gateway_node import HEDGING_LIMITS, SETTINGS
 
--- a/tests/net/test_start_times.py
+++ b/tests/net/test_start_times.py
@@ -5,8 +5,8 @@
 import pytest
 
 from quota_gateway.net.clock import Clock
-from quota_gateway.net.endpoint_registry import EndpointRegistry
-from quota_gateway.net.start_times import StartTimes
+from quota_gateway.net.discovery.endpoint_registry import EndpointRegistry
+from quota_gateway.net.discovery.start_times import StartTimes
 from tests.support.fake_discovery import make_instance
 
 NOW_S = 1_800_000_000.0
--- a/tests/net/test_transient_faults.py
+++ b/tests/net/test_transient_faults.py
@@ -10,11 +10,13 @@
 from quota_gateway import AttemptStatus
 from quota_gateway import server as server_module
 from quota_gateway.errors import DiscoveryError
-from quota_gateway.net import admin, handover_sender, rendezvous
-from quota_gateway.net.buffer_budget import BufferBudget, BufferUsage
-from quota_gateway.net.endpoint_registry import EndpointRegistry
-from quota_gateway.net.json_lines import JsonLineReader
-from quota_gateway.net.snapshot_reader import StreamingSnapshotReader
+from quota_gateway.net.admin import server as admin
+from quota_gateway.net.clients.buffer_budget import BufferBudget, BufferUsage
+from quota_gateway.net.discovery.endpoint_registry import EndpointRegistry
+from quota_gateway.net.discovery.json_lines import JsonLineReader
+from quota_gateway.net.discovery.snapshot_reader import StreamingSnapshotReader
+from quota_gateway.net.handover import rendezvous
+from quota_gateway.net.handover import sender as handover_sender
 from quota_gateway.net.timer_queue import TimerQueue
 from quota_gateway.net.transient_errors import BIND_ERRORS
 from quota_gateway.telemetry import Metric
--- a/tests/net/test_upstream_pool.py
+++ b/tests/net/test_upstream_pool.py
@@ -7,8 +7,9 @@
 import pytest
 
 from quota_gateway import AttemptStatus, Endpoint, EndpointLifecycle, GatewayLimits, UpdateKind
-from quota_gateway.net import upstream_connection, upstream_pool
-from quota_gateway.net.attempt import Attempt, UpstreamReply
+from quota_gateway.net.upstream import connection as upstream_connection
+from quota_gateway.net.upstream import pool as upstream_pool
+from quota_gateway.net.upstream.attempt import Attempt, UpstreamReply
 from tests.support.fake_upstream import FakeUpstream
 from tests.support.gateway_node import run_gateway, wait_until
 from tests.support.resp_encoding import encode_call, encode_command, encode_reply
--- a/tests/process/test_process.py
+++ b/tests/process/test_process.py
@@ -14,7 +14,7 @@
 from quota_gateway import log_rate_limiter
 from quota_gateway import server as server_module
 from quota_gateway.errors import ConfigError
-from quota_gateway.net.command_intake import MAX_PIPELINED_COMMANDS
+from quota_gateway.net.clients.command_intake import MAX_PIPELINED_COMMANDS
 from tests.support import gateway_process
 from tests.support.fake_client import FakeClient
 from tests.support.fake_discovery import FakeDiscovery, encode_chunk, encode_update, make_instance
--- a/tests/process/test_recorded_handover.py
+++ b/tests/process/test_recorded_handover.py
@@ -10,9 +10,9 @@
 import pytest
 
 from quota_gateway import AttachServer, AttemptStatus, DetachServer, ExportState, RestoreState, StateSnapshot
-from quota_gateway.net.discovery_client import DiscoveryClient
-from quota_gateway.net.endpoint_registry import EndpointRegistry
-from quota_gateway.net.peer_messages import HandoverOffer
+from quota_gateway.net.discovery.client import DiscoveryClient
+from quota_gateway.net.discovery.endpoint_registry import EndpointRegistry
+from quota_gateway.net.handover.peer_messages import HandoverOffer
 from tests.support.engine_harness import EngineHarness, make_endpoint
 from tests.support.fake_discovery import make_instance
 
--- a/tests/process/test_upgrade.py
+++ b/tests/process/test_upgrade.py
@@ -20,10 +20,12 @@
     RestoreState,
     StateSnapshot,
 )
-from quota_gateway.net import handover_receiver, handover_sender, process_channel, rendezvous
-from quota_gateway.net.handover import rendezvous_path, request_handover
-from quota_gateway.net.handover_receiver import ReceiverState
-from quota_gateway.net.handover_sender import SenderState
+from quota_gateway.net.handover import process_channel, rendezvous
+from quota_gateway.net.handover import receiver as handover_receiver
+from quota_gateway.net.handover import sender as handover_sender
+from quota_gateway.net.handover.handover import rendezvous_path, request_handover
+from quota_gateway.net.handover.receiver import ReceiverState
+from quota_gateway.net.handover.sender import SenderState
 from tests.support.admin_calls import encode_post, send_admin_call
 from tests.support.engine_harness import EngineHarness, make_endpoint, make_harness
 from tests.support.fake_client import FakeClient
--- a/tests/support/gateway_node.py
+++ b/tests/support/gateway_node.py
@@ -22,13 +22,13 @@
     Settings,
     UpdateKind,
 )
-from quota_gateway.net.client_listener import ClientConnection, ClientListener
-from quota_gateway.net.detachments import Detachments
+from quota_gateway.net.admin.detachments import Detachments
+from quota_gateway.net.clients.listener import ClientConnection, ClientListener
+from quota_gateway.net.discovery.endpoint_registry import EndpointRegistry
 from quota_gateway.net.driver import Clock, Driver
-from quota_gateway.net.endpoint_registry import EndpointRegistry
-from quota_gateway.net.handover import Handover
-from quota_gateway.net.peer_processes import PeerProcesses
-from quota_gateway.net.upstream_pool import UpstreamPool
+from quota_gateway.net.handover.handover import Handover
+from quota_gateway.net.handover.peer_processes import PeerProcesses
+from quota_gateway.net.upstream.pool import UpstreamPool
 from tests.support.fake_client import FakeClient
 from tests.support.fake_upstream import FakeUpstream
 
--- a/tests/unit/test_subset.py
+++ b/tests/unit/test_subset.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from quota_gateway.net.nearest_endpoints import NearestEndpoints
+from quota_gateway.net.discovery.nearest_endpoints import NearestEndpoints
 from quota_gateway.policy import concurrency, subset
 from quota_gateway.policy.subset import Subset
 
