--- /dev/null
+++ b/tests/model/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the types that go in and out of the policy engine."""
--- /dev/null
+++ b/tests/net/clients/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the client side of the sockets."""
--- /dev/null
+++ b/tests/net/discovery/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of discovery and the endpoint registry."""
--- /dev/null
+++ b/tests/net/handover/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the handover between processes."""
--- a/tests/net/test_peer_messages.py
+++ b/tests/net/handover/test_peer_messages.py
@@ -28,7 +28,7 @@
 )
 from tests.support.gateway_node import wait_until
 
-RECORD = Path(__file__).parent.parent / "process" / "data" / "handover_4431b5a.json"
+RECORD = Path(__file__).parent.parent.parent / "process" / "data" / "handover_4431b5a.json"
 RECORDED = {header["kind"]: header for header in json.loads(RECORD.read_text())["headers"]}
 MESSAGES = [
     (Hello(), "hello"),
--- /dev/null
+++ b/tests/net/upstream/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the connections to servers."""
--- /dev/null
+++ b/tests/policy/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the policy engine and its mechanisms."""
