--- a/scale/child.py
+++ b/scale/child.py
@@ -16,12 +16,12 @@
 import msgspec
 import uvloop
 
-from scale.discovery import DiscoveryStub
-from scale.hollow import HollowGateways
-from scale.load import LoadGenerator
+from scale.fleet.hollow import HollowGateways
+from scale.load.client import LoadGenerator
+from scale.measurements.policy_benchmark import PolicyBenchmark
 from scale.messages import MAXIMUM_LINE_BYTES, ChildCommand, ChildReply
-from scale.policy_benchmark import PolicyBenchmark
-from scale.servers import ServerStubs
+from scale.stubs.discovery import DiscoveryStub
+from scale.stubs.servers import ServerStubs
 
 ROLES: dict[str, Callable[..., Any]] = {
     "discovery": DiscoveryStub,
--- /dev/null
+++ b/scale/fleet/__init__.py
@@ -0,0 +1,1 @@
+"""The gateways under test: real processes and hollow ones."""
--- a/scale/gateways.py
+++ b/scale/fleet/gateways.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 from scale.child_process import ChildError, ChildProcess
-from scale.gateway_settings import settings_document
+from scale.fleet.gateway_settings import settings_document
 from scale.supervisor import REPOSITORY, Supervisor
 
 READY_TIMEOUT_S = 30.0
--- a/scale/hollow.py
+++ b/scale/fleet/hollow.py
@@ -18,9 +18,9 @@
 from quota_gateway.net.upstream.pool import UpstreamPool
 from quota_gateway.policy.engine import PolicyEngine
 from quota_gateway.settings_format import settings_from_document
-from scale.arrivals import encode_request, poisson_arrivals
 from scale.config import zone_names
-from scale.load_statistics import LoadOutcome
+from scale.load.arrivals import encode_request, poisson_arrivals
+from scale.load.statistics import LoadOutcome
 from scale.loop_probe import LoopProbe
 from scale.messages import LoopStalls, UpdateCoverage
 
--- /dev/null
+++ b/scale/load/__init__.py
@@ -0,0 +1,1 @@
+"""The load: arrivals, client connections, their statistics."""
--- a/scale/load.py
+++ b/scale/load/client.py
@@ -6,9 +6,9 @@
 import random
 import time
 
-from scale.arrivals import encode_request, poisson_arrivals
-from scale.load_connections import ConnectionPool, PendingCommand
-from scale.load_statistics import LoadOutcome, LoadStatistics
+from scale.load.arrivals import encode_request, poisson_arrivals
+from scale.load.connections import ConnectionPool, PendingCommand
+from scale.load.statistics import LoadOutcome, LoadStatistics
 from scale.messages import PhaseReports
 
 SPIN_S = 0.0015
--- a/scale/load_connections.py
+++ b/scale/load/connections.py
@@ -8,7 +8,7 @@
 
 import hiredis
 
-from scale.load_statistics import ErrorReply, LoadOutcome, LoadStatistics
+from scale.load.statistics import ErrorReply, LoadOutcome, LoadStatistics
 
 MAXIMUM_CONNECTIONS = 200
 """Connections to one address; further requests wait for one to become idle."""
--- a/scale/measurements/added_latency.py
+++ b/scale/measurements/added_latency.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from scale.load_statistics import LATENCY_PERCENTILES, LoadOutcome
+from scale.load.statistics import LATENCY_PERCENTILES, LoadOutcome
 from scale.messages import LoadReport
 from scale.testbed import Testbed
 
--- a/scale/measurements/list_length.py
+++ b/scale/measurements/list_length.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from scale.child_process import MEBIBYTE, RoleProcess
-from scale.gateways import RealGateway
+from scale.fleet.gateways import RealGateway
 from scale.measurements.added_latency import measure_added_latency, record_added_latency
 from scale.messages import EndpointListInfo
 from scale.testbed import Testbed
--- a/scale/measurements/policy_cost.py
+++ b/scale/measurements/policy_cost.py
@@ -5,7 +5,7 @@
 from types import NoneType
 from typing import Any
 
-from scale.gateway_settings import settings_document
+from scale.fleet.gateway_settings import settings_document
 from scale.messages import PolicyCost
 from scale.testbed import Testbed
 
--- a/scale/play.py
+++ b/scale/play.py
@@ -10,8 +10,8 @@
 import msgspec
 
 from scale.child_process import MEBIBYTE, ChildProcess, ResourceUsage, RoleProcess
-from scale.gateways import RealGateway
-from scale.load_statistics import LATENCY_PERCENTILES
+from scale.fleet.gateways import RealGateway
+from scale.load.statistics import LATENCY_PERCENTILES
 from scale.measurements.added_latency import AddedLatency, format_counts, measure_added_latency
 from scale.measurements.propagation import (
     forget_received_versions,
--- /dev/null
+++ b/scale/stubs/__init__.py
@@ -0,0 +1,1 @@
+"""Stand-ins for discovery and servers."""
--- a/scale/discovery.py
+++ b/scale/stubs/discovery.py
@@ -7,13 +7,13 @@
 
 import msgspec
 
-from scale.churn import churn_events
 from scale.config import Config, Fault
-from scale.discovery_connection import DiscoveryConnection
-from scale.discovery_events import DiscoveryEvents, with_new_weight
-from scale.discovery_state import DiscoveryState
-from scale.endpoint_catalog import make_endpoints
 from scale.messages import DiscoveryStatistics, EndpointListInfo, FaultVersions, PublishedChanges
+from scale.stubs.churn import churn_events
+from scale.stubs.discovery_connection import DiscoveryConnection
+from scale.stubs.discovery_events import DiscoveryEvents, with_new_weight
+from scale.stubs.discovery_state import DiscoveryState
+from scale.stubs.endpoint_catalog import make_endpoints
 
 LISTEN_BACKLOG = 4_096
 """Connections that may wait to be accepted: a whole fleet may come back at once."""
--- a/scale/discovery_connection.py
+++ b/scale/stubs/discovery_connection.py
@@ -9,7 +9,7 @@
 
 import httptools
 
-from scale.discovery_state import DiscoveryState
+from scale.stubs.discovery_state import DiscoveryState
 
 HEARTBEAT_S = 2.0
 """PROTOCOL: as long as nothing changes, an empty line comes every 2 s."""
--- a/scale/discovery_events.py
+++ b/scale/stubs/discovery_events.py
@@ -8,10 +8,10 @@
 
 import msgspec
 
-from scale.churn import ChurnEvent
 from scale.config import Churn, Fault
-from scale.discovery_state import DiscoveryState
-from scale.endpoint_catalog import ListedEndpoint
+from scale.stubs.churn import ChurnEvent
+from scale.stubs.discovery_state import DiscoveryState
+from scale.stubs.endpoint_catalog import ListedEndpoint
 
 DRAIN_S = 1.0
 """How long an endpoint that restarts is listed as Terminating."""
--- a/scale/discovery_state.py
+++ b/scale/stubs/discovery_state.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 from typing import Protocol
 
-from scale.endpoint_catalog import EndpointCatalog, ListedEndpoint
+from scale.stubs.endpoint_catalog import EndpointCatalog, ListedEndpoint
 
 
 class Subscriber(Protocol):
--- /dev/null
+++ b/scale/subsets/__init__.py
@@ -0,0 +1,1 @@
+"""Comparison of ways to choose each gateway's subset of servers."""
--- a/scale/subsets.py
+++ b/scale/subsets/comparison.py
@@ -1,32 +1,26 @@
 """Compare strategies for each gateway to choose its servers: balance, churn, lost zones, and time for a row.
 
-    python -m scale.subsets --gateways 3800 --servers 38000 --seed 1 --json result.json
-
 All strategies get the size that `quota_gateway.policy.subset` gives, the same servers and the same shares of
-traffic for the gateways. `scale.subset_metrics` documents the metrics.
+traffic for the gateways. `scale.subsets.metrics` documents the metrics.
 """
 
 from __future__ import annotations
 
-import argparse
-import json
 import random
-from pathlib import Path
 
 import msgspec
 import numpy as np
 
 from quota_gateway.net.discovery.nearest_endpoints import NearestEndpoints
 from quota_gateway.policy import subset
-from scale.subset_metrics import (
-    SERVERS_PER_RACK,
+from scale.subsets.metrics import (
     SINGLE_SERVER_CHANGES,
     balance_metrics,
     churn_metrics,
     failure_domain_metrics,
 )
-from scale.subset_strategies import CHOSEN_STRATEGY, STRATEGIES, FleetSubsets, Topology
-from scale.subset_timing import time_strategies
+from scale.subsets.strategies import CHOSEN_STRATEGY, STRATEGIES, FleetSubsets, Topology
+from scale.subsets.timing import time_strategies
 
 VERIFIED_GATEWAYS = 5
 """About how many gateways the array implementation is compared with the gateway's own on."""
@@ -116,29 +110,3 @@
         cells = (f"{metrics[name]:.4g}" if name in metrics else "-" for metrics in result.ways.values())
         lines.append(f"{name:14}" + "".join(f"{cell:>22}" for cell in cells))
     return "\n".join(lines)
-
-
-def main() -> None:
-    """Read the flags, print the table and write the JSON file."""
-    parser = argparse.ArgumentParser(prog="scale.subsets", description=(__doc__ or "").split("\n")[0])
-    parser.add_argument("--gateways", type=int, default=500)
-    parser.add_argument("--servers", type=int, default=5000)
-    parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--least", type=int, default=subset.LEAST, help="the smallest subset, in servers")
-    parser.add_argument(
-        "--way", action="append", choices=list(STRATEGIES), help="only this one; may be repeated"
-    )
-    parser.add_argument("--json", type=Path, help="where the figures are written to")
-    flags = parser.parse_args()
-    for flag, minimum in (("gateways", 2), ("servers", SERVERS_PER_RACK), ("least", 1)):
-        if getattr(flags, flag) < minimum:
-            parser.error(f"--{flag} is at least {minimum}")
-    strategies = flags.way or list(STRATEGIES)
-    result = compare(flags.gateways, flags.servers, flags.seed, flags.least, strategies)
-    print(format_table(result))
-    if flags.json:
-        flags.json.write_text(json.dumps(msgspec.to_builtins(result), indent=1) + "\n")
-
-
-if __name__ == "__main__":
-    main()
--- a/scale/subset_metrics.py
+++ b/scale/subsets/metrics.py
@@ -5,7 +5,7 @@
 import numpy as np
 from numpy.typing import NDArray
 
-from scale.subset_strategies import FleetSubsets, Strategy, Topology
+from scale.subsets.strategies import FleetSubsets, Strategy, Topology
 
 ZONES = 15
 REGIONS = 4
--- a/scale/subset_timing.py
+++ b/scale/subsets/timing.py
@@ -13,7 +13,7 @@
 
 from quota_gateway.net.discovery.nearest_endpoints import NearestEndpoints
 from quota_gateway.policy import subset
-from scale.subset_strategies import CHOSEN_STRATEGY, Topology
+from scale.subsets.strategies import CHOSEN_STRATEGY, Topology
 
 TIMED_ROWS = 200
 """Rows that are timed of a strategy whose rows take milliseconds each."""
--- a/scale/testbed.py
+++ b/scale/testbed.py
@@ -8,8 +8,8 @@
 
 from scale.child_process import ChildError, RoleProcess
 from scale.config import Config
-from scale.gateway_settings import settings_document
-from scale.gateways import RealGateway, start_gateway
+from scale.fleet.gateway_settings import settings_document
+from scale.fleet.gateways import RealGateway, start_gateway
 from scale.messages import (
     DiscoveryStatistics,
     PhaseReports,
--- a/soak/discovery.py
+++ b/soak/discovery.py
@@ -7,9 +7,9 @@
 
 import msgspec
 
-from scale.discovery_connection import DiscoveryConnection
-from scale.discovery_state import DiscoveryState
-from scale.endpoint_catalog import ListedEndpoint
+from scale.stubs.discovery_connection import DiscoveryConnection
+from scale.stubs.discovery_state import DiscoveryState
+from scale.stubs.endpoint_catalog import ListedEndpoint
 from soak.records import EndpointChange
 
 OLD_ADDRESS_GRACE_S = 1.5
--- a/soak/gateways.py
+++ b/soak/gateways.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from scale.child_process import ChildProcess
-from scale.gateways import gateway_command
+from scale.fleet.gateways import gateway_command
 from scale.supervisor import Supervisor
 from soak.records import Interval, ProcessEnd, Violation
 from soak.settings import DEADLINE_S, KILL_GRACE_S
--- a/soak/servers.py
+++ b/soak/servers.py
@@ -11,7 +11,7 @@
 
 import hiredis
 
-from scale.servers import encode_reply
+from scale.stubs.servers import encode_reply
 from soak.loop_lag import LoopLag
 from soak.records import CommandRecord
 
--- a/soak/settings.py
+++ b/soak/settings.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from scale.gateway_settings import settings_document
+from scale.fleet.gateway_settings import settings_document
 
 KEYED_WINDOW_S = 1.0
 DEADLINE_S = 1.5
--- a/tests/scale/test_scale_run.py
+++ b/tests/scale/test_scale_run.py
@@ -15,11 +15,13 @@
 import psutil
 import pytest
 
-from scale import arrivals, churn, config, endpoint_catalog, results
+from scale import config, results
 from scale.config import Churn, Fault
-from scale.discovery import DiscoveryStub
-from scale.endpoint_catalog import ListedEndpoint
+from scale.load import arrivals
 from scale.measurements.propagation import propagation_delays
+from scale.stubs import churn, endpoint_catalog
+from scale.stubs.discovery import DiscoveryStub
+from scale.stubs.endpoint_catalog import ListedEndpoint
 from tests.support.async_tests import TIME_LIMIT_S
 
 ROOT = Path(__file__).parent.parent.parent
--- a/tests/scale/test_subsets.py
+++ b/tests/scale/test_subsets.py
@@ -6,8 +6,8 @@
 import pytest
 
 from quota_gateway.policy import subset
-from scale.subset_strategies import STRATEGIES
-from scale.subsets import compare
+from scale.subsets.comparison import compare
+from scale.subsets.strategies import STRATEGIES
 
 RESULTS = Path(__file__).parent.parent.parent / "docs" / "capacity" / "subsets"
 TIMES = {"us a row", "ms a list", "us a change"}
