--- /dev/null
+++ b/quota_gateway/model/customer_state.py
@@ -0,0 +1,55 @@
+"""What a gateway knows of one customer."""
+
+from __future__ import annotations
+
+from math import inf
+
+
+class CustomerState:
+    """What this gateway knows of one customer: its excess, its reported usage, its attempts in flight.
+
+    Attributes:
+        excess: Thousandths of a unit in the leaky bucket, as of ``excess_at_ms``.
+        largest_units: Units of the largest request seen.
+        usage: Use by all gateways as a share of the quota, as last reported at ``usage_at_ms``.
+        contended_until_ms: Until when the places under its in-flight cap are rotated.
+        offered: Units (under a rate) or requests (under a cap) offered lately, rejected ones included.
+        in_flight: Attempts in flight from this process.
+        peer_in_flight: Attempts in flight from the peer process of this gateway.
+        ceiling_level: Units in this gateway's share of the hard ceiling, as of ``ceiling_at_ms``.
+    """
+
+    __slots__ = (
+        "ceiling_at_ms",
+        "ceiling_level",
+        "contended_until_ms",
+        "excess",
+        "excess_at_ms",
+        "gateway_set_size",
+        "in_flight",
+        "largest_units",
+        "offered",
+        "offered_at_ms",
+        "peer_in_flight",
+        "usage",
+        "usage_at_ms",
+    )
+
+    def __init__(self, now_ms: float, ceiling_level: float) -> None:
+        self.excess = 0.0
+        self.excess_at_ms = now_ms
+        self.largest_units = 0.0
+        self.gateway_set_size = 1
+        self.usage = 0.0
+        self.usage_at_ms = -inf
+        self.contended_until_ms = -inf
+        self.offered = 0.0
+        self.offered_at_ms = now_ms
+        self.in_flight = 0
+        self.peer_in_flight = 0
+        self.ceiling_level = ceiling_level
+        self.ceiling_at_ms = now_ms
+
+    def total_in_flight(self) -> int:
+        """Attempts in flight from both processes of this gateway."""
+        return self.in_flight + self.peer_in_flight
--- /dev/null
+++ b/quota_gateway/model/endpoint_state.py
@@ -0,0 +1,111 @@
+"""What a gateway knows of one endpoint, and the records that its statistics are made of."""
+
+from __future__ import annotations
+
+from math import inf
+from typing import NamedTuple
+
+from quota_gateway.model.events import Endpoint, EndpointLifecycle
+
+
+class Moment(NamedTuple):
+    """When a statistic was updated: the time, and how many attempts this gateway had started."""
+
+    at_ms: float
+    attempts: int
+
+
+class FailureRecord(NamedTuple):
+    """Failures and all outcomes, both decayed, and when they were updated."""
+
+    failures: float
+    outcomes: float
+    updated: Moment
+
+
+NEVER = Moment(-inf, 0)
+NO_RECORD = FailureRecord(0.0, 0.0, NEVER)  # of an endpoint that has had no outcome yet
+
+
+class EndpointRecord(NamedTuple):
+    """What a process leaves of an endpoint to the next: its start and what it has shown."""
+
+    started_ms: float
+    relative_latency: float
+    relative_latency_at: Moment
+    failures: dict[str, FailureRecord]
+
+
+class EndpointState:
+    """What this gateway knows of one endpoint.
+
+    Attributes:
+        distance: How far behind this gateway it stands, see ``Subset.distance``.
+        in_flight: Attempts in flight, by request id and number.
+        relative_latency: Its latency relative to the mean of the requests' class and size.
+        queue_length: Requests that it last reported as waiting.
+        failures: Failure records by key: "" for all requests, or a class, or a class of a plan.
+        is_listed: Whether discovery lists it as ready.
+        is_ready: Whether it may be sent requests: it is listed and not detached.
+    """
+
+    __slots__ = (
+        "cell",
+        "distance",
+        "failures",
+        "id",
+        "in_flight",
+        "is_listed",
+        "is_ready",
+        "queue_length",
+        "queue_length_at",
+        "relative_latency",
+        "relative_latency_at",
+        "started_ms",
+        "zone",
+    )
+
+    def __init__(self, endpoint: Endpoint, distance: float) -> None:
+        self.id = endpoint.server
+        self.distance = distance
+        self.in_flight: set[tuple[str, int]] = set()
+        self.reset()
+        self.update(endpoint)
+
+    def reset(self) -> None:
+        """Forget what a process that has ended has shown."""
+        self.relative_latency = 1.0
+        self.relative_latency_at = NEVER
+        self.queue_length = 0.0
+        self.queue_length_at = NEVER
+        self.failures: dict[str, FailureRecord] = {}
+
+    def update(self, endpoint: Endpoint) -> None:
+        """Take over what discovery says."""
+        self.zone = endpoint.zone
+        self.cell = endpoint.cell
+        self.started_ms = endpoint.started_ms
+        self.is_listed = endpoint.state is EndpointLifecycle.READY
+        self.is_ready = self.is_listed
+
+    def export(self) -> EndpointRecord:
+        """What the next process has to know of it."""
+        return EndpointRecord(self.started_ms, self.relative_latency, self.relative_latency_at, self.failures)
+
+    def restore(self, record: EndpointRecord) -> None:
+        """Go on from what the process before knew of it; a later start stays."""
+        self.started_ms = max(self.started_ms, record.started_ms)
+        self.relative_latency = record.relative_latency
+        self.relative_latency_at = record.relative_latency_at
+        self.failures = record.failures
+
+
+Endpoints = list[EndpointState]
+
+
+class DetectedOutlier(NamedTuple):
+    """An endpoint that has failed too often: under which key, and how the last attempt ended."""
+
+    endpoint: EndpointState
+    key: str
+    reason: str
--- a/quota_gateway/model/snapshot.py
+++ b/quota_gateway/model/snapshot.py
@@ -9,8 +9,9 @@
 from typing import Any
 
 from quota_gateway.errors import StateError
+from quota_gateway.model.customer_state import CustomerState
+from quota_gateway.model.endpoint_state import EndpointRecord, FailureRecord, Moment
 from quota_gateway.model.settings import Settings
-from quota_gateway.model.state import CustomerState, EndpointRecord, FailureRecord, Moment
 
 # Attributes of a customer in the order of its row, after its plan, its name and its attempts in flight
 CUSTOMER_FIELDS = (
--- a/quota_gateway/model/timers.py
+++ b/quota_gateway/model/timers.py
@@ -7,7 +7,7 @@
 
 from quota_gateway.model.actions import SetTimer
 from quota_gateway.model.events import TimerFired
-from quota_gateway.model.state import PendingRequest
+from quota_gateway.model.pending_request import PendingRequest
 
 TimerCallback = Callable[[Any], None]  # is called with the argument that the timer was set with
 
--- a/quota_gateway/policy/clock.py
+++ b/quota_gateway/policy/clock.py
@@ -2,7 +2,7 @@
 
 from math import exp, inf
 
-from quota_gateway.model.state import Moment
+from quota_gateway.model.endpoint_state import Moment
 
 DECAY_MS = 4000.0  # time constant of statistics, so that an endpoint is tried again; see DecayClock.remaining
 
--- a/quota_gateway/policy/concurrency.py
+++ b/quota_gateway/policy/concurrency.py
@@ -2,16 +2,16 @@
 
 from math import inf
 
+from quota_gateway.model.pending_request import PendingRequest
 from quota_gateway.model.settings import RequestClass
-from quota_gateway.model.state import PendingRequest
-from quota_gateway.policy.load_balancing import QUICK_SHARE, LatencyStatistics
+from quota_gateway.policy.latency import FAST_RESPONSE_OBJECTIVE_SHARE, LatencyStatistics
 
-FIRST_LIMIT = 6.0  # attempts in flight at an endpoint, over all gateways, before anything is known of it
-LIMIT_GROWTH = 0.035  # by which a quick answer lifts a limit that is used up: thirty lift it by one
-LIMIT_CUT = 0.3  # attempts that a slow answer takes off: one slow answer in ten holds the limit level
-LEAST_LIMIT = 0.3  # a share of requests where below one: answers must be seen to recover
-SLOW_SHARE = 0.5  # of the objective: slower answers cut the limit, attempts in flight so long are suspect
-USED_UP_MARGIN = 2  # the attempt that has ended and one more would not have fitted
+INITIAL_CONCURRENCY_PER_SERVER = 6.0  # attempts in flight over all gateways, before any response is seen
+LIMIT_INCREASE_PER_FAST_RESPONSE = 0.035  # attempts, while the limit is used up
+LIMIT_DECREASE_PER_SLOW_RESPONSE = 0.3  # attempts, and this share of a limit below one
+MIN_LIMIT_ATTEMPTS = 0.3  # below one a share of requests is admitted: responses must be seen to recover
+SLOW_RESPONSE_OBJECTIVE_SHARE = 0.5  # slower responses decrease the limit; slower attempts are suspect
+LIMIT_USED_UP_MARGIN_ATTEMPTS = 2  # the attempt that has just ended, and one more that would not fit
 
 
 class ConcurrencyLimit:
@@ -23,7 +23,7 @@
 
     def set_initial(self, endpoint_count: int, gateways: int) -> None:
         """Start from this gateway's even share of what all endpoints are taken to stand."""
-        self.limit = FIRST_LIMIT * endpoint_count / gateways
+        self.limit = INITIAL_CONCURRENCY_PER_SERVER * endpoint_count / gateways
 
     def has_room(self, draw: float = 0.0) -> bool:
         """Whether one more fits; a fraction of the limit admits the requests with a draw below it."""
@@ -39,15 +39,17 @@
 
     def on_response(self, request_class: RequestClass, latency_ms: float) -> None:
         """Move the limit by a good answer's latency, less what the size of its request adds."""
-        is_used_up = len(self.in_flight) + USED_UP_MARGIN >= self.limit
-        if latency_ms > SLOW_SHARE * request_class.latency_objective_ms:
-            self.limit = max(LEAST_LIMIT, self.limit - LIMIT_CUT * min(1.0, self.limit))
-        elif is_used_up and latency_ms < QUICK_SHARE * request_class.latency_objective_ms:
-            self.limit += LIMIT_GROWTH
+        is_used_up = len(self.in_flight) + LIMIT_USED_UP_MARGIN_ATTEMPTS >= self.limit
+        if latency_ms > SLOW_RESPONSE_OBJECTIVE_SHARE * request_class.latency_objective_ms:
+            self.limit = max(
+                MIN_LIMIT_ATTEMPTS, self.limit - LIMIT_DECREASE_PER_SLOW_RESPONSE * min(1.0, self.limit)
+            )
+        elif is_used_up and latency_ms < FAST_RESPONSE_OBJECTIVE_SHARE * request_class.latency_objective_ms:
+            self.limit += LIMIT_INCREASE_PER_FAST_RESPONSE
 
     def restore(self, limit: float) -> None:
         """Go on from the limit of the process before."""
-        self.limit = max(LEAST_LIMIT, limit)
+        self.limit = max(MIN_LIMIT_ATTEMPTS, limit)
 
 
 class PendingQueue:
--- a/quota_gateway/policy/endpoints.py
+++ b/quota_gateway/policy/endpoints.py
@@ -3,8 +3,8 @@
 from collections.abc import Iterable
 from math import inf
 
+from quota_gateway.model.endpoint_state import EndpointRecord, EndpointState
 from quota_gateway.model.events import Endpoint, EndpointLifecycle, EndpointUpdate, UpdateKind
-from quota_gateway.model.state import EndpointRecord, EndpointState
 from quota_gateway.policy.clock import DecayClock
 from quota_gateway.policy.outliers import OutlierDetector
 from quota_gateway.policy.slow_start import SlowStart
@@ -22,19 +22,19 @@
         self._slow_start = slow_start
         self._outliers = outliers
         self.by_id: dict[int, EndpointState] = {}
-        self.listed = 0  # how many discovery names, also where it hands over the nearest alone
+        self.listed_count = 0  # how many discovery names, also where it hands over the nearest alone
         self.ready: list[EndpointState] = []  # those worked with: all, or the subset and its replacements
         self.warming: list[EndpointState] = []  # those of them that don't have their whole capacity yet
-        self.reserve: list[EndpointState] = []  # ready ones beyond the subset, the nearest last
+        self.standby: list[EndpointState] = []  # ready ones beyond the subset, the nearest last
         self.detached: dict[int, float] = {}  # those that operators took out, and since when
         self.attached: dict[int, tuple[float, float]] = {}  # and attached again: since when out, until when
         self._nearest: list[EndpointState] = []  # all by distance, while none has come or gone
         self._replaced: set[int] = set()  # outliers for which one of the reserve works
 
     @property
-    def reach(self) -> float:
+    def subset_radius(self) -> float:
         """The distance of the farthest endpoint that is worked with; infinity where all are."""
-        return self.ready[-1].distance if self.reserve else inf
+        return self.ready[-1].distance if self.standby else inf
 
     def update(self, event: EndpointUpdate) -> None:
         """Take over an update from discovery."""
@@ -43,7 +43,7 @@
             self._remove(number for number in list(self.by_id) if number not in listed)
         for endpoint in event.endpoints:
             self._take(endpoint)
-        self.listed = event.listed or len(self.by_id)
+        self.listed_count = event.listed or len(self.by_id)
         self.select()
 
     def _take(self, endpoint: Endpoint) -> None:
@@ -81,8 +81,8 @@
     def select(self) -> None:
         """Select the ready endpoints to work with: all, or the subset with a replacement for each outlier."""
         self._clock.set_endpoint_count(len(self.by_id))
-        size = self.subset.size(self.listed)
-        self.reserve = []
+        size = self.subset.size(self.listed_count)
+        self.standby = []
         if len(self.by_id) <= size:
             self.ready = [state for state in self.by_id.values() if state.is_ready]
         else:
@@ -90,18 +90,18 @@
                 self._nearest = sorted(self.by_id.values(), key=lambda state: state.distance)
             ready = [state for state in self._nearest if state.is_ready]
             self.ready = ready[:size]
-            self.reserve = ready[: size - 1 : -1]
+            self.standby = ready[: size - 1 : -1]
             is_outlier = self._outliers.is_outlier
             self._replaced = {s.id for s in self.ready if s.id in self._replaced and is_outlier(s)}
-            for _ in range(min(len(self._replaced), len(self.reserve))):
-                self.ready.append(self.reserve.pop())
+            for _ in range(min(len(self._replaced), len(self.standby))):
+                self.ready.append(self.standby.pop())
         self.warming = self._slow_start.warming_up(self.ready)
 
     def replace(self, outlier: EndpointState) -> None:
         """Let one of the reserve work beside an outlier, until the first update after its recovery."""
-        if self.reserve and outlier.id not in self._replaced:
+        if self.standby and outlier.id not in self._replaced:
             self._replaced.add(outlier.id)
-            replacement = self.reserve.pop()
+            replacement = self.standby.pop()
             self.ready.append(replacement)
             if self._slow_start.capacity_share(replacement) < 1.0:
                 self.warming.append(replacement)
--- a/quota_gateway/policy/engine.py
+++ b/quota_gateway/policy/engine.py
@@ -7,17 +7,20 @@
 
 from quota_gateway.model import actions, events
 from quota_gateway.model.actions import AnswerReason
+from quota_gateway.model.customer_state import CustomerState
+from quota_gateway.model.endpoint_state import DetectedOutlier, EndpointState
 from quota_gateway.model.events import AttemptStatus, UpdateKind
+from quota_gateway.model.pending_request import PendingRequest
 from quota_gateway.model.settings import DiscoveryMode, Settings
 from quota_gateway.model.snapshot import EngineState
-from quota_gateway.model.state import CustomerState, DetectedOutlier, EndpointState, PendingRequest
 from quota_gateway.model.timers import TimerCallback, TimerTable
 from quota_gateway.policy.clock import DecayClock
-from quota_gateway.policy.concurrency import SLOW_SHARE, ConcurrencyLimit, PendingQueue
+from quota_gateway.policy.concurrency import SLOW_RESPONSE_OBJECTIVE_SHARE, ConcurrencyLimit, PendingQueue
 from quota_gateway.policy.endpoints import EndpointTable
 from quota_gateway.policy.in_flight_limit import Ceiling, InFlightLimit
+from quota_gateway.policy.latency import LatencyStatistics
 from quota_gateway.policy.leaky_bucket import LeakyBucket
-from quota_gateway.policy.load_balancing import LatencyStatistics, LoadBalancer
+from quota_gateway.policy.load_balancing import LoadBalancer
 from quota_gateway.policy.outliers import FailureTracker, OutlierDetector
 from quota_gateway.policy.quota import CustomerTable, LocalQuota, UnknownCustomerAdmission
 from quota_gateway.policy.retries import RetryBudget, is_retry_harmless
@@ -104,9 +107,9 @@
             self.actions.append(actions.Reject(event.request_id, reason=AnswerReason.UNKNOWN_CLASS_OR_PLAN))
             return
         customer = self.customer_table.use(event, plan)
-        is_thin_retry = event.is_retry and self.quota.is_thin(customer, plan)
+        is_thin_retry = event.is_retry and self.quota.share_is_below_one_request(customer, plan)
         if is_thin_retry or not self.admission.admits(customer, plan):
-            reason = AnswerReason.THIN_RETRY if is_thin_retry else AnswerReason.UNKNOWN_CUSTOMER
+            reason = AnswerReason.RETRY_BELOW_ONE_REQUEST if is_thin_retry else AnswerReason.UNKNOWN_CUSTOMER
             self.actions.append(actions.Reject(event.request_id, reason=reason))
             return
         draw = self.random.random()
@@ -114,7 +117,7 @@
         mean_ms = self.latencies.mean_ms(pending)
         delay_ms = self.bucket.offer(pending, mean_ms)
         if delay_ms == inf:
-            wait_ms = self.bucket.retry_after_ms(pending, mean_ms, self.latencies.last_start_ms(pending))
+            wait_ms = self.bucket.retry_after_ms(pending, mean_ms, self.latencies.latest_start_ms(pending))
             self.actions.append(actions.Reject(event.request_id, wait_ms, AnswerReason.OVER_QUOTA))
             return
         pending.is_contended = self.in_flight_limit.on_arrival(customer, plan)
@@ -137,7 +140,7 @@
         wait_ms = self.ceiling.wait_ms(pending)
         turn_ms = self.in_flight_limit.turn_wait_ms(pending)
         is_too_late = wait_ms >= pending.deadline_ms - now_ms
-        if is_too_late or turn_ms > max(0.0, self.latencies.last_start_ms(pending) - now_ms):
+        if is_too_late or turn_ms > max(0.0, self.latencies.latest_start_ms(pending) - now_ms):
             self._answer(pending, AnswerReason.NO_PLACE_IN_TIME)
             return
         wait_ms = max(wait_ms, turn_ms)
@@ -152,7 +155,7 @@
     def _enqueue(self, pending: PendingRequest, wait_ms: float) -> None:
         """Queue what can not start now, for ``wait_ms`` at least; the queue may shed one for it."""
         if self.queue.add(pending):
-            time_left_ms = self.latencies.last_start_ms(pending) - self.clock.now_ms
+            time_left_ms = self.latencies.latest_start_ms(pending) - self.clock.now_ms
             self._arm(max(0.0, time_left_ms), self._on_queue_timeout, pending, pending)
         to_shed = self.queue.to_shed(self.concurrency.limit) if self.endpoints.by_id else None
         if to_shed:
@@ -173,7 +176,7 @@
         if not pending.attempts and not self.concurrency.has_room(pending.slow_start_draw):
             return None  # a limit of 1.4: one in flight for each request, a second for four in ten
         endpoints = self.endpoints
-        return self.balancer.choose(pending, endpoints.ready, endpoints.warming, endpoints.reach)
+        return self.balancer.choose(pending, endpoints.ready, endpoints.warming, endpoints.subset_radius)
 
     def _start(self, pending: PendingRequest, endpoint: EndpointState, is_free: bool = False) -> None:
         request_id = pending.request.request_id
@@ -185,7 +188,10 @@
         self.clock.on_attempt()
         self.concurrency.on_start(request_id, number)
         self.actions.append(actions.StartAttempt(request_id, endpoint.id))
-        slow_ms = SLOW_SHARE * pending.request_class.latency_objective_ms + self.latencies.extra_ms(pending)
+        slow_ms = (
+            SLOW_RESPONSE_OBJECTIVE_SHARE * pending.request_class.latency_objective_ms
+            + self.latencies.size_extra_ms(pending)
+        )
         self._arm(slow_ms, self._on_slow, (pending, number), pending)
 
     def _on_slow(self, which: tuple[PendingRequest, int]) -> None:
@@ -195,11 +201,13 @@
         attempt = pending.in_flight.get(number)
         if attempt is None or pending.is_streaming:
             return
-        self._eject(self.outliers.on_slow(pending, attempt.endpoint))
-        late_ms = (1.0 - SLOW_SHARE) * pending.request_class.latency_objective_ms
+        self._eject(self.outliers.on_slow_attempt(pending, attempt.endpoint))
+        late_ms = (1.0 - SLOW_RESPONSE_OBJECTIVE_SHARE) * pending.request_class.latency_objective_ms
         self._arm(late_ms, self._on_late, which, pending)
-        is_lost = self.latencies.is_lost(pending, attempt.started_ms)
-        is_suspect = is_lost or self.outliers.is_outlier_for(attempt.endpoint, pending.failure_keys[1])
+        is_presumed_lost = self.latencies.is_presumed_lost(pending, attempt.started_ms)
+        is_suspect = is_presumed_lost or self.outliers.is_outlier_under_key(
+            attempt.endpoint, pending.failure_keys.request_class
+        )
         if not is_suspect or not self.retries.allows_hedge(pending):
             return
         pending.first_executed = pending.first_executed or attempt
@@ -215,7 +223,11 @@
         """Give up a request whose attempt is lost: beyond the objective, and far beyond the mean."""
         pending, number = which
         attempt = pending.in_flight.get(number)
-        if attempt and not pending.is_streaming and self.latencies.is_lost(pending, attempt.started_ms):
+        if (
+            attempt
+            and not pending.is_streaming
+            and self.latencies.is_presumed_lost(pending, attempt.started_ms)
+        ):
             self._answer(pending, AnswerReason.ATTEMPT_LOST)
 
     def _on_outcome(self, event: events.Outcome) -> None:
@@ -240,7 +252,7 @@
         self._release_queued()
 
     def _on_response(self, pending: PendingRequest, endpoint: EndpointState, event: events.Outcome) -> None:
-        latency_ms = event.latency_ms - self.latencies.extra_ms(pending)
+        latency_ms = event.latency_ms - self.latencies.size_extra_ms(pending)
         self.concurrency.on_response(pending.request_class, latency_ms)
         self.balancer.on_response(pending.request_class, endpoint, latency_ms)
         self.latencies.record(pending, endpoint, event.latency_ms)
@@ -343,7 +355,7 @@
             return
         self.endpoints.update(event)
         if event.kind is UpdateKind.CACHED or not self.concurrency.limit:  # the first update may be empty
-            self.concurrency.set_initial(self.endpoints.listed, self.settings.gateways)
+            self.concurrency.set_initial(self.endpoints.listed_count, self.settings.gateways)
         self._release_queued()
 
     def _eject(self, outlier: DetectedOutlier | None) -> None:
--- a/quota_gateway/policy/in_flight_limit.py
+++ b/quota_gateway/policy/in_flight_limit.py
@@ -2,11 +2,14 @@
 
 from math import exp, inf
 
+from quota_gateway.model.customer_state import CustomerState
+from quota_gateway.model.pending_request import PendingRequest
 from quota_gateway.model.settings import Plan, Settings
-from quota_gateway.model.state import CustomerState, PendingRequest
 from quota_gateway.policy.clock import DecayClock
 
-NARROW_SET = 4  # gateways by which most of a customer's requests come at a time: a wider set has idle ones
+SMALL_GATEWAY_SET_SIZE = (
+    4  # gateways by which most of a customer's requests come at a time: a wider set has idle ones
+)
 TURN_PERIODS = 1.0  # usage periods of a gateway's turn at contended places: long beside an attempt
 REPORTED_PERIODS = 10.0  # usage periods of contention after a report of more in flight than the cap allows
 OCCUPIED_PERIODS = 1.0  # the same after a request found this gateway's place taken, which may be chance
@@ -55,7 +58,7 @@
         if not places or places >= customer.gateway_set_size:
             return 0.0
         now_ms = self._clock.now_ms
-        is_set_wide = customer.gateway_set_size > NARROW_SET
+        is_set_wide = customer.gateway_set_size > SMALL_GATEWAY_SET_SIZE
         if not (pending.is_contended if is_set_wide else now_ms < customer.contended_until_ms):
             return 0.0
         turn_ms = TURN_PERIODS * self._settings.usage_period_ms
--- a/quota_gateway/policy/leaky_bucket.py
+++ b/quota_gateway/policy/leaky_bucket.py
@@ -2,10 +2,11 @@
 
 from math import inf
 
+from quota_gateway.model.customer_state import CustomerState
+from quota_gateway.model.pending_request import PendingRequest
 from quota_gateway.model.settings import Plan, RequestClass, Settings
-from quota_gateway.model.state import CustomerState, PendingRequest
 from quota_gateway.policy.clock import DecayClock
-from quota_gateway.policy.quota import THOUSANDTHS, LocalQuota
+from quota_gateway.policy.quota import MILLIUNITS_PER_UNIT, LocalQuota
 
 REJECT_BURSTS = 2.0  # bursts of excess beyond which a request is rejected: one is delayed at most
 PRIORITY_BURST = 0.25  # by which the burst grows for a class of infinite weight, to have what others leave
@@ -32,7 +33,9 @@
         now_ms, units = self._clock.now_ms, pending.request.units
         rate = plan.rate * self._quota.share(customer)
         burst = self._offered_burst(customer, plan, units) * self._priority_factor(pending.request_class)
-        excess = max(0.0, customer.excess - rate * (now_ms - customer.excess_at_ms) + THOUSANDTHS * units)
+        excess = max(
+            0.0, customer.excess - rate * (now_ms - customer.excess_at_ms) + MILLIUNITS_PER_UNIT * units
+        )
         if excess > REJECT_BURSTS * burst:
             return inf
         delay_ms = max(0.0, excess - burst) / rate
@@ -45,16 +48,21 @@
 
     def _burst(self, customer: CustomerState, plan: Plan) -> float:
         """This gateway's share of the burst, in thousandths, with room for one request at least."""
-        return max(plan.burst / customer.gateway_set_size, customer.largest_units) * THOUSANDTHS
+        return max(plan.burst / customer.gateway_set_size, customer.largest_units) * MILLIUNITS_PER_UNIT
 
     def _offered_burst(self, customer: CustomerState, plan: Plan, units: float) -> float:
         """Count the units offered; the burst grows by the headroom while a thin share is hardly used."""
         now_ms = self._clock.now_ms
-        drained = plan.rate * (now_ms - customer.offered_at_ms) / customer.gateway_set_size / THOUSANDTHS
+        drained = (
+            plan.rate * (now_ms - customer.offered_at_ms) / customer.gateway_set_size / MILLIUNITS_PER_UNIT
+        )
         customer.offered = max(0.0, customer.offered - drained) + units
         customer.offered_at_ms = now_ms
         burst = self._burst(customer, plan)
-        if self._quota.is_thin(customer, plan) and customer.offered <= THIN_BURST * customer.largest_units:
+        if (
+            self._quota.share_is_below_one_request(customer, plan)
+            and customer.offered <= THIN_BURST * customer.largest_units
+        ):
             lifetime_ms = self._quota.drain_ms(customer, plan)
             burst *= 1.0 + THIN_BURST * self._quota.headroom(customer, lifetime_ms)
         return burst
@@ -80,7 +88,7 @@
         rate = plan.rate * self._quota.share(customer)
         burst = self._burst(customer, plan) * self._priority_factor(pending.request_class)
         units = pending.request.units
-        excess = customer.excess - rate * (now_ms - customer.excess_at_ms) + THOUSANDTHS * units
+        excess = customer.excess - rate * (now_ms - customer.excess_at_ms) + MILLIUNITS_PER_UNIT * units
         max_delay_ms = max(0.0, self._max_delay_ms(pending.request_class, mean_latency_ms))
         delay_ms = min(burst / rate, pending.request.timeout_ms, max_delay_ms)
         wait_ms = max(0.0, (excess - burst) / rate - delay_ms)
@@ -88,7 +96,7 @@
 
     def settle(self, pending: PendingRequest, final_units: float) -> float:
         """Correct the excess by the units that a request has really used; by how much it changed."""
-        change = THOUSANDTHS * (final_units - pending.request.units)
+        change = MILLIUNITS_PER_UNIT * (final_units - pending.request.units)
         self.adjust(pending.customer, change)
         return change
 
--- a/quota_gateway/policy/load_balancing.py
+++ b/quota_gateway/policy/load_balancing.py
@@ -1,20 +1,16 @@
-"""The choice of an endpoint, and latency statistics: docs/decisions/load_balancing.md."""
+"""The choice of an endpoint: docs/decisions/load_balancing.md."""
 
-from collections.abc import Sequence
 from math import ceil
 from random import Random
 
+from quota_gateway.model.endpoint_state import Endpoints, EndpointState
+from quota_gateway.model.pending_request import PendingRequest
 from quota_gateway.model.settings import Idempotency, IdempotencyScope, RequestClass, Settings
-from quota_gateway.model.state import Endpoints, EndpointState, PendingRequest
 from quota_gateway.policy.clock import DecayClock
+from quota_gateway.policy.latency import FAST_RESPONSE_OBJECTIVE_SHARE
 from quota_gateway.policy.outliers import OUTLIER_RATE, OutlierDetector
 from quota_gateway.policy.slow_start import SlowStart
 
-FIRST_LATENCY = 0.2  # of a class's objective: its latency until answers have been seen
-LATENCY_STEP = 0.03  # weight of one answer in a mean latency, once there are as many: thirty of memory
-RELATIVE_LATENCY_STEP = 0.15  # weight of one answer in an endpoint's relative latency: some seven of memory
-QUICK_SHARE = 0.3  # of the objective: endpoints that answer faster are remembered, and lift the limit
-LOST_LATENCIES = 8.0  # mean latencies after which an answer hardly comes: 3 in 10,000, if exponential
 QUEUE_WEIGHT = 1.0  # requests in flight that one reported as waiting stands for
 CROSS_ZONE_WEIGHT = 10.0  # how many times its price a zone crossing weighs against a mean latency
 FAILURE_COST = 6.0  # mean latencies that a failure costs beside a wait: most of a request's value is lost
@@ -23,44 +19,6 @@
 SLOW_START_RANK = 0.75  # of those compared: a warming one is taken unless so many look better
 
 
-class LatencyStatistics:
-    """Mean latencies by class and size, and what they say of an attempt."""
-
-    def __init__(self, classes: Sequence[RequestClass], clock: DecayClock) -> None:
-        self._clock = clock
-        self.means: dict[str, dict[int, tuple[float, int]]] = {item.name: {} for item in classes}
-
-    def mean_ms(self, pending: PendingRequest) -> float:
-        """The mean latency of requests of this class and size, or what is taken for it at first."""
-        seen = self.means[pending.request_class.name].get(pending.size)
-        return seen[0] if seen else FIRST_LATENCY * pending.request_class.latency_objective_ms
-
-    def extra_ms(self, pending: PendingRequest) -> float:
-        """How much longer a request of this size takes than the smallest of its class, by its work."""
-        means = self.means[pending.request_class.name]
-        return max(0.0, means[pending.size][0] - means[min(means)][0]) if pending.size in means else 0.0
-
-    def last_start_ms(self, pending: PendingRequest) -> float:
-        """When an attempt has to start for an answer within the objective."""
-        return pending.arrived_ms + pending.request_class.latency_objective_ms - self.mean_ms(pending)
-
-    def is_lost(self, pending: PendingRequest, started_ms: float) -> bool:
-        """Whether an attempt has been in flight for so long that its answer will hardly come any more."""
-        return self._clock.now_ms - started_ms >= LOST_LATENCIES * self.mean_ms(pending)
-
-    def record(self, pending: PendingRequest, endpoint: EndpointState, latency_ms: float) -> None:
-        """Move the mean of the class and size, and the endpoint's relative latency, by a good answer."""
-        mean_ms = self.mean_ms(pending)
-        means = self.means[pending.request_class.name]
-        seen = means.get(pending.size, (mean_ms, 0))[1] + 1
-        mean_ms += max(LATENCY_STEP, 1.0 / (seen + 1)) * (latency_ms - mean_ms)
-        means[pending.size] = mean_ms, seen
-        remaining = self._clock.remaining(endpoint.relative_latency_at)
-        decayed = 1.0 + (endpoint.relative_latency - 1.0) * remaining
-        endpoint.relative_latency = decayed + RELATIVE_LATENCY_STEP * (latency_ms / mean_ms - decayed)
-        endpoint.relative_latency_at = self._clock.moment()
-
-
 class LoadBalancer:
     """Chooses the endpoint with the least expected cost among a few."""
 
@@ -97,12 +55,14 @@
         return cost * (1.0 + SPREAD * self._random.random())
 
     def choose(
-        self, pending: PendingRequest, ready: Endpoints, warming: Endpoints, reach: float
+        self, pending: PendingRequest, ready: Endpoints, warming: Endpoints, subset_radius: float
     ) -> EndpointState | None:
-        """The best of some ready endpoints within reach; a warming one is taken for its requests alone."""
+        """The best of a few ready endpoints; a warming one is taken for its own requests alone."""
         candidates = self._permitted(pending, ready) if pending.attempts else ready
         if len(candidates) > 2 * SAMPLE:
-            quick = [e for e in self._quick[pending.request_class.name].values() if e.distance <= reach]
+            quick = [
+                e for e in self._quick[pending.request_class.name].values() if e.distance <= subset_radius
+            ]
             extra = [e for e in quick if e in candidates] if pending.attempts else quick + warming
             candidates = self._random.sample(candidates, SAMPLE) + extra
         picked = self._slow_start.pick(pending.slow_start_draw, ready, warming) if warming else None
@@ -135,7 +95,7 @@
         """Remember the endpoints that answered a class quickly last."""
         quick = self._quick[request_class.name]
         quick.pop(endpoint.id, None)
-        if latency_ms < QUICK_SHARE * request_class.latency_objective_ms:
+        if latency_ms < FAST_RESPONSE_OBJECTIVE_SHARE * request_class.latency_objective_ms:
             quick[endpoint.id] = endpoint
             if len(quick) > SAMPLE:
                 del quick[next(iter(quick))]
--- a/quota_gateway/policy/outliers.py
+++ b/quota_gateway/policy/outliers.py
@@ -1,7 +1,8 @@
 """Failure rates of endpoints, and detection of outliers: docs/decisions/outliers.md."""
 
+from quota_gateway.model.endpoint_state import NO_RECORD, DetectedOutlier, EndpointState, FailureRecord
 from quota_gateway.model.events import AttemptStatus
-from quota_gateway.model.state import NO_RECORD, DetectedOutlier, EndpointState, FailureRecord, PendingRequest
+from quota_gateway.model.pending_request import PendingRequest
 from quota_gateway.policy.clock import DecayClock
 
 PRIOR_OUTCOMES = 1.0  # outcomes that the rate seen at all endpoints weighs against an endpoint's own
@@ -44,9 +45,9 @@
 
     def is_outlier(self, endpoint: EndpointState) -> bool:
         """Whether it fails too often under any key."""
-        return any(self.is_outlier_for(endpoint, key) for key in endpoint.failures)
+        return any(self.is_outlier_under_key(endpoint, key) for key in endpoint.failures)
 
-    def is_outlier_for(self, endpoint: EndpointState, key: str) -> bool:
+    def is_outlier_under_key(self, endpoint: EndpointState, key: str) -> bool:
         """Whether it fails too often under this key."""
         return self._failures.failure_rate(endpoint, key) >= OUTLIER_RATE
 
@@ -54,22 +55,22 @@
         self, pending: PendingRequest, endpoint: EndpointState, status: AttemptStatus
     ) -> DetectedOutlier | None:
         """Note an outcome; a failure that makes the endpoint an outlier is returned."""
-        all_key, class_key, plan_key = pending.failure_keys
+        keys = pending.failure_keys
         if status is AttemptStatus.OK:
-            for key in pending.failure_keys:
+            for key in keys:
                 self._failures.record(endpoint, key, failed=False)
         elif status is AttemptStatus.ERROR:
-            return self._on_failure(endpoint, class_key, status.value)
+            return self._on_failure(endpoint, keys.request_class, status.value)
         elif status is AttemptStatus.OVERLOADED and not pending.had_error:  # else the request is over
-            return self._on_failure(endpoint, plan_key, status.value)
+            return self._on_failure(endpoint, keys.class_of_plan, status.value)
         elif status in (AttemptStatus.CONNECT_FAILED, AttemptStatus.RESET):
-            return self._on_failure(endpoint, all_key, status.value)
+            return self._on_failure(endpoint, keys.all_requests, status.value)
         return None
 
-    def on_slow(self, pending: PendingRequest, endpoint: EndpointState) -> DetectedOutlier | None:
+    def on_slow_attempt(self, pending: PendingRequest, endpoint: EndpointState) -> DetectedOutlier | None:
         """Note an attempt that is still in flight when it is slow, before its outcome tells."""
-        return self._on_failure(endpoint, pending.failure_keys[1], "silent")
+        return self._on_failure(endpoint, pending.failure_keys.request_class, "silent")
 
     def _on_failure(self, endpoint: EndpointState, key: str, reason: str) -> DetectedOutlier | None:
         self._failures.record(endpoint, key, failed=True)
-        return DetectedOutlier(endpoint, key, reason) if self.is_outlier_for(endpoint, key) else None
+        return DetectedOutlier(endpoint, key, reason) if self.is_outlier_under_key(endpoint, key) else None
--- a/quota_gateway/policy/quota.py
+++ b/quota_gateway/policy/quota.py
@@ -3,13 +3,13 @@
 from math import exp
 from random import Random
 
+from quota_gateway.model.customer_state import CustomerState
 from quota_gateway.model.events import Request
 from quota_gateway.model.settings import Plan, Settings
-from quota_gateway.model.state import CustomerState
 from quota_gateway.policy.clock import DecayClock
-from quota_gateway.policy.in_flight_limit import NARROW_SET, Ceiling
+from quota_gateway.policy.in_flight_limit import SMALL_GATEWAY_SET_SIZE, Ceiling
 
-THOUSANDTHS = 1000.0  # of a unit, the unit of the excess
+MILLIUNITS_PER_UNIT = 1000.0  # of a unit, the unit of the excess
 SHARE_GROWTH = 0.1  # share of the headroom given out: reports are late, and all gateways rise on one figure
 REPORT_PERIODS = 4.0  # usage periods a report stays news: the period, its lateness, a gap in traffic
 CUSTOMERS_CHECKED = 2  # for forgetting at each request: more than the one that it may bring
@@ -40,9 +40,9 @@
         """How long the even share takes to drain the customer's largest request."""
         if not plan.rate:
             return 0.0
-        return customer.largest_units * customer.gateway_set_size * THOUSANDTHS / plan.rate
+        return customer.largest_units * customer.gateway_set_size * MILLIUNITS_PER_UNIT / plan.rate
 
-    def is_thin(self, customer: CustomerState, plan: Plan) -> bool:
+    def share_is_below_one_request(self, customer: CustomerState, plan: Plan) -> bool:
         """Whether the even share is less than a request, in its burst and while a report is news."""
         is_burst_thin = plan.burst < customer.largest_units * customer.gateway_set_size
         return is_burst_thin and self.drain_ms(customer, plan) > self.report_lifetime_ms
@@ -59,9 +59,11 @@
 
     def admits(self, customer: CustomerState, plan: Plan) -> bool:
         """Whether a request may pass on to the quota; drawn at random where nothing is known."""
-        if customer.gateway_set_size <= NARROW_SET or plan.excess_cost <= plan.excess_value:
+        if customer.gateway_set_size <= SMALL_GATEWAY_SET_SIZE or plan.excess_cost <= plan.excess_value:
             return True  # few gateways, or nothing is lost by what goes beyond
-        is_wide = self._quota.is_thin(customer, plan) if plan.rate else plan.max_in_flight > 0
+        is_wide = (
+            self._quota.share_is_below_one_request(customer, plan) if plan.rate else plan.max_in_flight > 0
+        )
         lifetime_ms = max(self._quota.report_lifetime_ms, self._quota.drain_ms(customer, plan))
         if not is_wide or self._clock.now_ms - customer.usage_at_ms <= lifetime_ms:
             return True
@@ -69,7 +71,7 @@
 
     def on_usage_report(self, customer: CustomerState, plan: Plan, usage: float) -> None:
         """Move the admitted share of a plan by what a report tells of one customer."""
-        if customer.gateway_set_size > NARROW_SET:
+        if customer.gateway_set_size > SMALL_GATEWAY_SET_SIZE:
             target = ADMISSION_TARGET / (1.0 + max(0.0, plan.excess_cost - plan.excess_value))
             share = self.admitted_shares[plan.name] * exp(ADMISSION_STEP * (target - (usage > 1.0)))
             self.admitted_shares[plan.name] = min(1.0, max(LEAST_ADMITTED_SHARE, share))
--- a/quota_gateway/policy/retries.py
+++ b/quota_gateway/policy/retries.py
@@ -1,12 +1,14 @@
 """Retries and hedged requests, and their budget: docs/decisions/retries.md."""
 
 from quota_gateway.model.events import AttemptStatus
+from quota_gateway.model.pending_request import PendingRequest, RunningAttempt
 from quota_gateway.model.settings import GatewayLimits, Idempotency, IdempotencyScope
-from quota_gateway.model.state import PendingRequest, RunningAttempt
 from quota_gateway.policy.clock import DecayClock
 
-TOKENS_PER_REQUEST = 0.2  # retries per first attempt, over time: bounds what failures can add to the load
-MOST_TOKENS = 10.0  # retries saved up at most
+RETRY_TOKENS_PER_FIRST_ATTEMPT = (
+    0.2  # retries per first attempt, over time: bounds what failures can add to the load
+)
+MAX_RETRY_TOKENS = 10.0  # retries saved up at most
 NEVER_EXECUTED = (AttemptStatus.OVERLOADED, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT)
 
 
@@ -16,12 +18,12 @@
     def __init__(self, limits: GatewayLimits, clock: DecayClock) -> None:
         self._max_attempts = limits.max_attempts
         self._clock = clock
-        self.tokens = MOST_TOKENS
+        self.tokens = MAX_RETRY_TOKENS
 
     def on_start(self, attempt: int, is_free: bool) -> None:
         """Fill the budget by a first attempt, charge a further one to it unless it is free."""
         if attempt == 0:
-            self.tokens = min(MOST_TOKENS, self.tokens + TOKENS_PER_REQUEST)
+            self.tokens = min(MAX_RETRY_TOKENS, self.tokens + RETRY_TOKENS_PER_FIRST_ATTEMPT)
         elif not is_free:
             self.tokens -= 1.0
 
@@ -46,7 +48,7 @@
 
     def restore(self, tokens: float) -> None:
         """Go on from the budget of the process before."""
-        self.tokens = min(MOST_TOKENS, tokens)
+        self.tokens = min(MAX_RETRY_TOKENS, tokens)
 
 
 def is_retry_harmless(pending: PendingRequest) -> bool:
--- a/quota_gateway/policy/slow_start.py
+++ b/quota_gateway/policy/slow_start.py
@@ -1,7 +1,7 @@
 """Slow start of endpoints that warm up: docs/decisions/slow_start.md."""
 
+from quota_gateway.model.endpoint_state import Endpoints, EndpointState
 from quota_gateway.model.settings import ServiceRules
-from quota_gateway.model.state import Endpoints, EndpointState
 from quota_gateway.policy.clock import DecayClock
 
 OVERLOAD_BUDGET = 0.5  # of the overload factor: a burst of half as much again and chance fit into the rest
--- a/scale/subsets/__main__.py
+++ b/scale/subsets/__main__.py
@@ -23,7 +23,9 @@
     parser.add_argument("--gateways", type=int, default=500)
     parser.add_argument("--servers", type=int, default=5000)
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--least", type=int, default=subset.LEAST, help="the smallest subset, in servers")
+    parser.add_argument(
+        "--least", type=int, default=subset.MIN_SUBSET_SIZE, help="the smallest subset, in servers"
+    )
     parser.add_argument(
         "--way", action="append", choices=list(STRATEGIES), help="only this one; may be repeated"
     )
--- a/scale/subsets/strategies.py
+++ b/scale/subsets/strategies.py
@@ -114,12 +114,14 @@
         if len(self._positions) != len(names):
             rings = len(self.steps)
             digests = b"".join(blake2b(name.encode(), digest_size=4 * rings).digest() for name in names)
-            self._positions = np.frombuffer(digests, "<u4").reshape(-1, rings) / subset.TURN
+            self._positions = np.frombuffer(digests, "<u4").reshape(-1, rings) / subset.RING_SIZE
         return self._positions
 
     def _gateway_positions(self, gateway: int) -> NDArray[np.float64]:
-        positions = np.array([gateway * int(step * subset.TURN) % subset.TURN for step in self.steps])
-        return positions / subset.TURN
+        positions = np.array(
+            [gateway * int(step * subset.RING_SIZE) % subset.RING_SIZE for step in self.steps]
+        )
+        return positions / subset.RING_SIZE
 
     @staticmethod
     def _next_on_each_ring(
--- a/scale/subsets/timing.py
+++ b/scale/subsets/timing.py
@@ -42,7 +42,7 @@
     rows = len(names)
     own_subset = subset.Subset(topology.gateways, topology.gateways // 2, topology.minimum_size)
     size = own_subset.size(rows)
-    sharers = min(topology.gateways, ceil(own_subset.sharers(rows)))
+    sharers = min(topology.gateways, ceil(own_subset.gateways_per_server(rows)))
 
     def offer_all() -> None:
         nearest = NearestEndpoints(own_subset)
--- a/tests/policy/test_protocol_rules.py
+++ b/tests/policy/test_protocol_rules.py
@@ -18,7 +18,9 @@
     ServiceRules,
     UpdateKind,
 )
-from quota_gateway.model.state import CustomerState, EndpointState, FailureRecord, Moment, PendingRequest
+from quota_gateway.model.customer_state import CustomerState
+from quota_gateway.model.endpoint_state import EndpointState, FailureRecord, Moment
+from quota_gateway.model.pending_request import PendingRequest
 from tests.support.engine_harness import (
     CLASSES,
     DEAR,
