--- a/quota_gateway/model/endpoint_state.py
+++ b/quota_gateway/model/endpoint_state.py
@@ -1,4 +1,4 @@
-"""What a gateway knows of one endpoint, and the records that its statistics are made of."""
+"""The state of an endpoint as one gateway sees it, and the records of which statistics are made."""
 
 from __future__ import annotations
 
@@ -16,13 +16,27 @@
 
 
 class FailureRecord(NamedTuple):
-    """Failures and all outcomes, both decayed, and when they were updated."""
+    """Counts of failures and of all outcomes, both decayed exponentially, as of ``updated``."""
 
     failures: float
     outcomes: float
     updated: Moment
 
 
+class LatencyMean(NamedTuple):
+    """The mean latency of requests of one class and size, and the number of responses in it."""
+
+    mean_ms: float
+    responses: int
+
+
+class DetachmentPeriod(NamedTuple):
+    """From when until when operators had an endpoint detached that is attached again."""
+
+    since_ms: float
+    until_ms: float
+
+
 NEVER = Moment(-inf, 0)
 NO_RECORD = FailureRecord(0.0, 0.0, NEVER)  # of an endpoint that has had no outcome yet
 
--- a/tests/policy/test_protocol_rules.py
+++ b/tests/policy/test_protocol_rules.py
@@ -19,7 +19,7 @@
     UpdateKind,
 )
 from quota_gateway.model.customer_state import CustomerState
-from quota_gateway.model.endpoint_state import EndpointState, FailureRecord, Moment
+from quota_gateway.model.endpoint_state import EndpointState, FailureRecord, LatencyMean, Moment
 from quota_gateway.model.pending_request import PendingRequest
 from tests.support.engine_harness import (
     CLASSES,
@@ -523,7 +523,7 @@
 def harness_with_silent_attempt(class_name: str, mean_latency_ms: float) -> tuple[EngineHarness, str]:
     """A harness with this mean latency of a class, and its request that is in flight without an answer."""
     harness = harness_with_endpoints(2)
-    harness.gateway.latencies.means[class_name][1] = (mean_latency_ms, 1)
+    harness.gateway.latencies.means[class_name][1] = LatencyMean(mean_latency_ms, 1)
     return harness, harness.ask(class_name=class_name)
 
 
