--- a/quota_gateway/model/snapshot.py
+++ b/quota_gateway/model/snapshot.py
@@ -10,7 +10,7 @@
 
 from quota_gateway.errors import StateError
 from quota_gateway.model.customer_state import CustomerState
-from quota_gateway.model.endpoint_state import EndpointRecord, FailureRecord, Moment
+from quota_gateway.model.endpoint_state import EndpointRecord, FailureRecord, LatencyMean, Moment
 from quota_gateway.model.settings import Settings
 
 # Attributes of a customer in the order of its row, after its plan, its name and its attempts in flight
@@ -52,7 +52,7 @@
     started_at_ms: float
     detached: dict[int, float]
     attached: dict[int, tuple[float, float]]
-    latencies: dict[str, dict[int, tuple[float, int]]]
+    latencies: dict[str, dict[int, LatencyMean]]
 
     def to_json(self) -> dict[str, Any]:
         """Plain values that go into JSON."""
@@ -125,7 +125,8 @@
             },
             latencies={
                 name: {
-                    int(size): (_number_in(mean), int(seen)) for size, mean, seen in state["latency"][name]
+                    int(size): LatencyMean(_number_in(mean), int(seen))
+                    for size, mean, seen in state["latency"][name]
                 }
                 for name in classes
                 if name in state["latency"]
--- a/quota_gateway/policy/latency.py
+++ b/quota_gateway/policy/latency.py
@@ -2,55 +2,68 @@
 
 from collections.abc import Sequence
 
-from quota_gateway.model.endpoint_state import EndpointState
+from quota_gateway.model.endpoint_state import EndpointState, LatencyMean
 from quota_gateway.model.pending_request import PendingRequest
 from quota_gateway.model.settings import RequestClass
 from quota_gateway.policy.clock import DecayClock
 
-INITIAL_LATENCY_OBJECTIVE_SHARE = 0.2  # of the objective, until responses have been seen
-MIN_LATENCY_SAMPLE_WEIGHT = 0.03  # of one response in a mean latency, once 1 / weight responses are in it
+INITIAL_LATENCY_OBJECTIVE_SHARE = 0.2  # mean latency before any response, as a share of the objective
+MIN_LATENCY_SAMPLE_WEIGHT = 0.03  # of one response in a mean latency
 RELATIVE_LATENCY_SAMPLE_WEIGHT = 0.15  # of one response in an endpoint's relative latency
 ATTEMPT_LOST_AFTER_MEAN_LATENCIES = 8.0
 FAST_RESPONSE_OBJECTIVE_SHARE = 0.3  # faster responses raise the concurrency limit
+AVERAGE_RELATIVE_LATENCY = 1.0
 
 
 class LatencyStatistics:
-    """Mean latencies by class and size, and what they say of an attempt."""
+    """Mean latencies in milliseconds by request class and size, and the limits that follow from them."""
 
     def __init__(self, classes: Sequence[RequestClass], clock: DecayClock) -> None:
         self._clock = clock
-        self.means: dict[str, dict[int, tuple[float, int]]] = {item.name: {} for item in classes}
+        self.means: dict[str, dict[int, LatencyMean]] = {item.name: {} for item in classes}
 
     def mean_ms(self, pending: PendingRequest) -> float:
-        """The mean latency of requests of this class and size, or what is taken for it at first."""
-        seen = self.means[pending.request_class.name].get(pending.size)
-        return (
-            seen[0] if seen else INITIAL_LATENCY_OBJECTIVE_SHARE * pending.request_class.latency_objective_ms
-        )
+        """Return the mean latency for the request's class and size, or its initial value."""
+        mean = self.means[pending.request_class.name].get(pending.size)
+        if mean:
+            return mean.mean_ms
+        return INITIAL_LATENCY_OBJECTIVE_SHARE * pending.request_class.latency_objective_ms
 
     def size_extra_ms(self, pending: PendingRequest) -> float:
-        """How much longer a request of this size takes than the smallest of its class, by its work."""
+        """Return by how much a request of this size is slower than the smallest of its class."""
         means = self.means[pending.request_class.name]
-        return max(0.0, means[pending.size][0] - means[min(means)][0]) if pending.size in means else 0.0
+        if pending.size not in means:
+            return 0.0
+        return max(0.0, means[pending.size].mean_ms - means[min(means)].mean_ms)
 
     def latest_start_ms(self, pending: PendingRequest) -> float:
-        """When an attempt has to start for an answer within the objective."""
+        """Return the time until which an attempt can start and still meet the latency objective."""
         return pending.arrived_ms + pending.request_class.latency_objective_ms - self.mean_ms(pending)
 
     def is_presumed_lost(self, pending: PendingRequest, started_ms: float) -> bool:
-        """Whether an attempt has been in flight for so long that its answer will hardly come any more."""
+        """Whether an attempt has been in flight for so long that no response is expected any more."""
         return self._clock.now_ms - started_ms >= ATTEMPT_LOST_AFTER_MEAN_LATENCIES * self.mean_ms(pending)
 
     def record(self, pending: PendingRequest, endpoint: EndpointState, latency_ms: float) -> None:
-        """Move the mean of the class and size, and the endpoint's relative latency, by a good answer."""
+        """Update the mean of the class and size and the endpoint's relative latency by a good response."""
+        mean_ms = self._update_mean(pending, latency_ms)
+        relative_latency = current_relative_latency(endpoint, self._clock)
+        deviation = latency_ms / mean_ms - relative_latency
+        endpoint.relative_latency = relative_latency + RELATIVE_LATENCY_SAMPLE_WEIGHT * deviation
+        endpoint.relative_latency_at = self._clock.moment()
+
+    def _update_mean(self, pending: PendingRequest, latency_ms: float) -> float:
+        """Update the mean by a response and return it; the initial value counts as one response."""
         mean_ms = self.mean_ms(pending)
         means = self.means[pending.request_class.name]
-        seen = means.get(pending.size, (mean_ms, 0))[1] + 1
-        mean_ms += max(MIN_LATENCY_SAMPLE_WEIGHT, 1.0 / (seen + 1)) * (latency_ms - mean_ms)
-        means[pending.size] = mean_ms, seen
-        remaining = self._clock.remaining(endpoint.relative_latency_at)
-        decayed = 1.0 + (endpoint.relative_latency - 1.0) * remaining
-        endpoint.relative_latency = decayed + RELATIVE_LATENCY_SAMPLE_WEIGHT * (
-            latency_ms / mean_ms - decayed
-        )
-        endpoint.relative_latency_at = self._clock.moment()
+        responses = (means[pending.size].responses if pending.size in means else 0) + 1
+        sample_weight = max(MIN_LATENCY_SAMPLE_WEIGHT, 1.0 / (responses + 1))
+        mean_ms += sample_weight * (latency_ms - mean_ms)
+        means[pending.size] = LatencyMean(mean_ms, responses)
+        return mean_ms
+
+
+def current_relative_latency(endpoint: EndpointState, clock: DecayClock) -> float:
+    """Return an endpoint's latency relative to the mean, decayed towards the average until now."""
+    deviation = endpoint.relative_latency - AVERAGE_RELATIVE_LATENCY
+    return AVERAGE_RELATIVE_LATENCY + deviation * clock.remaining(endpoint.relative_latency_at)
