--- a/quota_gateway/policy/load_balancing.py
+++ b/quota_gateway/policy/load_balancing.py
@@ -8,7 +8,7 @@
 from quota_gateway.model.settings import Idempotency, IdempotencyScope, RequestClass, Settings
 from quota_gateway.policy.clock import DecayClock
 from quota_gateway.policy.latency import FAST_RESPONSE_OBJECTIVE_SHARE
-from quota_gateway.policy.outliers import OUTLIER_RATE, OutlierDetector
+from quota_gateway.policy.outliers import OUTLIER_FAILURE_RATE, OutlierDetector
 from quota_gateway.policy.slow_start import SlowStart
 
 QUEUE_WEIGHT = 1.0  # requests in flight that one reported as waiting stands for
@@ -47,7 +47,7 @@
         latency = 1.0 + (endpoint.relative_latency - 1.0) * remaining(endpoint.relative_latency_at)
         share = self._slow_start.capacity_share(endpoint)
         failure = self._outliers.failure_probability(pending, endpoint)
-        if share < 1.0 and failure < OUTLIER_RATE:
+        if share < 1.0 and failure < OUTLIER_FAILURE_RATE:
             failure = 0.0  # it is slow as a warming one has to be: its requests are few for that
         cost = latency * (share * (share + waiting) + (1.0 + waiting) * FAILURE_COST * failure)
         if endpoint.zone != self._zone:
--- a/quota_gateway/policy/outliers.py
+++ b/quota_gateway/policy/outliers.py
@@ -1,75 +1,100 @@
 """Failure rates of endpoints, and detection of outliers: docs/decisions/outliers.md."""
 
+from collections.abc import Callable
+
 from quota_gateway.model.endpoint_state import NO_RECORD, DetectedOutlier, EndpointState, FailureRecord
 from quota_gateway.model.events import AttemptStatus
-from quota_gateway.model.pending_request import PendingRequest
+from quota_gateway.model.pending_request import FailureKeys, PendingRequest
 from quota_gateway.policy.clock import DecayClock
 
-PRIOR_OUTCOMES = 1.0  # outcomes that the rate seen at all endpoints weighs against an endpoint's own
-OUTLIER_RATE = 0.5  # failure rate from which a slow attempt is taken elsewhere, and a line is logged
+PRIOR_WEIGHT_OUTCOMES = 1.0  # weight of the failure rate over all endpoints in that of one endpoint
+OUTLIER_FAILURE_RATE = 0.5  # failures per outcome
+SLOW_ATTEMPT_REASON = "silent"
+
+#: The key under which a failed attempt counts: the narrowest that its status tells of. A status that is
+#: not listed tells nothing of the endpoint. A good response counts under all keys of its request.
+FAILURE_KEY_BY_STATUS: dict[AttemptStatus, Callable[[FailureKeys], str]] = {
+    AttemptStatus.CONNECT_FAILED: lambda keys: keys.all_requests,
+    AttemptStatus.RESET: lambda keys: keys.all_requests,
+    AttemptStatus.ERROR: lambda keys: keys.request_class,
+    AttemptStatus.OVERLOADED: lambda keys: keys.class_of_plan,
+}
 
 
 class FailureTracker:
-    """Failure rates with exponential decay: of each endpoint by key, and of all together."""
+    """Failure rates with exponential decay, by key: of each endpoint and over all endpoints.
+
+    Attributes:
+        totals: Records over all endpoints, by key; the key "" of all requests is kept by zone instead.
+    """
 
     def __init__(self, clock: DecayClock) -> None:
         self._clock = clock
-        self.totals: dict[str, FailureRecord] = {}  # over all endpoints; what is of no class by zone
+        self.totals: dict[str, FailureRecord] = {}
 
     def record(self, endpoint: EndpointState, key: str, failed: bool) -> None:
-        """Note how an attempt went, for its endpoint and for all."""
-        for records, name in ((endpoint.failures, key), (self.totals, key or endpoint.zone)):
-            failures, outcomes, updated = records.get(name, NO_RECORD)
-            remaining = self._clock.remaining(updated)
-            failures = failures * remaining + failed
-            records[name] = FailureRecord(failures, outcomes * remaining + 1.0, self._clock.moment())
+        """Add an outcome to the records of its endpoint and of all endpoints."""
+        self._add_outcome(endpoint.failures, key, failed)
+        self._add_outcome(self.totals, key or endpoint.zone, failed)
+
+    def _add_outcome(self, records: dict[str, FailureRecord], key: str, failed: bool) -> None:
+        record = records.get(key, NO_RECORD)
+        remaining = self._clock.remaining(record.updated)
+        failures = record.failures * remaining + failed
+        outcomes = record.outcomes * remaining + 1.0
+        records[key] = FailureRecord(failures, outcomes, self._clock.moment())
 
     def failure_rate(self, endpoint: EndpointState, key: str) -> float:
-        """The rate expected at an endpoint: its own, and that of all while it shows little."""
+        """Return the failures per outcome expected at an endpoint, from 0 to 1.
+
+        The rate over all endpoints counts as a prior. It leads while the endpoint has few recent outcomes.
+        """
         all_failures, all_outcomes, _ = self.totals.get(key or endpoint.zone, NO_RECORD)
-        prior = PRIOR_OUTCOMES * all_failures / (all_outcomes + 1.0)
+        prior_rate = all_failures / (all_outcomes + 1.0)
         failures, outcomes, updated = endpoint.failures.get(key, NO_RECORD)
         remaining = self._clock.remaining(updated) if outcomes else 0.0
-        return (failures * remaining + prior) / (outcomes * remaining + PRIOR_OUTCOMES)
+        expected_failures = failures * remaining + PRIOR_WEIGHT_OUTCOMES * prior_rate
+        return expected_failures / (outcomes * remaining + PRIOR_WEIGHT_OUTCOMES)
 
 
 class OutlierDetector:
-    """Which endpoints fail too often, for all requests or for those of a class or plan."""
+    """Detects endpoints that fail too often, for all requests or for those of a class or plan."""
 
     def __init__(self, failures: FailureTracker) -> None:
         self._failures = failures
 
     def failure_probability(self, pending: PendingRequest, endpoint: EndpointState) -> float:
-        """How likely the request fails there."""
+        """Return the probability that the request fails at an endpoint: the worst under its keys."""
         return max([self._failures.failure_rate(endpoint, key) for key in pending.failure_keys])
 
     def is_outlier(self, endpoint: EndpointState) -> bool:
-        """Whether it fails too often under any key."""
+        """Whether the endpoint fails too often under any key."""
         return any(self.is_outlier_under_key(endpoint, key) for key in endpoint.failures)
 
     def is_outlier_under_key(self, endpoint: EndpointState, key: str) -> bool:
-        """Whether it fails too often under this key."""
-        return self._failures.failure_rate(endpoint, key) >= OUTLIER_RATE
+        """Whether the endpoint fails too often under this key."""
+        return self._failures.failure_rate(endpoint, key) >= OUTLIER_FAILURE_RATE
 
     def on_outcome(
         self, pending: PendingRequest, endpoint: EndpointState, status: AttemptStatus
     ) -> DetectedOutlier | None:
-        """Note an outcome; a failure that makes the endpoint an outlier is returned."""
-        keys = pending.failure_keys
+        """Record the outcome of an attempt; return the endpoint if a failure shows it as an outlier."""
         if status is AttemptStatus.OK:
-            for key in keys:
+            for key in pending.failure_keys:
                 self._failures.record(endpoint, key, failed=False)
-        elif status is AttemptStatus.ERROR:
-            return self._on_failure(endpoint, keys.request_class, status.value)
-        elif status is AttemptStatus.OVERLOADED and not pending.had_error:  # else the request is over
-            return self._on_failure(endpoint, keys.class_of_plan, status.value)
-        elif status in (AttemptStatus.CONNECT_FAILED, AttemptStatus.RESET):
-            return self._on_failure(endpoint, keys.all_requests, status.value)
-        return None
+            return None
+        if status is AttemptStatus.OVERLOADED and pending.had_error:
+            return None  # after an error the request is over: this tells nothing of the endpoint
+        failure_key = FAILURE_KEY_BY_STATUS.get(status)
+        return (
+            self._on_failure(endpoint, failure_key(pending.failure_keys), status.value)
+            if failure_key
+            else None
+        )
 
     def on_slow_attempt(self, pending: PendingRequest, endpoint: EndpointState) -> DetectedOutlier | None:
-        """Note an attempt that is still in flight when it is slow, before its outcome tells."""
-        return self._on_failure(endpoint, pending.failure_keys.request_class, "silent")
+        """Record an attempt as failed that is slow and still in flight, ahead of its outcome."""
+        return self._on_failure(endpoint, pending.failure_keys.request_class, SLOW_ATTEMPT_REASON)
 
     def _on_failure(self, endpoint: EndpointState, key: str, reason: str) -> DetectedOutlier | None:
         self._failures.record(endpoint, key, failed=True)
