--- a/quota_gateway/policy/load_balancing.py
+++ b/quota_gateway/policy/load_balancing.py
@@ -1,5 +1,6 @@
-"""The choice of an endpoint: docs/decisions/load_balancing.md."""
+"""Load balancing: which endpoint gets an attempt: docs/decisions/load_balancing.md."""
 
+from collections.abc import Callable
 from math import ceil
 from random import Random
 
@@ -7,20 +8,55 @@
 from quota_gateway.model.pending_request import PendingRequest
 from quota_gateway.model.settings import Idempotency, IdempotencyScope, RequestClass, Settings
 from quota_gateway.policy.clock import DecayClock
-from quota_gateway.policy.latency import FAST_RESPONSE_OBJECTIVE_SHARE
+from quota_gateway.policy.latency import FAST_RESPONSE_OBJECTIVE_SHARE, current_relative_latency
 from quota_gateway.policy.outliers import OUTLIER_FAILURE_RATE, OutlierDetector
 from quota_gateway.policy.slow_start import SlowStart
 
-QUEUE_WEIGHT = 1.0  # requests in flight that one reported as waiting stands for
-CROSS_ZONE_WEIGHT = 10.0  # how many times its price a zone crossing weighs against a mean latency
-FAILURE_COST = 6.0  # mean latencies that a failure costs beside a wait: most of a request's value is lost
-SPREAD = 0.1  # share of a cost drawn at random, so that gateways with the same reports do not choose alike
-SAMPLE = 10  # endpoints compared for a request, drawn at random, beside as many that were quick last
-SLOW_START_RANK = 0.75  # of those compared: a warming one is taken unless so many look better
+IN_FLIGHT_PER_QUEUED_REQUEST = 1.0  # weight of a request that an endpoint reports as queued
+CROSS_ZONE_FACTOR_PER_COST_SHARE = 10.0  # added to the cost factor, times Settings.cross_zone_cost
+FAILURE_COST_MEAN_LATENCIES = 6.0
+COST_JITTER_SHARE = 0.1  # so that gateways with the same load reports do not choose alike
+SAMPLED_ENDPOINTS = 10
+MAX_FAST_ENDPOINTS_PER_CLASS = 10
+MAX_ENDPOINTS_WITHOUT_SAMPLING = SAMPLED_ENDPOINTS + MAX_FAST_ENDPOINTS_PER_CLASS
+SLOW_START_MAX_RANK_SHARE = 0.75  # of those compared: the rank within which a warming endpoint is chosen
+QUEUE_LENGTH_FIELD = "queue"  # of a load report, see Settings.load_report_fields
+
+#: Whether an endpoint recognizes the idempotency key of a request that the first endpoint has executed.
+SCOPE_RULES: dict[IdempotencyScope, Callable[[EndpointState, EndpointState], bool]] = {
+    IdempotencyScope.ALL: lambda _first, _other: True,
+    IdempotencyScope.ZONE: lambda first, other: other.zone == first.zone,
+    IdempotencyScope.CELL: lambda first, other: other.zone == first.zone and other.cell == first.cell,
+}
+
+
+class IdempotencyGroup:
+    """The endpoints at which a request may be repeated without a second execution."""
+
+    def __init__(self, clock: DecayClock) -> None:
+        self._clock = clock
+
+    def contains(self, pending: PendingRequest, endpoint: EndpointState) -> bool:
+        """Whether the request may be sent to this endpoint after its attempts so far."""
+        request_class = pending.request_class
+        if pending.first_executed is None or request_class.idempotency is Idempotency.IDEMPOTENT:
+            return True
+        first_endpoint, started_ms = pending.first_executed
+        is_key_expired = self._clock.now_ms - started_ms >= request_class.idempotency_window_ms
+        if request_class.idempotency is Idempotency.NON_IDEMPOTENT or is_key_expired:
+            return False
+        return SCOPE_RULES[request_class.idempotency_scope](first_endpoint, endpoint)
+
+    def endpoints_for_retry(self, pending: PendingRequest, ready: Endpoints) -> Endpoints:
+        """Return those not tried yet; for a keyed request that has tried all of its group, the group."""
+        group = [endpoint for endpoint in ready if self.contains(pending, endpoint)]
+        untried = [endpoint for endpoint in group if endpoint.id not in pending.tried_endpoints]
+        is_keyed = pending.request_class.idempotency is Idempotency.KEYED
+        return group if is_keyed and not untried else untried
 
 
 class LoadBalancer:
-    """Chooses the endpoint with the least expected cost among a few."""
+    """Chooses the endpoint with the least expected cost among a sample."""
 
     def __init__(
         self,
@@ -31,77 +67,91 @@
         outliers: OutlierDetector,
     ) -> None:
         self._zone = settings.zone
-        self._cross_zone_factor = 1.0 + CROSS_ZONE_WEIGHT * settings.cross_zone_cost
+        self._cross_zone_factor = 1.0 + CROSS_ZONE_FACTOR_PER_COST_SHARE * settings.cross_zone_cost
         self._report_fields = settings.load_report_fields
         self._clock = clock
         self._random = random
         self._slow_start = slow_start
         self._outliers = outliers
-        self._quick: dict[str, dict[int, EndpointState]] = {item.name: {} for item in settings.classes}
-
-    def cost(self, pending: PendingRequest, endpoint: EndpointState) -> float:
-        """The wait expected at an endpoint, in mean latencies, and what a failure there would cost."""
-        remaining = self._clock.remaining
-        queue_length = endpoint.queue_length * remaining(endpoint.queue_length_at)
-        waiting = len(endpoint.in_flight) + QUEUE_WEIGHT * queue_length
-        latency = 1.0 + (endpoint.relative_latency - 1.0) * remaining(endpoint.relative_latency_at)
-        share = self._slow_start.capacity_share(endpoint)
-        failure = self._outliers.failure_probability(pending, endpoint)
-        if share < 1.0 and failure < OUTLIER_FAILURE_RATE:
-            failure = 0.0  # it is slow as a warming one has to be: its requests are few for that
-        cost = latency * (share * (share + waiting) + (1.0 + waiting) * FAILURE_COST * failure)
-        if endpoint.zone != self._zone:
-            cost *= self._cross_zone_factor
-        return cost * (1.0 + SPREAD * self._random.random())
+        self._idempotency_group = IdempotencyGroup(clock)
+        self._fast_endpoints: dict[str, dict[int, EndpointState]] = {
+            item.name: {} for item in settings.classes
+        }
 
     def choose(
         self, pending: PendingRequest, ready: Endpoints, warming: Endpoints, subset_radius: float
     ) -> EndpointState | None:
-        """The best of a few ready endpoints; a warming one is taken for its own requests alone."""
-        candidates = self._permitted(pending, ready) if pending.attempts else ready
-        if len(candidates) > 2 * SAMPLE:
-            quick = [
-                e for e in self._quick[pending.request_class.name].values() if e.distance <= subset_radius
-            ]
-            extra = [e for e in quick if e in candidates] if pending.attempts else quick + warming
-            candidates = self._random.sample(candidates, SAMPLE) + extra
-        picked = self._slow_start.pick(pending.slow_start_draw, ready, warming) if warming else None
-        share = self._slow_start.capacity_share
-        candidates = [e for e in candidates if e.is_ready and (e is picked or share(e) >= 1.0)]
-        ranked = sorted(candidates, key=lambda endpoint: self.cost(pending, endpoint))
-        if picked in ranked[: ceil(SLOW_START_RANK * len(ranked))]:
-            return picked
+        """Choose an endpoint for the next attempt: find candidates, filter them, rank them.
+
+        Args:
+            pending: The request.
+            ready: The endpoints to work with.
+            warming: Those of them that warm up.
+            subset_radius: The largest ``EndpointState.distance`` of an endpoint to work with.
+
+        Returns:
+            The endpoint, or None where there is none that the request may be sent to.
+        """
+        candidates = self._find_candidates(pending, ready, warming, subset_radius)
+        slow_start_pick = self._slow_start.pick(pending.slow_start_draw, ready, warming) if warming else None
+        eligible = self._filter_eligible(candidates, slow_start_pick)
+        ranked = sorted(eligible, key=lambda endpoint: self.cost(pending, endpoint))
+        if slow_start_pick in ranked[: ceil(SLOW_START_MAX_RANK_SHARE * len(ranked))]:
+            return slow_start_pick
         return ranked[0] if ranked else None
 
-    def _permitted(self, pending: PendingRequest, ready: Endpoints) -> Endpoints:
-        """Endpoints for a retry: not tried yet, or, for a keyed request without such, any of its group."""
-        group = [endpoint for endpoint in ready if self._is_in_group(pending, endpoint)]
-        untried = [endpoint for endpoint in group if endpoint.id not in pending.tried_endpoints]
-        is_keyed = pending.request_class.idempotency is Idempotency.KEYED
-        return group if is_keyed and not untried else untried
+    def _find_candidates(
+        self, pending: PendingRequest, ready: Endpoints, warming: Endpoints, subset_radius: float
+    ) -> Endpoints:
+        """All permitted endpoints; of many a random sample, with fast and with warming ones."""
+        is_retry = pending.attempts > 0
+        permitted = self._idempotency_group.endpoints_for_retry(pending, ready) if is_retry else ready
+        if len(permitted) <= MAX_ENDPOINTS_WITHOUT_SAMPLING:
+            return permitted
+        fast_endpoints = self._fast_endpoints[pending.request_class.name].values()
+        fast = [endpoint for endpoint in fast_endpoints if endpoint.distance <= subset_radius]
+        extra = [endpoint for endpoint in fast if endpoint in permitted] if is_retry else fast + warming
+        return self._random.sample(permitted, SAMPLED_ENDPOINTS) + extra
 
-    def _is_in_group(self, pending: PendingRequest, endpoint: EndpointState) -> bool:
-        request_class, scope = pending.request_class, pending.request_class.idempotency_scope
-        if pending.first_executed is None or request_class.idempotency is Idempotency.IDEMPOTENT:
-            return True
-        first, started_ms = pending.first_executed
-        is_forgotten = self._clock.now_ms - started_ms >= request_class.idempotency_window_ms
-        if request_class.idempotency is Idempotency.NON_IDEMPOTENT or is_forgotten:
-            return False
-        is_in_cell = scope is not IdempotencyScope.CELL or endpoint.cell == first.cell
-        return scope is IdempotencyScope.ALL or (endpoint.zone == first.zone and is_in_cell)
+    def _filter_eligible(self, candidates: Endpoints, slow_start_pick: EndpointState | None) -> Endpoints:
+        """Those that are ready, and of those that warm up only the one that slow start has picked."""
+        capacity_share = self._slow_start.capacity_share
+        return [
+            endpoint
+            for endpoint in candidates
+            if endpoint.is_ready and (endpoint is slow_start_pick or capacity_share(endpoint) >= 1.0)
+        ]
+
+    def cost(self, pending: PendingRequest, endpoint: EndpointState) -> float:
+        """Return the expected cost of an attempt at an endpoint, in mean latencies of the request."""
+        queue_length = endpoint.queue_length * self._clock.remaining(endpoint.queue_length_at)
+        waiting = len(endpoint.in_flight) + IN_FLIGHT_PER_QUEUED_REQUEST * queue_length
+        latency = current_relative_latency(endpoint, self._clock)
+        capacity_share = self._slow_start.capacity_share(endpoint)
+        failure_probability = self._outliers.failure_probability(pending, endpoint)
+        if capacity_share < 1.0 and failure_probability < OUTLIER_FAILURE_RATE:
+            failure_probability = 0.0  # slow start already limits its requests
+        # A warming endpoint is slow in proportion to its missing capacity: the share takes that out again.
+        wait_cost = capacity_share * (capacity_share + waiting)
+        failure_cost = (1.0 + waiting) * FAILURE_COST_MEAN_LATENCIES * failure_probability
+        cost = latency * (wait_cost + failure_cost)
+        if endpoint.zone != self._zone:
+            cost *= self._cross_zone_factor
+        jitter = 1.0 + COST_JITTER_SHARE * self._random.random()
+        return cost * jitter
 
     def on_response(self, request_class: RequestClass, endpoint: EndpointState, latency_ms: float) -> None:
-        """Remember the endpoints that answered a class quickly last."""
-        quick = self._quick[request_class.name]
-        quick.pop(endpoint.id, None)
+        """Remember the endpoints with the most recent fast responses to a class."""
+        fast_endpoints = self._fast_endpoints[request_class.name]
+        fast_endpoints.pop(endpoint.id, None)
         if latency_ms < FAST_RESPONSE_OBJECTIVE_SHARE * request_class.latency_objective_ms:
-            quick[endpoint.id] = endpoint
-            if len(quick) > SAMPLE:
-                del quick[next(iter(quick))]
+            fast_endpoints[endpoint.id] = endpoint
+            if len(fast_endpoints) > MAX_FAST_ENDPOINTS_PER_CLASS:
+                del fast_endpoints[next(iter(fast_endpoints))]
 
     def on_load_report(self, endpoint: EndpointState, load: tuple[float, ...] | None) -> None:
-        """Take note of the queue that an endpoint reports."""
+        """Store the queue length that an endpoint reports, 0 where the report has none."""
         if load:
-            endpoint.queue_length = dict(zip(self._report_fields, load, strict=False)).get("queue") or 0.0
+            report = dict(zip(self._report_fields, load, strict=False))
+            endpoint.queue_length = report.get(QUEUE_LENGTH_FIELD) or 0.0
             endpoint.queue_length_at = self._clock.moment()
