--- a/quota_gateway/model/snapshot.py
+++ b/quota_gateway/model/snapshot.py
@@ -10,7 +10,13 @@
 
 from quota_gateway.errors import StateError
 from quota_gateway.model.customer_state import CustomerState
-from quota_gateway.model.endpoint_state import EndpointRecord, FailureRecord, LatencyMean, Moment
+from quota_gateway.model.endpoint_state import (
+    DetachmentPeriod,
+    EndpointRecord,
+    FailureRecord,
+    LatencyMean,
+    Moment,
+)
 from quota_gateway.model.settings import Settings
 
 # Attributes of a customer in the order of its row, after its plan, its name and its attempts in flight
@@ -51,7 +57,7 @@
     retry_tokens: float
     started_at_ms: float
     detached: dict[int, float]
-    attached: dict[int, tuple[float, float]]
+    attached: dict[int, DetachmentPeriod]
     latencies: dict[str, dict[int, LatencyMean]]
 
     def to_json(self) -> dict[str, Any]:
@@ -121,7 +127,8 @@
             },
             detached={int(number): _past_in(since, now_ms) for number, since in state["barred"]},
             attached={
-                int(row[0]): (_past_in(row[1], now_ms), _past_in(row[2], now_ms)) for row in state["attached"]
+                int(row[0]): DetachmentPeriod(_past_in(row[1], now_ms), _past_in(row[2], now_ms))
+                for row in state["attached"]
             },
             latencies={
                 name: {
--- a/quota_gateway/policy/endpoints.py
+++ b/quota_gateway/policy/endpoints.py
@@ -2,8 +2,9 @@
 
 from collections.abc import Iterable
 from math import inf
+from typing import NamedTuple
 
-from quota_gateway.model.endpoint_state import EndpointRecord, EndpointState
+from quota_gateway.model.endpoint_state import DetachmentPeriod, EndpointRecord, Endpoints, EndpointState
 from quota_gateway.model.events import Endpoint, EndpointLifecycle, EndpointUpdate, UpdateKind
 from quota_gateway.policy.clock import DecayClock
 from quota_gateway.policy.outliers import OutlierDetector
@@ -11,8 +12,69 @@
 from quota_gateway.policy.subset import Subset
 
 
+class Selection(NamedTuple):
+    """The ready endpoints to work with, and those on standby with the nearest last."""
+
+    ready: Endpoints
+    standby: Endpoints
+
+
+class EndpointSelector:
+    """Selects the endpoints to work with: all that are ready, or in a large fleet the nearest of them.
+
+    An outlier that has a replacement keeps it until the first selection after its recovery.
+    """
+
+    def __init__(self, outliers: OutlierDetector) -> None:
+        self._outliers = outliers
+        self._sorted_by_distance: Endpoints = []  # empty after a change of the membership
+        self._replaced_ids: set[int] = set()
+
+    def on_membership_change(self) -> None:
+        """Forget the order by distance: an endpoint has come or gone."""
+        self._sorted_by_distance = []
+
+    def select(self, by_id: dict[int, EndpointState], subset_size: int) -> Selection:
+        """Select as many as the subset has, and replacements, from all known endpoints."""
+        if len(by_id) <= subset_size:
+            return Selection([state for state in by_id.values() if state.is_ready], [])
+        if not self._sorted_by_distance:
+            self._sorted_by_distance = sorted(by_id.values(), key=lambda state: state.distance)
+        nearest_ready = [state for state in self._sorted_by_distance if state.is_ready]
+        ready, standby = nearest_ready[:subset_size], nearest_ready[subset_size:]
+        standby.reverse()
+        self._forget_recovered(ready)
+        for _ in range(min(len(self._replaced_ids), len(standby))):
+            ready.append(standby.pop())
+        return Selection(ready, standby)
+
+    def _forget_recovered(self, ready: Endpoints) -> None:
+        is_outlier = self._outliers.is_outlier
+        self._replaced_ids = {
+            state.id for state in ready if state.id in self._replaced_ids and is_outlier(state)
+        }
+
+    def take_replacement(self, outlier: EndpointState, standby: Endpoints) -> EndpointState | None:
+        """Remove the nearest from those on standby, once for each outlier; None if there is none."""
+        if not standby or outlier.id in self._replaced_ids:
+            return None
+        self._replaced_ids.add(outlier.id)
+        return standby.pop()
+
+
 class EndpointTable:
-    """All endpoints known, and those of them that are worked with."""
+    """All known endpoints, and those of them that are worked with.
+
+    Attributes:
+        subset: Says how many endpoints are worked with, and how far each is away.
+        by_id: All known endpoints.
+        listed_count: How many endpoints discovery lists; it may report the nearest of them alone.
+        ready: The endpoints to work with: all that are ready, or the subset and its replacements.
+        warming: Those of ``ready`` that warm up.
+        standby: Ready endpoints beyond the subset, the nearest last.
+        detached: By id, since when an endpoint has been detached by operators, in milliseconds.
+        attached: By id, the last detachment of an endpoint that operators have attached again.
+    """
 
     def __init__(
         self, clock: DecayClock, subset: Subset, slow_start: SlowStart, outliers: OutlierDetector
@@ -20,16 +82,14 @@
         self._clock = clock
         self.subset = subset
         self._slow_start = slow_start
-        self._outliers = outliers
+        self._selector = EndpointSelector(outliers)
         self.by_id: dict[int, EndpointState] = {}
-        self.listed_count = 0  # how many discovery names, also where it hands over the nearest alone
-        self.ready: list[EndpointState] = []  # those worked with: all, or the subset and its replacements
-        self.warming: list[EndpointState] = []  # those of them that don't have their whole capacity yet
-        self.standby: list[EndpointState] = []  # ready ones beyond the subset, the nearest last
-        self.detached: dict[int, float] = {}  # those that operators took out, and since when
-        self.attached: dict[int, tuple[float, float]] = {}  # and attached again: since when out, until when
-        self._nearest: list[EndpointState] = []  # all by distance, while none has come or gone
-        self._replaced: set[int] = set()  # outliers for which one of the reserve works
+        self.listed_count = 0
+        self.ready: Endpoints = []
+        self.warming: Endpoints = []
+        self.standby: Endpoints = []
+        self.detached: dict[int, float] = {}
+        self.attached: dict[int, DetachmentPeriod] = {}
 
     @property
     def subset_radius(self) -> float:
@@ -37,77 +97,76 @@
         return self.ready[-1].distance if self.standby else inf
 
     def update(self, event: EndpointUpdate) -> None:
-        """Take over an update from discovery."""
+        """Apply an update from discovery, and select anew."""
         if event.kind in (UpdateKind.SNAPSHOT, UpdateKind.CACHED):
             listed = {endpoint.server for endpoint in event.endpoints}
             self._remove(number for number in list(self.by_id) if number not in listed)
         for endpoint in event.endpoints:
-            self._take(endpoint)
+            self._apply(endpoint)
         self.listed_count = event.listed or len(self.by_id)
         self.select()
 
-    def _take(self, endpoint: Endpoint) -> None:
+    def _apply(self, endpoint: Endpoint) -> None:
         if endpoint.state is EndpointLifecycle.GONE:
             self._remove([endpoint.server])
             return
         state = self.by_id.get(endpoint.server)
         if state is None:
-            distance = self.subset.distance(endpoint.name or str(endpoint.server))
-            state = self.by_id[endpoint.server] = EndpointState(endpoint, distance)
-            self._nearest = []
+            state = self._add(endpoint)
         elif endpoint.started_ms > state.started_ms:
             state.reset()
         state.update(endpoint)
         self._apply_detachment(state)
 
+    def _add(self, endpoint: Endpoint) -> EndpointState:
+        distance = self.subset.distance(endpoint.name or str(endpoint.server))
+        state = self.by_id[endpoint.server] = EndpointState(endpoint, distance)
+        self._selector.on_membership_change()
+        return state
+
     def _remove(self, numbers: Iterable[int]) -> None:
         for number in numbers:
             state = self.by_id.pop(number, None)
             if state:
                 state.is_ready = False
-                self._nearest = []
+                self._selector.on_membership_change()
 
     def _apply_detachment(self, state: EndpointState) -> None:
-        """Bring what discovery lists in line with what operators said, which discovery may not know."""
+        """Apply what operators did to an endpoint, of which discovery may not know."""
         if state.id in self.detached:
             state.is_ready = False
         elif state.id in self.attached:
             since_ms, until_ms = self.attached[state.id]
-            if state.started_ms <= since_ms:  # no update has told of the start while it was out
+            if state.started_ms <= since_ms:  # no update has reported a start during the detachment
                 state.started_ms = until_ms
             if self._slow_start.is_over(until_ms):
                 del self.attached[state.id]
 
     def select(self) -> None:
-        """Select the ready endpoints to work with: all, or the subset with a replacement for each outlier."""
+        """Select the endpoints to work with, after a change of any."""
         self._clock.set_endpoint_count(len(self.by_id))
-        size = self.subset.size(self.listed_count)
-        self.standby = []
-        if len(self.by_id) <= size:
-            self.ready = [state for state in self.by_id.values() if state.is_ready]
-        else:
-            if not self._nearest:
-                self._nearest = sorted(self.by_id.values(), key=lambda state: state.distance)
-            ready = [state for state in self._nearest if state.is_ready]
-            self.ready = ready[:size]
-            self.standby = ready[: size - 1 : -1]
-            is_outlier = self._outliers.is_outlier
-            self._replaced = {s.id for s in self.ready if s.id in self._replaced and is_outlier(s)}
-            for _ in range(min(len(self._replaced), len(self.standby))):
-                self.ready.append(self.standby.pop())
+        subset_size = self.subset.size(self.listed_count)
+        self.ready, self.standby = self._selector.select(self.by_id, subset_size)
         self.warming = self._slow_start.warming_up(self.ready)
 
     def replace(self, outlier: EndpointState) -> None:
-        """Let one of the reserve work beside an outlier, until the first update after its recovery."""
-        if self.standby and outlier.id not in self._replaced:
-            self._replaced.add(outlier.id)
-            replacement = self.standby.pop()
+        """Work with an endpoint on standby beside an outlier, if there is one and the outlier has none."""
+        replacement = self._selector.take_replacement(outlier, self.standby)
+        if replacement:
             self.ready.append(replacement)
             if self._slow_start.capacity_share(replacement) < 1.0:
                 self.warming.append(replacement)
 
     def detach(self, number: int, since_ms: float | None = None) -> bool:
-        """Send nothing more to an endpoint, since now or as restored; whether it was not detached before."""
+        """Stop sending to an endpoint, known or not.
+
+        Args:
+            number: The endpoint's id.
+            since_ms: Since when it has been detached, from a restored state; None for now.
+
+        Returns:
+            Whether it was not detached before.
+        """
         is_new = number not in self.detached
         if is_new or since_ms is not None:
             self.detached[number] = self._clock.now_ms if since_ms is None else since_ms
@@ -119,11 +178,11 @@
         return is_new
 
     def attach(self, number: int) -> bool:
-        """Let an endpoint serve again, as one that has just started; whether it was detached."""
+        """Use a detached endpoint again, as one that has just started; return whether it was detached."""
         since_ms = self.detached.pop(number, None)
         if since_ms is None:
             return False
-        self.attached[number] = since_ms, self._clock.now_ms
+        self.attached[number] = DetachmentPeriod(since_ms, self._clock.now_ms)
         state = self.by_id.get(number)
         if state:
             state.reset()
@@ -132,8 +191,8 @@
         self.select()
         return True
 
-    def restore(self, records: dict[int, EndpointRecord], attached: dict[int, tuple[float, float]]) -> None:
-        """Go on from what the process before knew of its endpoints."""
+    def restore(self, records: dict[int, EndpointRecord], attached: dict[int, DetachmentPeriod]) -> None:
+        """Restore what the previous process knew of its endpoints, and select anew."""
         self.attached.update(attached)
         for number, state in self.by_id.items():
             if number in records:
