--- a/quota_gateway/policy/slow_start.py
+++ b/quota_gateway/policy/slow_start.py
@@ -4,42 +4,60 @@
 from quota_gateway.model.settings import ServiceRules
 from quota_gateway.policy.clock import DecayClock
 
-OVERLOAD_BUDGET = 0.5  # of the overload factor: a burst of half as much again and chance fit into the rest
+OVERLOAD_BUDGET_SHARE = 0.5  # of the overload factor; the rest is left for bursts
 
 
 class SlowStart:
-    """How far an endpoint has warmed up, and which requests it is open to meanwhile."""
+    """How far an endpoint has warmed up, and which requests it may be sent meanwhile."""
 
     def __init__(self, rules: ServiceRules, clock: DecayClock) -> None:
         self._rules = rules
         self._clock = clock
 
     def capacity_share(self, endpoint: EndpointState) -> float:
-        """The share of its capacity that an endpoint has at least, by the time since its start."""
+        """Return the share of its full capacity that an endpoint has at least, from 0 to 1."""
         age_ms = self._clock.now_ms - endpoint.started_ms
         if endpoint.started_ms <= 0 or age_ms >= self._rules.warm_up_ms:
             return 1.0
-        initial = self._rules.initial_capacity_share
-        return initial + (1.0 - initial) * max(0.0, age_ms) / self._rules.warm_up_ms
+        initial_share = self._rules.initial_capacity_share
+        return initial_share + (1.0 - initial_share) * max(0.0, age_ms) / self._rules.warm_up_ms
 
     def is_over(self, started_ms: float) -> bool:
-        """Whether an endpoint that started then has its whole capacity."""
+        """Whether an endpoint that started at this time has its full capacity."""
         return self._clock.now_ms - started_ms >= self._rules.warm_up_ms
 
-    def warming_up(self, endpoints: Endpoints) -> list[EndpointState]:
-        """Those of the endpoints that don't have their whole capacity yet."""
+    def warming_up(self, endpoints: Endpoints) -> Endpoints:
+        """Return those of the endpoints that do not have their full capacity yet."""
         return [item for item in endpoints if item.started_ms > 0 and self.capacity_share(item) < 1.0]
 
     def pick(self, draw: float, ready: Endpoints, warming: Endpoints) -> EndpointState | None:
-        """The warming endpoint that a request of this draw may go to, if any: it stays the same for it."""
-        capacity = sum(self.capacity_share(endpoint) for endpoint in ready)
-        start = 0.0
-        open_part = min(1.0, OVERLOAD_BUDGET * self._rules.overload_factor * capacity / len(ready))
+        """Pick the warming endpoint that a request may be sent to.
+
+        Each warming endpoint owns a range of draws, as wide as its share of the capacity of all ready
+        endpoints. The front of the range is open to requests.
+
+        Args:
+            draw: ``PendingRequest.slow_start_draw``; the pick stays the same for it as endpoints warm up.
+            ready: The endpoints to work with; not empty.
+            warming: Those of them that warm up.
+
+        Returns:
+            The endpoint, or None where the draw is in no open part.
+        """
+        total_capacity = sum(self.capacity_share(endpoint) for endpoint in ready)
+        open_share = self._open_share(total_capacity, len(ready))
+        range_start = 0.0
         for endpoint in warming:
-            share = self.capacity_share(endpoint)
-            if endpoint.is_ready and share < 1.0:
-                width = share / capacity
-                if 0.0 <= draw - start < open_part * width:
-                    return endpoint
-                start += width
+            capacity_share = self.capacity_share(endpoint)
+            if not endpoint.is_ready or capacity_share >= 1.0:
+                continue
+            range_width = capacity_share / total_capacity
+            if 0.0 <= draw - range_start < open_share * range_width:
+                return endpoint
+            range_start += range_width
         return None
+
+    def _open_share(self, total_capacity: float, ready_count: int) -> float:
+        """The share of its range of draws that a warming endpoint can serve within the overload budget."""
+        load_factor = OVERLOAD_BUDGET_SHARE * self._rules.overload_factor
+        return min(1.0, load_factor * total_capacity / ready_count)
