--- a/quota_gateway/policy/clock.py
+++ b/quota_gateway/policy/clock.py
@@ -1,14 +1,21 @@
-"""The time of the event in hand, and the exponential decay of statistics that follows from it."""
+"""The time of the current event, and the exponential decay of statistics."""
 
 from math import exp, inf
 
 from quota_gateway.model.endpoint_state import Moment
 
-DECAY_MS = 4000.0  # time constant of statistics, so that an endpoint is tried again; see DecayClock.remaining
+DECAY_MS = 4000.0  # time constant; statistics decay so that a failed endpoint gets attempts again
 
 
 class DecayClock:
-    """The current time, and the counts that slow the decay of statistics where little happens."""
+    """The time of the current event, and the counts that bound the decay of statistics under low load.
+
+    Attributes:
+        now_ms: Time of the current event.
+        started_at_ms: Time of the first event of this gateway, over all its processes.
+        attempts: Attempts started by this gateway so far.
+        endpoint_count: Endpoints known.
+    """
 
     __slots__ = ("attempts", "endpoint_count", "now_ms", "started_at_ms")
 
@@ -19,7 +26,11 @@
         self.endpoint_count = 0
 
     def advance(self, now_ms: float) -> None:
-        """Set the time of the next event; raises ValueError where it goes back."""
+        """Set the time of the next event.
+
+        Raises:
+            ValueError: The time goes back, or is no number.
+        """
         if not now_ms >= self.now_ms:
             raise ValueError(f"now_ms: {now_ms!r} is before {self.now_ms!r}")
         self.now_ms = now_ms
@@ -34,16 +45,21 @@
         self.endpoint_count = endpoint_count
 
     def restore(self, attempts: int, started_at_ms: float) -> None:
-        """Go on from the counts of the process before."""
+        """Restore the counts of the previous process."""
         self.attempts = attempts
         self.started_at_ms = min(self.started_at_ms, started_at_ms)
 
     def moment(self) -> Moment:
-        """The stamp of a statistic that is updated now."""
+        """Return the time stamp of a statistic that is updated now."""
         return Moment(self.now_ms, self.attempts)
 
     def remaining(self, updated: Moment) -> float:
-        """What is left of a statistic: it decays, but not before each endpoint could be met again."""
-        at_ms, attempts = updated
-        age = min((self.now_ms - at_ms) / DECAY_MS, (self.attempts - attempts) / max(1, self.endpoint_count))
-        return exp(-age)
+        """Return the share of a statistic that remains, from 0 to 1.
+
+        It decays exponentially with time, but by no more than a factor of e for each round of attempts: as
+        many as there are endpoints.
+        """
+        updated_ms, attempts_then = updated
+        elapsed_periods = (self.now_ms - updated_ms) / DECAY_MS
+        elapsed_rounds = (self.attempts - attempts_then) / max(1, self.endpoint_count)
+        return exp(-min(elapsed_periods, elapsed_rounds))
