--- a/quota_gateway/model/snapshot.py
+++ b/quota_gateway/model/snapshot.py
@@ -1,12 +1,13 @@
 """The state snapshot that one process of a gateway leaves to the next, to JSON and back, checked.
 
-The shape of the JSON is fixed: the version before reads and writes it too.
+The shape of the JSON is fixed, as other versions read and write it too. ``JSON_KEYS`` has its keys, the
+classes named ``...Row`` have the columns of its rows.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
 from quota_gateway.errors import StateError
 from quota_gateway.model.customer_state import CustomerState
@@ -19,33 +20,77 @@
 )
 from quota_gateway.model.settings import Settings
 
-# Attributes of a customer in the order of its row, after its plan, its name and its attempts in flight
-CUSTOMER_FIELDS = (
-    "excess",
-    "excess_at_ms",
-    "largest_units",
-    "gateway_set_size",
-    "usage",
-    "usage_at_ms",
-    "contended_until_ms",
-    "offered",
-    "offered_at_ms",
-    "ceiling_level",
-    "ceiling_at_ms",
-)
+#: The key in the JSON of each field of ``EngineState``, in the order in which they are written.
+JSON_KEYS = {
+    "customers": "customers",
+    "endpoints": "servers",
+    "failures": "marks",
+    "attempts": "sends",
+    "admitted_shares": "open",
+    "concurrency_limit": "pool",
+    "retry_tokens": "retries",
+    "started_at_ms": "started_at",
+    "detached": "barred",
+    "attached": "attached",
+    "latencies": "latency",
+}
+#: Fields that older versions do not write, and what they are then.
+DEFAULTS: dict[str, dict[str, float]] = {"admitted_shares": {}}
+
+
+class CustomerRow(NamedTuple):
+    """The columns of a customer."""
+
+    plan: str
+    customer: str
+    in_flight: int
+    excess: float
+    excess_at_ms: float
+    largest_units: float
+    gateway_set_size: int
+    usage: float
+    usage_at_ms: float
+    contended_until_ms: float
+    offered: float
+    offered_at_ms: float
+    ceiling_level: float
+    ceiling_at_ms: float
+
+
+class EndpointRow(NamedTuple):
+    """The columns of an endpoint. Later versions may append others."""
+
+    server: int
+    started_ms: float
+    relative_latency: float
+    relative_latency_at: list[float]
+    failures: dict[str, FailureRecord]
+
+
+class AttachedRow(NamedTuple):
+    """The columns of an endpoint that operators have attached again. Later versions may append others."""
+
+    server: int
+    since_ms: float
+    until_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class EngineState:
-    """All that the process that takes over has to know, so that both together keep every rule.
+    """All that the next process has to know, so that both together keep every limit.
 
     Attributes:
         customers: By plan and name. Read from JSON, what was in flight is the peer process's.
-        failures: Failure records over all endpoints.
+        endpoints: By number.
+        failures: Failure records over all endpoints, see ``FailureTracker.totals``.
+        attempts: Attempts started so far.
         admitted_shares: By plan, the share of unknown customers that is admitted.
-        detached: Endpoints that operators took out, and since when.
-        attached: Endpoints attached again: since when they were out, and until when.
-        latencies: By class and size, the mean latency and how many answers it is of.
+        concurrency_limit: Attempts that may be in flight; infinite before the first endpoint update.
+        retry_tokens: Retries that the budget holds.
+        started_at_ms: Time of the gateway's first event.
+        detached: By number, since when operators have had an endpoint detached, in milliseconds.
+        attached: By number, the last detachment of an endpoint that operators have attached again.
+        latencies: Mean latencies by class and size.
     """
 
     customers: dict[tuple[str, str], CustomerState]
@@ -61,123 +106,181 @@
     latencies: dict[str, dict[int, LatencyMean]]
 
     def to_json(self) -> dict[str, Any]:
-        """Plain values that go into JSON."""
-        customers = [
-            [*key, customer.total_in_flight(), *(getattr(customer, name) for name in CUSTOMER_FIELDS)]
-            for key, customer in self.customers.items()
-        ]
-        endpoints = [
-            [number, r.started_ms, r.relative_latency, list(r.relative_latency_at), r.failures]
-            for number, r in self.endpoints.items()
-        ]
-        return {
-            "customers": customers,
-            "servers": endpoints,
-            "marks": self.failures,
-            "sends": self.attempts,
-            "open": self.admitted_shares,
-            "pool": self.concurrency_limit,
-            "retries": self.retry_tokens,
-            "started_at": self.started_at_ms,
-            "barred": list(self.detached.items()),
-            "attached": [[number, *times] for number, times in self.attached.items()],
-            "latency": {
-                name: [[size, *seen] for size, seen in means.items()]
-                for name, means in self.latencies.items()
+        """Return plain values that go into JSON."""
+        values = {
+            "customers": [_customer_to_row(*item) for item in self.customers.items()],
+            "endpoints": [_endpoint_to_row(*item) for item in self.endpoints.items()],
+            "failures": self.failures,
+            "attempts": self.attempts,
+            "admitted_shares": self.admitted_shares,
+            "concurrency_limit": self.concurrency_limit,
+            "retry_tokens": self.retry_tokens,
+            "started_at_ms": self.started_at_ms,
+            "detached": list(self.detached.items()),
+            "attached": [[server, *period] for server, period in self.attached.items()],
+            "latencies": {
+                class_name: [[size, *mean] for size, mean in means.items()]
+                for class_name, means in self.latencies.items()
             },
         }
+        return {key: values[field] for field, key in JSON_KEYS.items()}
 
     @classmethod
     def from_json(cls, state: dict[str, Any], settings: Settings, now_ms: float) -> EngineState:
         """Read what another process has left; plans and classes not known here are passed over.
 
         Args:
-            state: What ``to_json`` of this version or the one before has made.
+            state: What ``to_json`` of this version or an earlier one has made.
             settings: Of this process.
-            now_ms: The time by the clock of this process, which may differ a little.
+            now_ms: The time by the clock of this process. Times after it are read as this time.
 
         Raises:
             StateError: Any part of it is malformed.
         """
         try:
-            return cls._parse(state, settings, now_ms)
+            values = {
+                field: state.get(key, DEFAULTS[field]) if field in DEFAULTS else state[key]
+                for field, key in JSON_KEYS.items()
+            }
+            return _SnapshotReader(settings, now_ms).read(values)
         except StateError:
             raise
         except (KeyError, IndexError, TypeError, AttributeError, OverflowError, ValueError) as error:
             raise StateError(f"state snapshot is malformed: {error!r}") from error
 
-    @classmethod
-    def _parse(cls, state: dict[str, Any], settings: Settings, now_ms: float) -> EngineState:
-        plans = {plan.name for plan in settings.plans}
-        classes = [item.name for item in settings.classes]
-        return cls(
-            customers={
-                (row[0], row[1]): _customer_in(row, settings.gateways, now_ms)
-                for row in state["customers"]
-                if row[0] in plans
-            },
-            endpoints={row[0]: _endpoint_in(row, now_ms) for row in state["servers"]},
-            failures=_failures_in(state["marks"], now_ms),
-            attempts=int(state["sends"]),
-            concurrency_limit=_number_in(state["pool"]),
-            retry_tokens=_number_in(state["retries"]),
-            started_at_ms=_past_in(state["started_at"], now_ms),
-            admitted_shares={  # older versions leave none
-                name: _number_in(share) for name, share in state.get("open", {}).items() if name in plans
-            },
-            detached={int(number): _past_in(since, now_ms) for number, since in state["barred"]},
-            attached={
-                int(row[0]): DetachmentPeriod(_past_in(row[1], now_ms), _past_in(row[2], now_ms))
-                for row in state["attached"]
-            },
-            latencies={
-                name: {
-                    int(size): LatencyMean(_number_in(mean), int(seen))
-                    for size, mean, seen in state["latency"][name]
-                }
-                for name in classes
-                if name in state["latency"]
-            },
+
+def _customer_to_row(key: tuple[str, str], customer: CustomerState) -> list[Any]:
+    plan, name = key
+    row = CustomerRow(
+        plan=plan,
+        customer=name,
+        in_flight=customer.total_in_flight(),
+        excess=customer.excess,
+        excess_at_ms=customer.excess_at_ms,
+        largest_units=customer.largest_units,
+        gateway_set_size=customer.gateway_set_size,
+        usage=customer.usage,
+        usage_at_ms=customer.usage_at_ms,
+        contended_until_ms=customer.contended_until_ms,
+        offered=customer.offered,
+        offered_at_ms=customer.offered_at_ms,
+        ceiling_level=customer.ceiling_level,
+        ceiling_at_ms=customer.ceiling_at_ms,
+    )
+    return list(row)
+
+
+def _endpoint_to_row(server: int, record: EndpointRecord) -> list[Any]:
+    row = EndpointRow(
+        server=server,
+        started_ms=record.started_ms,
+        relative_latency=record.relative_latency,
+        relative_latency_at=list(record.relative_latency_at),
+        failures=record.failures,
+    )
+    return list(row)
+
+
+class _SnapshotReader:
+    """Reads the parts of a snapshot for the settings and by the clock of this process."""
+
+    def __init__(self, settings: Settings, now_ms: float) -> None:
+        self._plans = {plan.name for plan in settings.plans}
+        self._classes = [item.name for item in settings.classes]
+        self._gateways = settings.gateways
+        self._now_ms = now_ms
+
+    def read(self, values: dict[str, Any]) -> EngineState:
+        """Read the values of all fields, still as JSON has them."""
+        return EngineState(
+            customers=self._customers(values["customers"]),
+            endpoints=self._endpoints(values["endpoints"]),
+            failures=self._failures(values["failures"]),
+            attempts=int(values["attempts"]),
+            admitted_shares=self._admitted_shares(values["admitted_shares"]),
+            concurrency_limit=_number(values["concurrency_limit"]),
+            retry_tokens=_number(values["retry_tokens"]),
+            started_at_ms=self._past_ms(values["started_at_ms"]),
+            detached=self._detached(values["detached"]),
+            attached=self._attached(values["attached"]),
+            latencies=self._latencies(values["latencies"]),
         )
 
+    def _customers(self, rows: Any) -> dict[tuple[str, str], CustomerState]:
+        known_rows = [CustomerRow(*row) for row in rows if row[0] in self._plans]
+        return {(row.plan, row.customer): self._customer(row) for row in known_rows}
 
-def _number_in(value: Any) -> float:
-    """A number, perhaps infinite."""
-    if isinstance(value, bool) or not isinstance(value, (int, float)) or value != value:
-        raise StateError(f"state snapshot is malformed: {value!r} is no number")
-    return value
+    def _customer(self, row: CustomerRow) -> CustomerState:
+        customer = CustomerState(self._now_ms, 0.0)
+        customer.peer_in_flight = max(0, int(row.in_flight))
+        customer.excess = _number(row.excess)
+        customer.excess_at_ms = self._past_ms(row.excess_at_ms)
+        customer.largest_units = _number(row.largest_units)
+        customer.gateway_set_size = min(max(1, int(_number(row.gateway_set_size))), self._gateways)
+        customer.usage = _number(row.usage)
+        customer.usage_at_ms = self._past_ms(row.usage_at_ms)
+        customer.contended_until_ms = _number(row.contended_until_ms)
+        customer.offered = _number(row.offered)
+        customer.offered_at_ms = self._past_ms(row.offered_at_ms)
+        customer.ceiling_level = _number(row.ceiling_level)
+        customer.ceiling_at_ms = self._past_ms(row.ceiling_at_ms)
+        return customer
 
+    def _endpoints(self, rows: Any) -> dict[int, EndpointRecord]:
+        typed_rows = [EndpointRow(*row[: len(EndpointRow._fields)]) for row in rows]
+        return {row.server: self._endpoint(row) for row in typed_rows}
 
-def _past_in(value: Any, now_ms: float) -> float:
-    """A time; one of a clock that is ahead of this process's counts as now."""
-    return min(now_ms, _number_in(value))
+    def _endpoint(self, row: EndpointRow) -> EndpointRecord:
+        return EndpointRecord(
+            started_ms=self._past_ms(row.started_ms),
+            relative_latency=_number(row.relative_latency),
+            relative_latency_at=self._moment(row.relative_latency_at),
+            failures=self._failures(row.failures),
+        )
 
+    def _failures(self, records: Any) -> dict[str, FailureRecord]:
+        return {
+            str(key): FailureRecord(_number(failures), _number(outcomes), self._moment(updated))
+            for key, (failures, outcomes, updated) in records.items()
+        }
 
-def _moment_in(value: Any, now_ms: float) -> Moment:
-    return Moment(_past_in(value[0], now_ms), int(value[1]))
+    def _admitted_shares(self, shares: Any) -> dict[str, float]:
+        return {plan: _number(share) for plan, share in shares.items() if plan in self._plans}
 
+    def _detached(self, rows: Any) -> dict[int, float]:
+        return {int(server): self._past_ms(since_ms) for server, since_ms in rows}
 
-def _failures_in(value: Any, now_ms: float) -> dict[str, FailureRecord]:
-    return {
-        str(name): FailureRecord(_number_in(failures), _number_in(outcomes), _moment_in(updated, now_ms))
-        for name, (failures, outcomes, updated) in value.items()
-    }
+    def _attached(self, rows: Any) -> dict[int, DetachmentPeriod]:
+        typed_rows = [AttachedRow(*row[: len(AttachedRow._fields)]) for row in rows]
+        return {
+            int(row.server): DetachmentPeriod(self._past_ms(row.since_ms), self._past_ms(row.until_ms))
+            for row in typed_rows
+        }
 
+    def _latencies(self, rows_by_class: Any) -> dict[str, dict[int, LatencyMean]]:
+        return {
+            class_name: {
+                int(size): LatencyMean(_number(mean_ms), int(responses))
+                for size, mean_ms, responses in rows_by_class[class_name]
+            }
+            for class_name in self._classes
+            if class_name in rows_by_class
+        }
 
-def _endpoint_in(row: list[Any], now_ms: float) -> EndpointRecord:
-    return EndpointRecord(
-        _past_in(row[1], now_ms), _number_in(row[2]), _moment_in(row[3], now_ms), _failures_in(row[4], now_ms)
-    )
+    def _moment(self, value: Any) -> Moment:
+        return Moment(self._past_ms(value[0]), int(value[1]))
+
+    def _past_ms(self, value: Any) -> float:
+        """Read a time; one that is ahead of this process's clock counts as now."""
+        return min(self._now_ms, _number(value))
 
 
-def _customer_in(row: list[Any], gateways: int, now_ms: float) -> CustomerState:
-    customer = CustomerState(now_ms, 0.0)
-    customer.peer_in_flight = max(0, int(row[2]))
-    for name, value in zip(CUSTOMER_FIELDS, row[3:], strict=True):
-        setattr(customer, name, _number_in(value))
-    customer.gateway_set_size = min(max(1, int(customer.gateway_set_size)), gateways)
-    customer.excess_at_ms = min(now_ms, customer.excess_at_ms)
-    customer.offered_at_ms = min(now_ms, customer.offered_at_ms)
-    customer.ceiling_at_ms = min(now_ms, customer.ceiling_at_ms)
-    customer.usage_at_ms = min(now_ms, customer.usage_at_ms)
-    return customer
+def _number(value: Any) -> float:
+    """Read a number, perhaps infinite.
+
+    Raises:
+        StateError: It is none.
+    """
+    if isinstance(value, bool) or not isinstance(value, (int, float)) or value != value:
+        raise StateError(f"state snapshot is malformed: {value!r} is no number")
+    return value
--- a/tests/model/test_snapshot.py
+++ b/tests/model/test_snapshot.py
@@ -1,19 +1,32 @@
-"""The state snapshot keeps the form that the version before reads and writes.
+"""The state snapshot keeps the form that earlier versions read and write.
 
-``engine-state-4431b5a.json`` was exported by the engine of commit 4431b5a after sixty requests of all plans.
+``engine-state-4431b5a.json`` was exported by the engine of commit 4431b5a after sixty requests of all plans,
+``engine-state-4abec57.json`` by that of 4abec57 after ``replay`` of
+``tests/process/test_recorded_handover.py``, with three endpoints of a cached update before it.
 """
 
 import json
+from math import inf
 from pathlib import Path
 
 import pytest
 
-from quota_gateway import ExportState, RestoreState, StateSnapshot
+from quota_gateway import ExportState, RestoreState, StateSnapshot, UpdateKind
 from quota_gateway.errors import StateError
-from quota_gateway.model.snapshot import EngineState
+from quota_gateway.model.endpoint_state import (
+    DetachmentPeriod,
+    EndpointRecord,
+    FailureRecord,
+    LatencyMean,
+    Moment,
+)
+from quota_gateway.model.snapshot import JSON_KEYS, CustomerRow, EngineState
+from tests.process.test_recorded_handover import replay
 from tests.support.engine_harness import SETTINGS, EngineHarness, make_endpoint
 
-RECORDED = Path(__file__).parent.parent / "support" / "snapshots" / "engine-state-4431b5a.json"
+SNAPSHOTS = Path(__file__).parent.parent / "support" / "snapshots"
+RECORDED = SNAPSHOTS / "engine-state-4431b5a.json"
+RECORDED_BY_4ABEC57 = SNAPSHOTS / "engine-state-4abec57.json"
 LATER_MS = 10_000.0  # than all times in the record
 EARLY_MS = 100.0  # before most of them
 
@@ -55,3 +68,97 @@
     assert all(endpoint.started_ms <= EARLY_MS for endpoint in state.endpoints.values())
     assert state.started_at_ms <= EARLY_MS
     assert max(state.detached.values(), default=0.0) <= EARLY_MS
+
+
+@pytest.fixture
+def recorded_by_4abec57() -> dict:
+    return json.loads(RECORDED_BY_4ABEC57.read_text())
+
+
+def test_values_of_a_snapshot_of_4abec57_are_read(recorded_by_4abec57):
+    state = EngineState.from_json(recorded_by_4abec57, SETTINGS, LATER_MS)
+    assert len(state.customers) == 22
+    customer = state.customers["metered", "waiting"]
+    assert (customer.excess, customer.excess_at_ms) == (4000.0, 4700.0)
+    customer = state.customers["ceiling", "c-2"]
+    assert (customer.peer_in_flight, customer.in_flight) == (2, 0)
+    assert (customer.usage, customer.usage_at_ms, customer.contended_until_ms) == (0.12, 4060.0, 5060.0)
+    assert (customer.offered, customer.offered_at_ms) == (1.0, 4060.0)
+    assert (customer.ceiling_level, customer.ceiling_at_ms) == (9.0, 4060.0)
+    assert (customer.largest_units, customer.gateway_set_size) == (1, 2)
+    assert state.endpoints[2] == EndpointRecord(4700.0, 1.0, Moment(-inf, 0), {})
+    assert state.failures["class unsafe"] == FailureRecord(
+        2.7007075600316384, 26.8099082037789, Moment(4570.0, 125)
+    )
+    assert state.latencies["safe"] == {
+        2: LatencyMean(41.85000000000001, 19),
+        1: LatencyMean(44.000000000000014, 17),
+    }
+    assert (state.attempts, state.concurrency_limit, state.retry_tokens) == (130, 9.0, 10.0)
+    assert (state.started_at_ms, state.detached) == (1000.0, {1: 4600.0})
+    assert state.attached == {2: DetachmentPeriod(4600.0, 4700.0)}
+    assert set(state.admitted_shares) == {plan.name for plan in SETTINGS.plans}
+
+
+def test_snapshot_of_4abec57_is_written_without_a_change(recorded_by_4abec57):
+    state = EngineState.from_json(recorded_by_4abec57, SETTINGS, LATER_MS)
+    assert json.dumps(state.to_json()) == json.dumps(recorded_by_4abec57)
+
+
+def shape(value):
+    """The keys and the types of the columns of a JSON value, of each row of a list."""
+    if isinstance(value, dict):
+        return {key: shape(item) for key, item in value.items()}
+    if isinstance(value, list):
+        return [shape(item) for item in value]
+    return type(value)
+
+
+def test_engine_that_sees_the_events_of_4abec57_writes_the_same_snapshot(recorded_by_4abec57):
+    harness = EngineHarness()
+    harness.servers(*(make_endpoint(number) for number in (1, 2, 3)), kind=UpdateKind.CACHED)
+    replay(harness)
+    (action,) = [a for a in harness.do(ExportState()) if isinstance(a, StateSnapshot)]
+    written = json.loads(json.dumps(action.state))
+    assert list(written) == list(recorded_by_4abec57)
+    assert shape(written) == shape(recorded_by_4abec57)
+    assert written == recorded_by_4abec57
+
+
+def test_keys_and_columns_of_the_json_are_those_of_every_version(recorded_by_4abec57):
+    assert list(JSON_KEYS.values()) == list(recorded_by_4abec57)
+    assert {len(row) for row in recorded_by_4abec57["customers"]} == {len(CustomerRow._fields)}
+
+
+@pytest.mark.parametrize("key", ["customers", "servers", "marks", "sends", "pool", "retries", "started_at"])
+def test_malformed_part_of_a_snapshot_of_4abec57_is_a_state_error(key, recorded_by_4abec57):
+    with pytest.raises(StateError, match="malformed"):
+        EngineState.from_json({**recorded_by_4abec57, key: None}, SETTINGS, LATER_MS)
+
+
+def test_snapshot_without_admitted_shares_is_read_as_none_of_them(recorded_by_4abec57):
+    del recorded_by_4abec57["open"]
+    assert EngineState.from_json(recorded_by_4abec57, SETTINGS, LATER_MS).admitted_shares == {}
+
+
+def test_customers_of_unknown_plans_and_latencies_of_unknown_classes_are_passed_over(recorded_by_4abec57):
+    recorded_by_4abec57["customers"].append(["unknown plan", "c", "malformed"])
+    recorded_by_4abec57["latency"]["unknown class"] = "malformed"
+    state = EngineState.from_json(recorded_by_4abec57, SETTINGS, LATER_MS)
+    assert len(state.customers) == 22
+    assert "unknown class" not in state.latencies
+
+
+def test_columns_that_a_later_version_appends_to_an_endpoint_are_passed_over(recorded_by_4abec57):
+    expected = EngineState.from_json(recorded_by_4abec57, SETTINGS, LATER_MS)
+    for key in ("servers", "attached"):
+        for row in recorded_by_4abec57[key]:
+            row.append("unknown column")
+    state = EngineState.from_json(recorded_by_4abec57, SETTINGS, LATER_MS)
+    assert (state.endpoints, state.attached) == (expected.endpoints, expected.attached)
+
+
+def test_customer_row_with_an_unknown_column_is_malformed(recorded_by_4abec57):
+    recorded_by_4abec57["customers"][0].append(0.0)
+    with pytest.raises(StateError, match="malformed"):
+        EngineState.from_json(recorded_by_4abec57, SETTINGS, LATER_MS)
