--- a/tests/unit/test_config.py
+++ b/tests/unit/test_config.py
@@ -11,8 +11,8 @@
 
 from quota_gateway import DiscoveryMode, Idempotency, IdempotencyScope
 from quota_gateway.config import load_config, read_discovery_address
-from quota_gateway.errors import ConfigError
-from quota_gateway.json_document import MAX_SHOWN_CHARACTERS, invalid_field
+from quota_gateway.errors import MAX_SHOWN_CHARACTERS, ConfigError
+from quota_gateway.json_document import invalid_field
 from quota_gateway.resources import MEGABYTE
 from tests.support.settings_document import SETTINGS_DOCUMENT
 
