--- a/quota_gateway/model/settings.py
+++ b/quota_gateway/model/settings.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from quota_gateway.model.validation import require_not, require_numbers
+from quota_gateway.model.validation import FieldError, require, require_numbers, require_positive
 
 #: After which servers close an idle connection, where the settings do not tell.
 DEFAULT_IDLE_MS = 30_000.0
@@ -63,7 +63,7 @@
     objective_stretch: float = 0.0
 
     def __post_init__(self) -> None:
-        require_not(not self.name, self, "name", "is empty")
+        require(bool(self.name), self, "name", "is not a name of at least one character")
         require_numbers(
             self,
             0.0,
@@ -74,8 +74,8 @@
             "idempotency_window_ms",
             "objective_stretch",
         )
-        require_not(self.deadline_ms <= 0, self, "deadline_ms", "leaves no time")
-        require_not(self.latency_objective_ms <= 0, self, "latency_objective_ms", "leaves no time")
+        require_positive(self, "deadline_ms")
+        require_positive(self, "latency_objective_ms")
 
 
 @dataclass(frozen=True, slots=True)
@@ -109,12 +109,13 @@
     ceiling_slack: float = 0.0
 
     def __post_init__(self) -> None:
-        require_not(not self.name, self, "name", "is empty")
+        require(bool(self.name), self, "name", "is not a name of at least one character")
         require_numbers(self, 0.0, "rate", "burst", "max_in_flight", "weight", "excess_value", "excess_cost")
         require_numbers(self, 0.0, "ceiling_rate", "ceiling_burst", "ceiling_slack")
-        require_not(self.rate > 0 and self.burst <= 0, self, "burst", "is nothing though there is a rate")
-        has_no_ceiling_burst = self.ceiling_rate > 0 and self.ceiling_burst <= 0
-        require_not(has_no_ceiling_burst, self, "ceiling_burst", "is nothing though there is a ceiling")
+        if self.rate > 0:
+            require_positive(self, "burst")
+        if self.ceiling_rate > 0:
+            require_positive(self, "ceiling_burst")
 
 
 @dataclass(frozen=True, slots=True)
@@ -177,7 +178,8 @@
             self, 0.0, "answer_slack_ms", "drain_grace_ms", "initial_capacity_share", "warm_up_ms"
         )
         require_numbers(self, 0.0, "overload_factor", "overload_window_ms", "poll_deadline_ms")
-        require_not(self.initial_capacity_share > 1, self, "initial_capacity_share", "is more than the whole")
+        is_share = self.initial_capacity_share <= 1
+        require(is_share, self, "initial_capacity_share", "is not a number of at most 1")
 
 
 @dataclass(frozen=True, slots=True)
@@ -225,10 +227,15 @@
         require_numbers(
             self, 0.0, "index", "usage_period_ms", "counter_timeout_ms", "tick_ms", "cross_zone_cost"
         )
-        require_not(self.index >= self.gateways, self, "index", "is not below the number of gateways")
+        is_index = self.index < self.gateways
+        require(is_index, self, "index", f"is not below the number of gateways, {self.gateways!r}")
         require_numbers(self, 0.0, "max_request_units")
-        require_not(self.max_request_units <= 0, self, "max_request_units", "is nothing")
-        for name in ("classes", "plans"):
-            names = [item.name for item in getattr(self, name)]
-            require_not(not names, self, name, "is empty")
-            require_not(len(set(names)) != len(names), self, name, "names one twice")
+        require_positive(self, "max_request_units")
+        self._require_unique_names("classes", [item.name for item in self.classes])
+        self._require_unique_names("plans", [item.name for item in self.plans])
+
+    def _require_unique_names(self, field: str, names: list[str]) -> None:
+        if not names:
+            raise FieldError(self, field, names, "is not a list of at least one")
+        if len(set(names)) != len(names):
+            raise FieldError(self, field, names, "is not a list of unique names")
--- a/quota_gateway/model/validation.py
+++ b/quota_gateway/model/validation.py
@@ -3,6 +3,22 @@
 from math import inf
 
 
+class FieldError(ValueError):
+    """A field of a dataclass of the model has a value that is not allowed.
+
+    Attributes:
+        field: Name of the field.
+        value: Its value.
+        reason: What is allowed, as the end of a sentence: ``is not a number above 0``.
+    """
+
+    def __init__(self, owner: object, field: str, value: object, reason: str) -> None:
+        super().__init__(f"{type(owner).__name__}.{field}: {value!r} {reason}")
+        self.field = field
+        self.value = value
+        self.reason = reason
+
+
 def require_numbers(owner: object, minimum: float, *names: str) -> None:
     """Check that fields are finite numbers.
 
@@ -12,28 +28,35 @@
         names: The fields.
 
     Raises:
-        ValueError: A field is no number of at least ``minimum``; the text names field and value.
+        FieldError: A field is no number of at least ``minimum``.
     """
     for name in names:
         value = getattr(owner, name)
         is_number = isinstance(value, (int, float)) and not isinstance(value, bool)
         if not (is_number and minimum <= value < inf):
-            raise ValueError(
-                f"{type(owner).__name__}.{name}: {value!r} is not a number of at least {minimum}"
-            )
+            raise FieldError(owner, name, value, f"is not a number of at least {minimum:g}")
+
+
+def require_positive(owner: object, name: str) -> None:
+    """Check that a field that is a number is above 0.
+
+    Raises:
+        FieldError: It is not.
+    """
+    require(getattr(owner, name) > 0, owner, name, "is not a number above 0")
 
 
-def require_not(is_wrong: bool, owner: object, name: str, reason: str) -> None:
-    """Refuse a field.
+def require(is_allowed: bool, owner: object, name: str, reason: str) -> None:
+    """Check that a field has a value that is allowed.
 
     Args:
-        is_wrong: Whether the field is refused.
+        is_allowed: Whether it has.
         owner: The object that has the field.
         name: The field.
-        reason: What is wrong with it, as the end of a sentence.
+        reason: What is allowed, as the end of a sentence: ``is not a number above 0``.
 
     Raises:
-        ValueError: The field is refused; the text names field, value and reason.
+        FieldError: It has not.
     """
-    if is_wrong:
-        raise ValueError(f"{type(owner).__name__}.{name}: {getattr(owner, name)!r} {reason}")
+    if not is_allowed:
+        raise FieldError(owner, name, getattr(owner, name), reason)
--- a/quota_gateway/settings_format.py
+++ b/quota_gateway/settings_format.py
@@ -1,17 +1,19 @@
 """The one place where the keys of a settings object are translated to the fields of ``Settings``.
 
-The simulator hands such an object to each instance, a real gateway finds it in its configuration file.
+The simulator hands such an object to each instance, a real gateway finds it in its configuration file. The
+tables ``*_KEYS`` are used to read it, and to name the key that the operator wrote in an error.
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterator
-from contextlib import contextmanager
+from collections.abc import Callable, Mapping
+from typing import Any, NamedTuple, TypeVar
 
 from quota_gateway import model
-from quota_gateway.errors import ConfigError
 from quota_gateway.json_document import JsonObject, invalid_field
+from quota_gateway.model.validation import FieldError
 
+KEY_SEPARATOR = "."  # between the keys of nested objects
 DISCOVERY_MODES = {"automatic": model.DiscoveryMode.PUSH, "subscribe": model.DiscoveryMode.ASK}
 IDEMPOTENCY = {kind.value: kind for kind in model.Idempotency}
 IDEMPOTENCY_SCOPES = {scope.value: scope for scope in model.IdempotencyScope}
@@ -32,87 +34,113 @@
     "eps": "error_rate",
 }  # the names in load reports on sockets
 
+ModelType = TypeVar("ModelType")
 
-@contextmanager
-def _located(section: JsonObject) -> Iterator[None]:
-    """Add the section's path to what the model's own checks find; they name its field and the value."""
-    try:
-        yield
-    except (TypeError, ValueError) as error:
-        if isinstance(error, ConfigError) and str(error).startswith(section.path):
-            raise  # from a nested section, or a key that is missing here: the path is there already
-        raise ConfigError(f"{section.path}: {error}") from None
-
-
-def _request_class(section: JsonObject) -> model.RequestClass:
-    with _located(section):
-        return model.RequestClass(
-            name=section.text("name"),
-            latency_objective_ms=section.required("slo_ms"),
-            deadline_ms=section.required("hard_limit_ms"),
-            idempotency=section.choice("effect", IDEMPOTENCY),
-            priority_weight=section.required("value"),
-            value_after_objective=section.required("late_share"),
-            idempotency_scope=section.choice("key_scope", IDEMPOTENCY_SCOPES),
-            idempotency_window_ms=section.required("memory_span_ms"),
-            streamed=section.required("stream"),
-            objective_stretch=section.optional("aim_stretch") or 0.0,
-        )
-
-
-def _plan(section: JsonObject) -> model.Plan:
-    with _located(section):
-        return model.Plan(
-            name=section.text("name"),
-            rate=section.required("refill"),
-            burst=section.required("most_at_once"),
-            max_in_flight=section.required("parallel"),
-            weight=section.required("value_factor"),
-            excess_value=section.required("excess_worth"),
-            excess_cost=section.required("overrun_cost"),
-            ceiling_rate=section.required("cap_rate"),
-            ceiling_burst=section.required("cap_depth"),
-            ceiling_slack=section.required("hard_slack"),
-        )
-
-
-def _limits(section: JsonObject) -> model.GatewayLimits:
-    with _located(section):
-        return model.GatewayLimits(
-            max_attempts=section.required("attempts_cap"),
-            may_duplicate=section.required("may_duplicate"),
-            can_cancel=section.required("cancelling"),
-            can_probe=section.required("probes"),
-            can_message_peers=section.required("peers"),
-            can_send_retry_after=section.required("retry_after"),
-            max_open=section.required("open_cap"),
-            connect_timeout_ms=section.required("connect_timeout_ms"),
-            max_retry_after_ms=section.required("max_retry_after_ms"),
-            connection_idle_ms=section.optional("conn_idle_ms") or model.DEFAULT_IDLE_MS,
-        )
-
-
-def _service_rules(section: JsonObject) -> model.ServiceRules:
-    with _located(section):
-        return model.ServiceRules(
-            answer_slack_ms=section.required("answer_slack_ms"),
-            drain_grace_ms=section.required("drain_grace_ms"),
-            initial_capacity_share=section.required("start_capacity"),
-            warm_up_ms=section.required("warm_up_ms"),
-            overload_factor=section.required("tip_multiple"),
-            overload_window_ms=section.required("fall_ms"),
-            poll_deadline_ms=section.required("must_ask_in_ms"),
-        )
-
-
-def _load_report_fields(section: JsonObject) -> tuple[str, ...]:
-    names = section.elements("names")
+
+class Key(NamedTuple):
+    """The key of a field, and how its value is read.
+
+    Attributes:
+        name: The key; those of nested objects are joined by ``KEY_SEPARATOR``.
+        read: Returns the field's value, given the innermost object and its key.
+    """
+
+    name: str
+    read: Callable[[JsonObject, str], Any] = JsonObject.required
+
+
+def _choice(choices: Mapping[str, object]) -> Callable[[JsonObject, str], object]:
+    return lambda section, key: section.choice(key, choices)
+
+
+def _optional(default: float) -> Callable[[JsonObject, str], Any]:
+    """Read a value that may be missing, and is the default where it is missing, null or 0."""
+    return lambda section, key: section.optional(key) or default
+
+
+def _object(model_type: type, keys: Mapping[str, Key]) -> Callable[[JsonObject, str], object]:
+    return lambda section, key: _build(model_type, keys, section.nested(key))
+
+
+def _objects(model_type: type, keys: Mapping[str, Key]) -> Callable[[JsonObject, str], object]:
+    return lambda section, key: tuple(
+        _build(model_type, keys, element) for element in section.nested_elements(key)
+    )
+
+
+def _load_report_fields(section: JsonObject, key: str) -> tuple[str, ...]:
+    names = section.elements(key)
     for number, name in enumerate(names):
         if not isinstance(name, str):
-            raise invalid_field(f"{section.path_of('names')}[{number}]", name, "is not a string")
+            raise invalid_field(f"{section.path_of(key)}[{number}]", name, "is not a string")
     return tuple(LOAD_FIELD.get(name, name) for name in names)
 
 
+REQUEST_CLASS_KEYS = {
+    "name": Key("name", JsonObject.text),
+    "latency_objective_ms": Key("slo_ms"),
+    "deadline_ms": Key("hard_limit_ms"),
+    "idempotency": Key("effect", _choice(IDEMPOTENCY)),
+    "priority_weight": Key("value"),
+    "value_after_objective": Key("late_share"),
+    "idempotency_scope": Key("key_scope", _choice(IDEMPOTENCY_SCOPES)),
+    "idempotency_window_ms": Key("memory_span_ms"),
+    "streamed": Key("stream"),
+    "objective_stretch": Key("aim_stretch", _optional(0.0)),
+}
+PLAN_KEYS = {
+    "name": Key("name", JsonObject.text),
+    "rate": Key("refill"),
+    "burst": Key("most_at_once"),
+    "max_in_flight": Key("parallel"),
+    "weight": Key("value_factor"),
+    "excess_value": Key("excess_worth"),
+    "excess_cost": Key("overrun_cost"),
+    "ceiling_rate": Key("cap_rate"),
+    "ceiling_burst": Key("cap_depth"),
+    "ceiling_slack": Key("hard_slack"),
+}
+GATEWAY_LIMITS_KEYS = {
+    "max_attempts": Key("attempts_cap"),
+    "may_duplicate": Key("may_duplicate"),
+    "can_cancel": Key("cancelling"),
+    "can_probe": Key("probes"),
+    "can_message_peers": Key("peers"),
+    "can_send_retry_after": Key("retry_after"),
+    "max_open": Key("open_cap"),
+    "connect_timeout_ms": Key("connect_timeout_ms"),
+    "max_retry_after_ms": Key("max_retry_after_ms"),
+    "connection_idle_ms": Key("conn_idle_ms", _optional(model.DEFAULT_IDLE_MS)),
+}
+SERVICE_RULES_KEYS = {
+    "answer_slack_ms": Key("answer_slack_ms"),
+    "drain_grace_ms": Key("drain_grace_ms"),
+    "initial_capacity_share": Key("start_capacity"),
+    "warm_up_ms": Key("warm_up_ms"),
+    "overload_factor": Key("tip_multiple"),
+    "overload_window_ms": Key("fall_ms"),
+    "poll_deadline_ms": Key("must_ask_in_ms"),
+}
+SETTINGS_KEYS = {
+    "gateways": Key("balancers"),
+    "index": Key("slot_no"),
+    "zone": Key("locality"),
+    "classes": Key("services", _objects(model.RequestClass, REQUEST_CLASS_KEYS)),
+    "plans": Key("tariffs", _objects(model.Plan, PLAN_KEYS)),
+    "limits": Key("limits", _object(model.GatewayLimits, GATEWAY_LIMITS_KEYS)),
+    "contract": Key("contract", _object(model.ServiceRules, SERVICE_RULES_KEYS)),
+    "discovery": Key("discovery", _choice(DISCOVERY_MODES)),
+    "load_report_fields": Key("load_info.names", _load_report_fields),
+    "usage_period_ms": Key("family_info.meter_ms"),
+    "max_request_units": Key("family_info.largest"),
+    "reports_final_units": Key("family_info.settles"),
+    "has_counter": Key("family_info.has_counter"),
+    "counter_timeout_ms": Key("family_info.count_limit_ms"),
+    "tick_ms": Key("tick_ms"),
+    "cross_zone_cost": Key("deductions.cross_zone"),
+}
+
+
 def settings_from_document(document: object, path: str = "settings") -> model.Settings:
     """Translate the settings object of the simulator's wire or of a configuration file.
 
@@ -121,26 +149,24 @@
         path: Where it stands, for error messages.
 
     Raises:
-        ConfigError: A field is missing or has a value that it can't have; the message names both.
+        MissingFieldError: A key is missing; the error names it by its path.
+        InvalidFieldError: The value of a key is not allowed; the error has path, value and what is allowed.
     """
-    section = JsonObject(document, path)
-    usage = section.nested("family_info")
-    with _located(section):
-        return model.Settings(
-            gateways=section.required("balancers"),
-            index=section.required("slot_no"),
-            zone=section.required("locality"),
-            classes=tuple(_request_class(row) for row in section.nested_elements("services")),
-            plans=tuple(_plan(row) for row in section.nested_elements("tariffs")),
-            limits=_limits(section.nested("limits")),
-            contract=_service_rules(section.nested("contract")),
-            discovery=section.choice("discovery", DISCOVERY_MODES),
-            load_report_fields=_load_report_fields(section.nested("load_info")),
-            usage_period_ms=usage.required("meter_ms"),
-            max_request_units=usage.required("largest"),
-            reports_final_units=usage.required("settles"),
-            has_counter=usage.required("has_counter"),
-            counter_timeout_ms=usage.required("count_limit_ms"),
-            tick_ms=section.required("tick_ms"),
-            cross_zone_cost=section.nested("deductions").required("cross_zone"),
-        )
+    return _build(model.Settings, SETTINGS_KEYS, JsonObject(document, path))
+
+
+def _build(model_type: type[ModelType], keys: Mapping[str, Key], section: JsonObject) -> ModelType:
+    """Make an object of the model from the keys of its fields."""
+    values = {field: _read(section, key) for field, key in keys.items()}
+    try:
+        return model_type(**values)
+    except FieldError as error:
+        path = section.path_of(keys[error.field].name)
+        raise invalid_field(path, error.value, error.reason) from None
+
+
+def _read(section: JsonObject, key: Key) -> Any:
+    *parents, name = key.name.split(KEY_SEPARATOR)
+    for parent in parents:
+        section = section.nested(parent)
+    return key.read(section, name)
--- a/tests/unit/test_simulator.py
+++ b/tests/unit/test_simulator.py
@@ -172,7 +172,7 @@
         ({"Alarm": 3}, "Alarm"),
         (
             {"OpenInstance": {"i": "x", "rng_seed": 1, "env": {**SETTINGS_DOCUMENT, "balancers": 0}}},
-            "gateways",
+            "env.balancers: 0 is not a number of at least 1",
         ),
     ],
 )
