--- a/quota_gateway/model/endpoint_state.py
+++ b/quota_gateway/model/endpoint_state.py
@@ -9,7 +9,7 @@
 
 
 class Moment(NamedTuple):
-    """When a statistic was updated: the time, and how many attempts this gateway had started."""
+    """The time stamp of a statistic: milliseconds, and the attempts that this gateway had started."""
 
     at_ms: float
     attempts: int
@@ -38,11 +38,11 @@
 
 
 NEVER = Moment(-inf, 0)
-NO_RECORD = FailureRecord(0.0, 0.0, NEVER)  # of an endpoint that has had no outcome yet
+NO_RECORD = FailureRecord(0.0, 0.0, NEVER)
 
 
 class EndpointRecord(NamedTuple):
-    """What a process leaves of an endpoint to the next: its start and what it has shown."""
+    """The state of an endpoint that is handed over to the next process: its start and its statistics."""
 
     started_ms: float
     relative_latency: float
@@ -51,13 +51,19 @@
 
 
 class EndpointState:
-    """What this gateway knows of one endpoint.
+    """The state of one endpoint, as this gateway sees it.
 
     Attributes:
-        distance: How far behind this gateway it stands, see ``Subset.distance``.
-        in_flight: Attempts in flight, by request id and number.
-        relative_latency: Its latency relative to the mean of the requests' class and size.
-        queue_length: Requests that it last reported as waiting.
+        id: Its number, unique in this process.
+        zone: Its zone.
+        cell: The group of endpoints that share idempotency keys, within the zone.
+        started_ms: Time of its last start, 0 if long past.
+        distance: Its distance from this gateway, from 0 to 1, see ``Subset.distance``.
+        in_flight: Attempts in flight, by request id and number of the attempt.
+        relative_latency: Its latency relative to the mean of the requests' class and size, 1 on average.
+        relative_latency_at: When that was updated.
+        queue_length: Requests that it last reported as queued.
+        queue_length_at: When that was reported.
         failures: Failure records by key: "" for all requests, or a class, or a class of a plan.
         is_listed: Whether discovery lists it as ready.
         is_ready: Whether it may be sent requests: it is listed and not detached.
@@ -87,7 +93,7 @@
         self.update(endpoint)
 
     def reset(self) -> None:
-        """Forget what a process that has ended has shown."""
+        """Reset the statistics: the endpoint has restarted."""
         self.relative_latency = 1.0
         self.relative_latency_at = NEVER
         self.queue_length = 0.0
@@ -95,7 +101,7 @@
         self.failures: dict[str, FailureRecord] = {}
 
     def update(self, endpoint: Endpoint) -> None:
-        """Take over what discovery says."""
+        """Apply what discovery lists."""
         self.zone = endpoint.zone
         self.cell = endpoint.cell
         self.started_ms = endpoint.started_ms
@@ -103,11 +109,11 @@
         self.is_ready = self.is_listed
 
     def export(self) -> EndpointRecord:
-        """What the next process has to know of it."""
+        """Return what is handed over to the next process."""
         return EndpointRecord(self.started_ms, self.relative_latency, self.relative_latency_at, self.failures)
 
     def restore(self, record: EndpointRecord) -> None:
-        """Go on from what the process before knew of it; a later start stays."""
+        """Restore what the previous process knew; the later of both starts holds."""
         self.started_ms = max(self.started_ms, record.started_ms)
         self.relative_latency = record.relative_latency
         self.relative_latency_at = record.relative_latency_at
@@ -118,7 +124,7 @@
 
 
 class DetectedOutlier(NamedTuple):
-    """An endpoint that has failed too often: under which key, and how the last attempt ended."""
+    """An endpoint that fails too often, the key of its failure record, and how its last attempt ended."""
 
     endpoint: EndpointState
     key: str
--- a/quota_gateway/policy/endpoints.py
+++ b/quota_gateway/policy/endpoints.py
@@ -2,7 +2,6 @@
 
 from collections.abc import Iterable
 from math import inf
-from typing import NamedTuple
 
 from quota_gateway.model.endpoint_state import DetachmentPeriod, EndpointRecord, Endpoints, EndpointState
 from quota_gateway.model.events import Endpoint, EndpointLifecycle, EndpointUpdate, UpdateKind
@@ -12,11 +11,14 @@
 from quota_gateway.policy.subset import Subset
 
 
-class Selection(NamedTuple):
+class Selection:
     """The ready endpoints to work with, and those on standby with the nearest last."""
 
-    ready: Endpoints
-    standby: Endpoints
+    __slots__ = ("ready", "standby")
+
+    def __init__(self, ready: Endpoints, standby: Endpoints) -> None:
+        self.ready = ready
+        self.standby = standby
 
 
 class EndpointSelector:
@@ -146,7 +148,9 @@
         """Select the endpoints to work with, after a change of any."""
         self._clock.set_endpoint_count(len(self.by_id))
         subset_size = self.subset.size(self.listed_count)
-        self.ready, self.standby = self._selector.select(self.by_id, subset_size)
+        selection = self._selector.select(self.by_id, subset_size)
+        self.ready = selection.ready
+        self.standby = selection.standby
         self.warming = self._slow_start.warming_up(self.ready)
 
     def replace(self, outlier: EndpointState) -> None:
