--- a/tests/unit/test_config.py
+++ b/tests/unit/test_config.py
@@ -11,7 +11,7 @@
 
 from quota_gateway import DiscoveryMode, Idempotency, IdempotencyScope
 from quota_gateway.config import load_config, read_discovery_address
-from quota_gateway.errors import MAX_SHOWN_CHARACTERS, ConfigError
+from quota_gateway.errors import MAX_SHOWN_CHARACTERS, ConfigError, InvalidFieldError, MissingFieldError
 from quota_gateway.json_document import invalid_field
 from quota_gateway.resources import MEGABYTE
 from tests.support.settings_document import SETTINGS_DOCUMENT
@@ -217,7 +217,8 @@
 
 @pytest.mark.parametrize("malformed", MALFORMED_FIELDS, ids=str)
 def test_malformed_field_is_reported_by_its_path_and_value(malformed, tmp_path):
-    with pytest.raises(ConfigError) as caught:
+    error_type = MissingFieldError if malformed.value is MISSING else InvalidFieldError
+    with pytest.raises(error_type) as caught:
         load_config(write(tmp_path, malformed.document()))
     for words in malformed.words:
         assert words in str(caught.value)
