--- /dev/null
+++ b/quota_gateway/policy/customer_table.py
@@ -0,0 +1,57 @@
+"""The customers known: docs/decisions/quota.md."""
+
+from quota_gateway.model.customer_state import CustomerState
+from quota_gateway.model.events import Request
+from quota_gateway.model.settings import Plan, Settings
+from quota_gateway.policy.clock import DecayClock
+from quota_gateway.policy.hard_ceiling import HardCeiling
+from quota_gateway.policy.quota import LocalQuota
+
+CUSTOMERS_CHECKED = 2  # for forgetting at each request: more than the one that it may bring
+
+
+class CustomerTable:
+    """Customer states in least-recently-used order. Evicts those that equal a new one."""
+
+    def __init__(
+        self, settings: Settings, clock: DecayClock, quota: LocalQuota, ceiling: HardCeiling
+    ) -> None:
+        self._gateways = settings.gateways
+        self._plans = {plan.name: plan for plan in settings.plans}
+        self._clock = clock
+        self._quota = quota
+        self._ceiling = ceiling
+        self.by_key: dict[tuple[str, str], CustomerState] = {}
+
+    def use(self, request: Request, plan: Plan) -> CustomerState:
+        """The state of the request's customer, now the last used."""
+        key = (request.plan, request.customer)
+        customer = self.by_key.pop(key, None)
+        if customer is None:
+            level = self._ceiling.initial_level(plan, request.gateway_set_size)
+            customer = CustomerState(self._clock.now_ms, level)
+        customer.gateway_set_size = min(request.gateway_set_size, self._gateways)
+        customer.largest_units = max(customer.largest_units, request.units)
+        self.by_key[key] = customer
+        self._forget_unused(customer)
+        return customer
+
+    def _forget_unused(self, current: CustomerState) -> None:
+        """Bound the table: each request brings one customer at most and may take two away."""
+        for _ in range(CUSTOMERS_CHECKED):
+            key = next(iter(self.by_key))
+            customer = self.by_key[key]
+            plan = self._plans[key[0]]
+            if customer is current:
+                return
+            idle_ms = self._clock.now_ms - max(customer.excess_at_ms, customer.usage_at_ms)
+            is_recent = idle_ms < self._quota.report_lifetime_ms
+            is_drained = customer.excess <= plan.rate / customer.gateway_set_size * idle_ms
+            initial_level = self._ceiling.initial_level(plan, customer.gateway_set_size)
+            is_full = self._ceiling.level(customer, plan) >= initial_level
+            is_unused = is_drained and is_full and not customer.total_in_flight()
+            if is_recent and is_unused:
+                return  # those behind it have been seen later, or are looked at again before long
+            del self.by_key[key]
+            if is_recent or not is_unused:
+                self.by_key[key] = customer
--- a/quota_gateway/policy/engine.py
+++ b/quota_gateway/policy/engine.py
@@ -15,17 +15,21 @@
 from quota_gateway.model.snapshot import EngineState
 from quota_gateway.model.timers import TimerCallback, TimerTable
 from quota_gateway.policy.clock import DecayClock
-from quota_gateway.policy.concurrency import SLOW_RESPONSE_OBJECTIVE_SHARE, ConcurrencyLimit, PendingQueue
+from quota_gateway.policy.concurrency import SLOW_RESPONSE_OBJECTIVE_SHARE, ConcurrencyLimit
+from quota_gateway.policy.customer_table import CustomerTable
 from quota_gateway.policy.endpoints import EndpointTable
-from quota_gateway.policy.in_flight_limit import Ceiling, InFlightLimit
+from quota_gateway.policy.hard_ceiling import HardCeiling
+from quota_gateway.policy.in_flight_limit import InFlightLimit
 from quota_gateway.policy.latency import LatencyStatistics
 from quota_gateway.policy.leaky_bucket import LeakyBucket
 from quota_gateway.policy.load_balancing import LoadBalancer
 from quota_gateway.policy.outliers import FailureTracker, OutlierDetector
-from quota_gateway.policy.quota import CustomerTable, LocalQuota, UnknownCustomerAdmission
+from quota_gateway.policy.pending_queue import PendingQueue
+from quota_gateway.policy.quota import LocalQuota
 from quota_gateway.policy.retries import RetryBudget, is_retry_harmless
 from quota_gateway.policy.slow_start import SlowStart
 from quota_gateway.policy.subset import Subset
+from quota_gateway.policy.unknown_customers import UnknownCustomerAdmission
 
 ANSWER_TICKS = 2.0  # ticks before the client's deadline of the last answer: one to fire, one to spare
 POLL_SHARE = 0.5  # of the time in which discovery must be asked: room for one failed call
@@ -69,7 +73,7 @@
         self.clock = clock
         self.quota = LocalQuota(settings, clock)
         self.admission = UnknownCustomerAdmission(settings, clock, self.random, self.quota)
-        self.ceiling = Ceiling(clock)
+        self.ceiling = HardCeiling(clock)
         self.customer_table = CustomerTable(settings, clock, self.quota, self.ceiling)
         self.bucket = LeakyBucket(settings, clock, self.quota)
         self.in_flight_limit = InFlightLimit(settings, clock)
--- /dev/null
+++ b/quota_gateway/policy/pending_queue.py
@@ -0,0 +1,35 @@
+"""The queue of requests beyond the limits: docs/decisions/concurrency.md."""
+
+from quota_gateway.model.pending_request import PendingRequest
+from quota_gateway.policy.latency import LatencyStatistics
+
+
+class PendingQueue:
+    """Requests that can't go now. What has the least value for its work is shed first, released last."""
+
+    def __init__(self, latencies: LatencyStatistics) -> None:
+        self._latencies = latencies
+        self.requests: dict[str, PendingRequest] = {}
+
+    def add(self, pending: PendingRequest) -> bool:
+        """Queue a request; whether it was not queued before."""
+        is_new = pending.request.request_id not in self.requests
+        self.requests[pending.request.request_id] = pending
+        return is_new
+
+    def discard(self, request_id: str) -> None:
+        """Take a request out of the queue, if it is there."""
+        self.requests.pop(request_id, None)
+
+    def to_shed(self, limit: float) -> PendingRequest | None:
+        """The request to reject where more are queued than may be in flight at once."""
+        is_over_limit = len(self.requests) > max(1.0, limit)
+        return min(self.requests.values(), key=self._value) if is_over_limit else None
+
+    def by_value(self) -> list[PendingRequest]:
+        """All that are queued, in the order in which they are released."""
+        return sorted(self.requests.values(), key=self._value, reverse=True)
+
+    def _value(self, pending: PendingRequest) -> float:
+        weight = pending.request_class.priority_weight * pending.plan.weight
+        return weight * pending.request.units / self._latencies.mean_ms(pending)
--- a/tests/policy/test_mechanisms.py
+++ b/tests/policy/test_mechanisms.py
@@ -23,14 +23,16 @@
     LIMIT_DECREASE_PER_SLOW_RESPONSE,
     LIMIT_INCREASE_PER_FAST_RESPONSE,
     ConcurrencyLimit,
-    PendingQueue,
 )
+from quota_gateway.policy.customer_table import CustomerTable
 from quota_gateway.policy.endpoints import EndpointTable
-from quota_gateway.policy.in_flight_limit import Ceiling, InFlightLimit
+from quota_gateway.policy.hard_ceiling import HardCeiling
+from quota_gateway.policy.in_flight_limit import InFlightLimit
 from quota_gateway.policy.latency import INITIAL_LATENCY_OBJECTIVE_SHARE, LatencyStatistics
 from quota_gateway.policy.leaky_bucket import LeakyBucket
 from quota_gateway.policy.outliers import FailureTracker, OutlierDetector
-from quota_gateway.policy.quota import CustomerTable, LocalQuota
+from quota_gateway.policy.pending_queue import PendingQueue
+from quota_gateway.policy.quota import LocalQuota
 from quota_gateway.policy.retries import MAX_RETRY_TOKENS, RetryBudget, is_retry_harmless
 from quota_gateway.policy.slow_start import SlowStart
 from quota_gateway.policy.subset import Subset
@@ -83,14 +85,14 @@
 
 def test_ceiling_of_an_unknown_customer_starts_empty():
     clock = clock_at(1000.0)
-    ceiling = Ceiling(clock)
+    ceiling = HardCeiling(clock)
     assert ceiling.initial_level(CEILING, 2) == 0.0
     assert ceiling.wait_ms(pending_request(CEILING)) == 100.0
 
 
 def test_customer_table_forgets_one_that_is_as_new():
     clock = clock_at(1000.0)
-    table = CustomerTable(SETTINGS, clock, LocalQuota(SETTINGS, clock), Ceiling(clock))
+    table = CustomerTable(SETTINGS, clock, LocalQuota(SETTINGS, clock), HardCeiling(clock))
     table.use(Request("r", SAFE.name, FREE.name, "first", 4000.0), FREE)
     clock.advance(10_000.0)
     table.use(Request("r", SAFE.name, FREE.name, "second", 4000.0), FREE)
