--- a/quota_gateway/model/actions.py
+++ b/quota_gateway/model/actions.py
@@ -14,17 +14,21 @@
 
 
 class AnswerReason(Enum):
-    """Why the engine gave a final answer that serves nothing; for metrics and logs alone."""
+    """Why the engine gave a final answer that serves nothing; for metrics and logs alone.
+
+    The values are the labels that `_metrics` counts by; they stay, as dashboards name them. Which function
+    gives out each reason stands in docs/decisions/README.md.
+    """
 
     UNSPECIFIED = "unspecified"
     UNKNOWN_CLASS_OR_PLAN = "unknown_class_or_plan"
     RETRY_BELOW_ONE_REQUEST = "thin_retry"
     UNKNOWN_CUSTOMER = "unknown_customer"
     OVER_QUOTA = "over_quota"
-    NO_PLACE_IN_TIME = "no_place_in_time"
+    NO_SLOT_IN_TIME = "no_place_in_time"
     SHED = "shed"
     QUEUE_TIMEOUT = "queue_timeout"
-    ATTEMPT_LOST = "attempt_lost"
+    ATTEMPT_PRESUMED_LOST = "attempt_lost"
     NO_FURTHER_ATTEMPT = "no_further_attempt"
     DEADLINE = "deadline"
 
--- a/quota_gateway/model/customer_state.py
+++ b/quota_gateway/model/customer_state.py
@@ -9,11 +9,12 @@
     """What this gateway knows of one customer: its excess, its reported usage, its attempts in flight.
 
     Attributes:
-        excess: Thousandths of a unit in the leaky bucket, as of ``excess_at_ms``.
+        excess: Milliunits in the leaky bucket, as of ``excess_at_ms``.
         largest_units: Units of the largest request seen.
         usage: Use by all gateways as a share of the quota, as last reported at ``usage_at_ms``.
-        contended_until_ms: Until when the places under its in-flight cap are rotated.
-        offered: Units (under a rate) or requests (under a cap) offered lately, rejected ones included.
+        contended_until_ms: Until when the slots under its in-flight cap are rotated.
+        offered: Recent demand as of ``offered_at_ms``, rejected requests included: units under a rate,
+            requests under a cap.
         in_flight: Attempts in flight from this process.
         peer_in_flight: Attempts in flight from the peer process of this gateway.
         ceiling_level: Units in this gateway's share of the hard ceiling, as of ``ceiling_at_ms``.
--- a/quota_gateway/model/events.py
+++ b/quota_gateway/model/events.py
@@ -228,7 +228,7 @@
         plan: The customer's plan.
         customer: The customer.
         in_flight: Attempts in flight from the other process.
-        excess_change: Change of the leaky bucket's excess, in thousandths of a unit.
+        excess_change: Change of the leaky bucket's excess, in milliunits.
     """
 
     plan: str
--- a/quota_gateway/model/pending_request.py
+++ b/quota_gateway/model/pending_request.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from enum import Enum
 from math import ceil
 from typing import NamedTuple
 
@@ -11,6 +12,24 @@
 from quota_gateway.model.settings import Plan, RequestClass
 
 
+class RequestState(Enum):
+    """Where a request is on its way; the transitions are in ``policy/request_lifecycle.py``.
+
+    ADMITTED lasts until the request is scheduled, in the same event. DELAYED waits for the leaky bucket,
+    QUEUED for a limit or an endpoint. IN_FLIGHT has started an attempt. STREAMING has a reply on its way to
+    the client. ANSWERED has its final answer, and perhaps attempts in flight; ANSWERED_BY_STREAM has been
+    STREAMING besides.
+    """
+
+    ADMITTED = "admitted"
+    DELAYED = "delayed"
+    QUEUED = "queued"
+    IN_FLIGHT = "in flight"
+    STREAMING = "streaming"
+    ANSWERED = "answered"
+    ANSWERED_BY_STREAM = "answered by stream"
+
+
 class RunningAttempt(NamedTuple):
     """An attempt in flight, or one that may have been executed."""
 
@@ -30,14 +49,19 @@
     """A request that is delayed, queued or in flight, or answered with attempts still in flight.
 
     Attributes:
+        state: Where it is on its way.
+        arrived_ms: When it arrived.
+        deadline_ms: When its final answer is due at the latest.
+        attempts: How many attempts have been started.
+        in_flight: Attempts in flight, by number.
+        tried_endpoints: Ids of the endpoints that an attempt was started at.
         size: Units, rounded up: latencies are kept for each size.
         failure_keys: Keys of the failure records that it counts for.
         slow_start_draw: Drawn once for the request, 0 to 1: says which warming endpoint it may go to.
         was_delivered: Whether an endpoint may have received an attempt whole.
         had_error: Whether an endpoint has answered, but with an error.
         timer_tokens: Timers that are for this request alone.
-        is_contended: Whether the places under the in-flight cap seem to be taken elsewhere.
-        is_delayed: Whether it waits for the leaky bucket, whose timer releases it.
+        is_contended: Whether other gateways seem to use the slots under the in-flight cap.
         first_executed: The first attempt that may have been executed.
     """
 
@@ -50,15 +74,13 @@
         "first_executed",
         "had_error",
         "in_flight",
-        "is_closed",
         "is_contended",
-        "is_delayed",
-        "is_streaming",
         "plan",
         "request",
         "request_class",
         "size",
         "slow_start_draw",
+        "state",
         "timer_tokens",
         "tried_endpoints",
         "was_delivered",
@@ -82,19 +104,27 @@
         self.size = ceil(request.units)
         class_key = f"class {request_class.name}"
         self.failure_keys = FailureKeys("", class_key, f"{class_key} of plan {plan.name}")
+        self.state = RequestState.ADMITTED
         self.attempts = 0
         self.slow_start_draw = slow_start_draw
         self.in_flight: dict[int, RunningAttempt] = {}
         self.tried_endpoints: set[int] = set()
         self.was_delivered = False
-        self.is_closed = False
-        self.is_streaming = False
         self.had_error = False
         self.timer_tokens: list[int] = []
         self.is_contended = False
-        self.is_delayed = False
         self.first_executed: RunningAttempt | None = None
 
+    @property
+    def is_answered(self) -> bool:
+        """Whether the final answer is given, or not owed any more."""
+        return self.state is RequestState.ANSWERED or self.state is RequestState.ANSWERED_BY_STREAM
+
+    @property
+    def is_streaming(self) -> bool:
+        """Whether a streamed reply has begun, also if it is complete."""
+        return self.state is RequestState.STREAMING or self.state is RequestState.ANSWERED_BY_STREAM
+
     def start_attempt(self, endpoint: EndpointState, now_ms: float) -> int:
         """Account for a new attempt, here and at its endpoint and customer; its number."""
         number = self.attempts
--- a/quota_gateway/model/timers.py
+++ b/quota_gateway/model/timers.py
@@ -2,41 +2,80 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
-from typing import Any
+from dataclasses import dataclass
 
 from quota_gateway.model.actions import SetTimer
 from quota_gateway.model.events import TimerFired
 from quota_gateway.model.pending_request import PendingRequest
 
-TimerCallback = Callable[[Any], None]  # is called with the argument that the timer was set with
+
+@dataclass(slots=True, eq=False)
+class WaitOver:
+    """A request has waited out its delay, or the time that a limit named: it may be scheduled again."""
+
+    pending: PendingRequest
+
+
+@dataclass(slots=True, eq=False)
+class QueueTimeout:
+    """A queued request can no longer be answered within its latency objective."""
+
+    pending: PendingRequest
+
+
+@dataclass(slots=True, eq=False)
+class AttemptSlow:
+    """An attempt has been in flight for as long as a slow response takes."""
+
+    pending: PendingRequest
+    attempt: int
+
+
+@dataclass(slots=True, eq=False)
+class AttemptLate:
+    """An attempt has been in flight for as long as the latency objective."""
+
+    pending: PendingRequest
+    attempt: int
+
+
+@dataclass(slots=True, eq=False)
+class DeadlineReached:
+    """The final answer of a request is due."""
+
+    pending: PendingRequest
+
+
+@dataclass(slots=True, eq=False)
+class PollDue:
+    """Discovery is to be asked for endpoint updates."""
+
+
+RequestTimer = WaitOver | QueueTimeout | AttemptSlow | AttemptLate | DeadlineReached
+Timer = RequestTimer | PollDue
 
 
 class TimerTable:
-    """What to call when a timer fires, by its token."""
+    """What each armed timer is for, by its token."""
 
     __slots__ = ("_last_token", "armed")
 
     def __init__(self) -> None:
         self._last_token = 0
-        self.armed: dict[int, tuple[TimerCallback, object]] = {}
+        self.armed: dict[int, Timer] = {}
 
-    def arm(
-        self, delay_ms: float, call: TimerCallback, argument: object, pending: PendingRequest | None = None
-    ) -> SetTimer:
-        """Set a timer; one that is for a pending request alone is noted there, to be dropped with it."""
+    def arm(self, delay_ms: float, timer: Timer) -> SetTimer:
+        """Set a timer that fires after ``delay_ms`` milliseconds; one for a request is noted there."""
         self._last_token += 1
-        self.armed[self._last_token] = (call, argument)
-        if pending:
-            pending.timer_tokens.append(self._last_token)
-        return SetTimer(self._last_token, delay_ms)
-
-    def on_fired(self, event: TimerFired) -> None:
-        """Call what was set, unless it was dropped."""
-        timer = self.armed.pop(event.token, None)
-        if timer:
-            call, argument = timer
-            call(argument)
+        token = self._last_token
+        self.armed[token] = timer
+        if not isinstance(timer, PollDue):
+            timer.pending.timer_tokens.append(token)
+        return SetTimer(token, delay_ms)
+
+    def take(self, event: TimerFired) -> Timer | None:
+        """Return what the fired timer is for, or None if it was dropped."""
+        return self.armed.pop(event.token, None)
 
     def drop(self, pending: PendingRequest) -> None:
         """Forget the timers of a request, which would keep it until the last of them is due."""
--- /dev/null
+++ b/quota_gateway/policy/attempt_feedback.py
@@ -0,0 +1,60 @@
+"""What the mechanisms learn from attempts: their start, slowness and outcome."""
+
+from quota_gateway.model.endpoint_state import DetectedOutlier, EndpointState
+from quota_gateway.model.events import AttemptStatus, Outcome
+from quota_gateway.model.pending_request import PendingRequest, RunningAttempt
+from quota_gateway.policy.decision_log import DecisionLog
+from quota_gateway.policy.mechanisms import Mechanisms
+
+
+class AttemptFeedback:
+    """Accounts for attempts, and replaces and logs the outliers that they show."""
+
+    def __init__(self, mechanisms: Mechanisms, log: DecisionLog) -> None:
+        self._clock = mechanisms.clock
+        self._ceiling = mechanisms.ceiling
+        self._retry_budget = mechanisms.retry_budget
+        self._concurrency = mechanisms.concurrency
+        self._latencies = mechanisms.latencies
+        self._balancer = mechanisms.balancer
+        self._outliers = mechanisms.outliers
+        self._endpoints = mechanisms.endpoints
+        self._log = log
+
+    def on_start(self, pending: PendingRequest, endpoint: EndpointState, is_free: bool) -> int:
+        """Charge a new attempt to ceiling, retry budget and concurrency limit; return its number."""
+        number = pending.start_attempt(endpoint, self._clock.now_ms)
+        if number == 0:
+            self._ceiling.draw(pending)
+        self._retry_budget.on_start(number, is_free)
+        self._clock.on_attempt()
+        self._concurrency.on_start(pending.request.request_id, number)
+        return number
+
+    def on_slow_timer(self, pending: PendingRequest, number: int) -> None:
+        """Count an attempt no more under the concurrency limit, whether it is in flight or has ended."""
+        self._concurrency.on_end(pending.request.request_id, number)
+
+    def on_slow_attempt(self, pending: PendingRequest, endpoint: EndpointState) -> None:
+        """Count an attempt in flight that is slow as a failure of its endpoint."""
+        self._on_outlier(self._outliers.on_slow_attempt(pending, endpoint))
+
+    def on_outcome(self, pending: PendingRequest, attempt: RunningAttempt, event: Outcome) -> None:
+        """Learn from the end of an attempt."""
+        endpoint = attempt.endpoint
+        self._concurrency.on_end(event.request_id, event.attempt)
+        self._on_outlier(self._outliers.on_outcome(pending, endpoint, event.status))
+        self._balancer.on_load_report(endpoint, event.load)
+        if event.status is AttemptStatus.OK:
+            latency_ms = event.latency_ms - self._latencies.size_extra_ms(pending)
+            self._concurrency.on_response(pending.request_class, latency_ms)
+            self._balancer.on_response(pending.request_class, endpoint, latency_ms)
+            self._latencies.record(pending, endpoint, event.latency_ms)
+
+    def _on_outlier(self, outlier: DetectedOutlier | None) -> None:
+        if outlier:
+            self._endpoints.replace(outlier.endpoint)
+            server, scope = outlier.endpoint.id, outlier.key or "all"
+            self._log.log_message_once(
+                f"outlier detected server={server} scope={scope!r} reason={outlier.reason}"
+            )
--- a/quota_gateway/policy/customer_table.py
+++ b/quota_gateway/policy/customer_table.py
@@ -1,4 +1,4 @@
-"""The customers known: docs/decisions/quota.md."""
+"""The table of customers: docs/decisions/quota.md."""
 
 from quota_gateway.model.customer_state import CustomerState
 from quota_gateway.model.events import Request
@@ -7,7 +7,7 @@
 from quota_gateway.policy.hard_ceiling import HardCeiling
 from quota_gateway.policy.quota import LocalQuota
 
-CUSTOMERS_CHECKED = 2  # for forgetting at each request: more than the one that it may bring
+MAX_EVICTIONS_PER_REQUEST = 2  # above the one customer that a request may add
 
 
 class CustomerTable:
@@ -24,7 +24,7 @@
         self.by_key: dict[tuple[str, str], CustomerState] = {}
 
     def use(self, request: Request, plan: Plan) -> CustomerState:
-        """The state of the request's customer, now the last used."""
+        """Return the state of the request's customer, now the most recently used."""
         key = (request.plan, request.customer)
         customer = self.by_key.pop(key, None)
         if customer is None:
@@ -33,12 +33,12 @@
         customer.gateway_set_size = min(request.gateway_set_size, self._gateways)
         customer.largest_units = max(customer.largest_units, request.units)
         self.by_key[key] = customer
-        self._forget_unused(customer)
+        self._evict_unused(customer)
         return customer
 
-    def _forget_unused(self, current: CustomerState) -> None:
-        """Bound the table: each request brings one customer at most and may take two away."""
-        for _ in range(CUSTOMERS_CHECKED):
+    def _evict_unused(self, current: CustomerState) -> None:
+        """Evict customers that equal a new one, from the least recently used on; keep the current one."""
+        for _ in range(MAX_EVICTIONS_PER_REQUEST):
             key = next(iter(self.by_key))
             customer = self.by_key[key]
             plan = self._plans[key[0]]
@@ -51,7 +51,7 @@
             is_full = self._ceiling.level(customer, plan) >= initial_level
             is_unused = is_drained and is_full and not customer.total_in_flight()
             if is_recent and is_unused:
-                return  # those behind it have been seen later, or are looked at again before long
+                return  # those behind it were used later
             del self.by_key[key]
             if is_recent or not is_unused:
                 self.by_key[key] = customer
--- a/quota_gateway/policy/hard_ceiling.py
+++ b/quota_gateway/policy/hard_ceiling.py
@@ -1,7 +1,5 @@
 """The hard ceiling of a customer's units: docs/decisions/in_flight_limit.md."""
 
-from math import inf
-
 from quota_gateway.model.customer_state import CustomerState
 from quota_gateway.model.pending_request import PendingRequest
 from quota_gateway.model.settings import Plan
@@ -9,13 +7,13 @@
 
 
 class HardCeiling:
-    """Keeps a customer's units, over all gateways, under a token bucket that is never passed."""
+    """Keeps a customer's units, over all gateways, under a token bucket that is never overdrawn."""
 
     def __init__(self, clock: DecayClock) -> None:
         self._clock = clock
 
     def initial_level(self, plan: Plan, gateway_set_size: int) -> float:
-        """The level of a customer not seen since the start: unknown history starts at nought."""
+        """Units at first of a customer not seen yet: an empty bucket, refilled since the start."""
         elapsed_ms = self._clock.now_ms - self._clock.started_at_ms
         return min(plan.ceiling_burst, plan.ceiling_rate * elapsed_ms / 1000.0) / gateway_set_size
 
@@ -25,13 +23,13 @@
         refill = plan.ceiling_rate / customer.gateway_set_size * elapsed_ms / 1000.0
         return min(plan.ceiling_burst / customer.gateway_set_size, customer.ceiling_level + refill)
 
-    def wait_ms(self, pending: PendingRequest) -> float:
-        """Milliseconds until the bucket holds the request's units; infinity if it never can."""
+    def wait_ms(self, pending: PendingRequest) -> float | None:
+        """Milliseconds until the bucket holds the request's units; None if it never can."""
         plan, customer = pending.plan, pending.customer
         if not plan.ceiling_rate:
             return 0.0
         if pending.request.units > plan.ceiling_burst / customer.gateway_set_size:
-            return inf
+            return None
         missing = pending.request.units - self.level(customer, plan)
         return max(0.0, missing) * 1000.0 * customer.gateway_set_size / plan.ceiling_rate
 
--- a/quota_gateway/policy/in_flight_limit.py
+++ b/quota_gateway/policy/in_flight_limit.py
@@ -7,15 +7,13 @@
 from quota_gateway.model.settings import Plan, Settings
 from quota_gateway.policy.clock import DecayClock
 
-SMALL_GATEWAY_SET_SIZE = (
-    4  # gateways by which most of a customer's requests come at a time: a wider set has idle ones
-)
-TURN_PERIODS = 1.0  # usage periods of a gateway's turn at contended places: long beside an attempt
-REPORTED_PERIODS = 10.0  # usage periods of contention after a report of more in flight than the cap allows
-OCCUPIED_PERIODS = 1.0  # the same after a request found this gateway's place taken, which may be chance
-ARRIVALS_DECAY_MS = 2000.0  # time constant of a customer's arrivals here: the lateness of a report
-ARRIVALS_PER_HEADROOM = 0.75  # such arrivals that the whole of a cap's headroom allows
-FIRST_HEADROOM = 0.3  # of a cap: taken for a customer of whom there is no report yet
+SMALL_GATEWAY_SET_SIZE = 4
+ROTATION_PERIOD_USAGE_PERIODS = 1.0
+CONTENTION_AFTER_REPORT_USAGE_PERIODS = 10.0
+CONTENTION_AFTER_OCCUPIED_SLOT_USAGE_PERIODS = 1.0
+ARRIVALS_DECAY_MS = 2000.0
+CONTENTION_ARRIVALS_PER_HEADROOM = 0.75
+INITIAL_HEADROOM_SHARE = 0.3
 
 
 class InFlightLimit:
@@ -25,44 +23,46 @@
         self._settings = settings
         self._clock = clock
 
-    def has_place(self, pending: PendingRequest, quota_share: float) -> bool:
+    def has_free_slot(self, pending: PendingRequest, quota_share: float) -> bool:
         """Whether an attempt fits into this gateway's share of the cap, which is one at least."""
         cap = pending.plan.max_in_flight
         return not cap or pending.customer.total_in_flight() < max(1, int(cap * quota_share))
 
     def on_usage_report(self, customer: CustomerState, usage: float) -> None:
-        """Note contention where a report tells of more than the cap allows."""
+        """Note contention where a report shows more in flight than the cap allows."""
         if usage > 1.0:
-            self._mark_contended(customer, REPORTED_PERIODS)
+            self._mark_contended(customer, CONTENTION_AFTER_REPORT_USAGE_PERIODS)
 
     def on_arrival(self, customer: CustomerState, plan: Plan) -> bool:
-        """Count a request under a cap, and say whether its places seem to be taken elsewhere."""
+        """Count a request under a cap; return whether other gateways seem to use the slots."""
         if customer.total_in_flight():
-            self._mark_contended(customer, OCCUPIED_PERIODS)
+            self._mark_contended(customer, CONTENTION_AFTER_OCCUPIED_SLOT_USAGE_PERIODS)
         if not plan.max_in_flight or plan.rate:
             return False
         now_ms = self._clock.now_ms
         arrivals = customer.offered * exp((customer.offered_at_ms - now_ms) / ARRIVALS_DECAY_MS)
         customer.offered = arrivals + 1.0
         customer.offered_at_ms = now_ms
-        headroom = max(0.0, 1.0 - customer.usage) if customer.usage_at_ms > -inf else FIRST_HEADROOM
-        return arrivals >= ARRIVALS_PER_HEADROOM * headroom
+        headroom = max(0.0, 1.0 - customer.usage) if customer.usage_at_ms > -inf else INITIAL_HEADROOM_SHARE
+        return arrivals >= CONTENTION_ARRIVALS_PER_HEADROOM * headroom
 
-    def _mark_contended(self, customer: CustomerState, periods: float) -> None:
-        until_ms = self._clock.now_ms + periods * self._settings.usage_period_ms
+    def _mark_contended(self, customer: CustomerState, usage_periods: float) -> None:
+        until_ms = self._clock.now_ms + usage_periods * self._settings.usage_period_ms
         customer.contended_until_ms = max(customer.contended_until_ms, until_ms)
 
-    def turn_wait_ms(self, pending: PendingRequest) -> float:
-        """Milliseconds until it is this gateway's turn at a cap with fewer places than gateways."""
-        customer, places = pending.customer, pending.plan.max_in_flight
-        if not places or places >= customer.gateway_set_size:
+    def slot_wait_ms(self, pending: PendingRequest) -> float:
+        """Milliseconds until the rotation gives this gateway a slot under a cap with fewer than gateways."""
+        customer, slots = pending.customer, pending.plan.max_in_flight
+        if not slots or slots >= customer.gateway_set_size or not self._are_slots_contended(pending):
             return 0.0
-        now_ms = self._clock.now_ms
-        is_set_wide = customer.gateway_set_size > SMALL_GATEWAY_SET_SIZE
-        if not (pending.is_contended if is_set_wide else now_ms < customer.contended_until_ms):
-            return 0.0
-        turn_ms = TURN_PERIODS * self._settings.usage_period_ms
-        turn, elapsed_ms = divmod(now_ms, turn_ms)
+        period_ms = ROTATION_PERIOD_USAGE_PERIODS * self._settings.usage_period_ms
+        period, elapsed_ms = divmod(self._clock.now_ms, period_ms)
         position = (self._settings.index - pending.request.first_gateway) % self._settings.gateways
-        turns_ahead = int(position - turn) % customer.gateway_set_size
-        return 0.0 if turns_ahead < places else (turns_ahead - places + 1) * turn_ms - elapsed_ms
+        periods_ahead = int(position - period) % customer.gateway_set_size
+        return 0.0 if periods_ahead < slots else (periods_ahead - slots + 1) * period_ms - elapsed_ms
+
+    def _are_slots_contended(self, pending: PendingRequest) -> bool:
+        """Whether slots rotate: by arrivals in a large gateway set, else by reports and occupied slots."""
+        if pending.customer.gateway_set_size > SMALL_GATEWAY_SET_SIZE:
+            return pending.is_contended
+        return self._clock.now_ms < pending.customer.contended_until_ms
--- a/quota_gateway/policy/leaky_bucket.py
+++ b/quota_gateway/policy/leaky_bucket.py
@@ -1,6 +1,7 @@
-"""The leaky bucket of a customer's rate: docs/decisions/leaky_bucket.md."""
+"""The leaky bucket of a customer's rate: docs/decisions/leaky_bucket.md.
 
-from math import inf
+Excess and burst are in milliunits; a rate in units a second is a rate in milliunits a millisecond.
+"""
 
 from quota_gateway.model.customer_state import CustomerState
 from quota_gateway.model.pending_request import PendingRequest
@@ -8,10 +9,10 @@
 from quota_gateway.policy.clock import DecayClock
 from quota_gateway.policy.quota import MILLIUNITS_PER_UNIT, LocalQuota
 
-REJECT_BURSTS = 2.0  # bursts of excess beyond which a request is rejected: one is delayed at most
-PRIORITY_BURST = 0.25  # by which the burst grows for a class of infinite weight, to have what others leave
-LEAST_PRIORITY_DELAY = 0.1  # of the shortest objective, for the least class: weightier ones wait longer
-THIN_BURST = 2.0  # requests by which an unused thin share's burst grows: two by chance are no abuse
+MAX_EXCESS_BURSTS = 2.0
+MAX_PRIORITY_BURST_INCREASE_SHARE = 0.25  # approached by classes of great priority weight
+LOWEST_PRIORITY_MAX_DELAY_OBJECTIVE_SHARE = 0.1
+HEADROOM_BURST_REQUESTS = 2.0
 
 
 class LeakyBucket:
@@ -21,86 +22,102 @@
         self._clock = clock
         self._quota = quota
         self._limits = settings.limits
-        weights = [item.priority_weight for item in settings.classes]
-        self._least_weight = min(weights) if min(weights) < max(weights) else 0.0  # 0 where all are equal
+        weights = {item.priority_weight for item in settings.classes}
+        has_lowest_weight = len(weights) > 1 or 0.0 in weights
+        self._lowest_weight = min(weights) if has_lowest_weight else None
         self._shortest_objective_ms = min(item.latency_objective_ms for item in settings.classes)
 
-    def offer(self, pending: PendingRequest, mean_latency_ms: float) -> float:
-        """Milliseconds to delay a request, or infinity to reject it, with its units not in the bucket."""
+    def offer(self, pending: PendingRequest, mean_latency_ms: float) -> float | None:
+        """Add a request's units to the bucket; return its delay in milliseconds.
+
+        None rejects the request, whose units are not in the bucket then.
+        """
         customer, plan = pending.customer, pending.plan
         if not plan.rate:
             return 0.0
-        now_ms, units = self._clock.now_ms, pending.request.units
         rate = plan.rate * self._quota.share(customer)
-        burst = self._offered_burst(customer, plan, units) * self._priority_factor(pending.request_class)
-        excess = max(
-            0.0, customer.excess - rate * (now_ms - customer.excess_at_ms) + MILLIUNITS_PER_UNIT * units
-        )
-        if excess > REJECT_BURSTS * burst:
-            return inf
+        recent_demand = self._count_demand(customer, plan, pending.request.units)
+        base_burst = self._burst(customer, plan) * self._headroom_factor(customer, plan, recent_demand)
+        burst = base_burst * self._priority_factor(pending.request_class)
+        excess = max(0.0, self._excess_with(pending, rate))
+        if excess > MAX_EXCESS_BURSTS * burst:
+            return None
         delay_ms = max(0.0, excess - burst) / rate
         max_delay_ms = self._max_delay_ms(pending.request_class, mean_latency_ms)
         if delay_ms and delay_ms >= min(pending.request.timeout_ms, max_delay_ms):
-            return inf
+            return None
         customer.excess = excess
-        customer.excess_at_ms = now_ms
+        customer.excess_at_ms = self._clock.now_ms
         return delay_ms
 
+    def _excess_with(self, pending: PendingRequest, rate: float) -> float:
+        """The excess now with the request's units in it; below 0 where the bucket was empty before now."""
+        customer = pending.customer
+        drained = rate * (self._clock.now_ms - customer.excess_at_ms)
+        return customer.excess - drained + MILLIUNITS_PER_UNIT * pending.request.units
+
     def _burst(self, customer: CustomerState, plan: Plan) -> float:
-        """This gateway's share of the burst, in thousandths, with room for one request at least."""
+        """This gateway's even share of the burst, which holds one request at least."""
         return max(plan.burst / customer.gateway_set_size, customer.largest_units) * MILLIUNITS_PER_UNIT
 
-    def _offered_burst(self, customer: CustomerState, plan: Plan, units: float) -> float:
-        """Count the units offered; the burst grows by the headroom while a thin share is hardly used."""
+    def _count_demand(self, customer: CustomerState, plan: Plan, units: float) -> float:
+        """Add units to the customer's recent demand, rejected or not; return it."""
         now_ms = self._clock.now_ms
-        drained = (
-            plan.rate * (now_ms - customer.offered_at_ms) / customer.gateway_set_size / MILLIUNITS_PER_UNIT
-        )
+        elapsed_ms = now_ms - customer.offered_at_ms
+        drained = plan.rate * elapsed_ms / customer.gateway_set_size / MILLIUNITS_PER_UNIT
         customer.offered = max(0.0, customer.offered - drained) + units
         customer.offered_at_ms = now_ms
-        burst = self._burst(customer, plan)
-        if (
-            self._quota.share_is_below_one_request(customer, plan)
-            and customer.offered <= THIN_BURST * customer.largest_units
-        ):
-            lifetime_ms = self._quota.drain_ms(customer, plan)
-            burst *= 1.0 + THIN_BURST * self._quota.headroom(customer, lifetime_ms)
-        return burst
+        return customer.offered
+
+    def _headroom_factor(self, customer: CustomerState, plan: Plan, recent_demand: float) -> float:
+        """By how much headroom increases the burst of a share below one request with little demand."""
+        if not self._quota.share_is_below_one_request(customer, plan):
+            return 1.0
+        if recent_demand > HEADROOM_BURST_REQUESTS * customer.largest_units:
+            return 1.0
+        lifetime_ms = self._quota.drain_ms(customer, plan)
+        return 1.0 + HEADROOM_BURST_REQUESTS * self._quota.headroom(customer, lifetime_ms)
 
     def _priority_factor(self, request_class: RequestClass) -> float:
-        """By how much the burst is larger for a class: not at all for the least weight."""
-        if not self._least_weight:
+        """By how much the burst is larger for a class: not at all for the lowest weight."""
+        if not self._lowest_weight:
             return 1.0
-        return 1.0 + PRIORITY_BURST * (1.0 - self._least_weight / request_class.priority_weight)
+        relative_weight = self._lowest_weight / request_class.priority_weight
+        return 1.0 + MAX_PRIORITY_BURST_INCREASE_SHARE * (1.0 - relative_weight)
 
     def _max_delay_ms(self, request_class: RequestClass, mean_latency_ms: float) -> float:
-        """How long a delay still leaves a reply within the shortest objective; less for the least weight."""
-        if request_class.priority_weight == self._least_weight:
-            return LEAST_PRIORITY_DELAY * self._shortest_objective_ms
+        """The longest delay with a reply within the shortest objective; less for the lowest weight."""
+        if request_class.priority_weight == self._lowest_weight:
+            return LOWEST_PRIORITY_MAX_DELAY_OBJECTIVE_SHARE * self._shortest_objective_ms
         return self._shortest_objective_ms - mean_latency_ms
 
-    def retry_after_ms(self, pending: PendingRequest, mean_latency_ms: float, start_by_ms: float) -> float:
-        """When a rejected request would be taken, delayed or not; 0 where that is after ``start_by_ms``."""
+    def retry_after_ms(
+        self, pending: PendingRequest, mean_latency_ms: float, latest_start_ms: float
+    ) -> float | None:
+        """Milliseconds until a rejected request would be admitted, delayed or not.
+
+        None where that is after ``latest_start_ms``, a clock time, or where no advice may be given.
+        """
         if not self._limits.can_send_retry_after:
-            return 0.0
+            return None
         customer, plan = pending.customer, pending.plan
-        now_ms = self._clock.now_ms
         rate = plan.rate * self._quota.share(customer)
         burst = self._burst(customer, plan) * self._priority_factor(pending.request_class)
-        units = pending.request.units
-        excess = customer.excess - rate * (now_ms - customer.excess_at_ms) + MILLIUNITS_PER_UNIT * units
+        excess = self._excess_with(pending, rate)
         max_delay_ms = max(0.0, self._max_delay_ms(pending.request_class, mean_latency_ms))
         delay_ms = min(burst / rate, pending.request.timeout_ms, max_delay_ms)
         wait_ms = max(0.0, (excess - burst) / rate - delay_ms)
-        return min(self._limits.max_retry_after_ms, wait_ms) if wait_ms <= start_by_ms - now_ms else 0.0
+        if wait_ms > latest_start_ms - self._clock.now_ms:
+            return None
+        return min(self._limits.max_retry_after_ms, wait_ms)
 
     def settle(self, pending: PendingRequest, final_units: float) -> float:
-        """Correct the excess by the units that a request has really used; by how much it changed."""
+        """Correct the excess by the units really used; return its change in milliunits."""
         change = MILLIUNITS_PER_UNIT * (final_units - pending.request.units)
         self.adjust(pending.customer, change)
         return change
 
     @staticmethod
     def adjust(customer: CustomerState, change: float) -> None:
-        """Change a customer's excess, not below an empty bucket."""
+        """Change a customer's excess by so many milliunits, not below an empty bucket."""
         customer.excess = max(0.0, customer.excess + change)
--- a/quota_gateway/policy/pending_queue.py
+++ b/quota_gateway/policy/pending_queue.py
@@ -1,33 +1,33 @@
-"""The queue of requests beyond the limits: docs/decisions/concurrency.md."""
+"""The queue of requests that wait for a limit or an endpoint: docs/decisions/concurrency.md."""
 
 from quota_gateway.model.pending_request import PendingRequest
 from quota_gateway.policy.latency import LatencyStatistics
 
 
 class PendingQueue:
-    """Requests that can't go now. What has the least value for its work is shed first, released last."""
+    """Requests that wait to be scheduled, ranked by value per expected work: the least is shed first."""
 
     def __init__(self, latencies: LatencyStatistics) -> None:
         self._latencies = latencies
         self.requests: dict[str, PendingRequest] = {}
 
     def add(self, pending: PendingRequest) -> bool:
-        """Queue a request; whether it was not queued before."""
+        """Queue a request; return whether it was not queued before."""
         is_new = pending.request.request_id not in self.requests
         self.requests[pending.request.request_id] = pending
         return is_new
 
     def discard(self, request_id: str) -> None:
-        """Take a request out of the queue, if it is there."""
+        """Remove a request, if it is queued."""
         self.requests.pop(request_id, None)
 
     def to_shed(self, limit: float) -> PendingRequest | None:
-        """The request to reject where more are queued than may be in flight at once."""
+        """The request to shed where more are queued than may be in flight, one at least."""
         is_over_limit = len(self.requests) > max(1.0, limit)
         return min(self.requests.values(), key=self._value) if is_over_limit else None
 
     def by_value(self) -> list[PendingRequest]:
-        """All that are queued, in the order in which they are released."""
+        """The queued requests, the most valuable first."""
         return sorted(self.requests.values(), key=self._value, reverse=True)
 
     def _value(self, pending: PendingRequest) -> float:
--- a/quota_gateway/policy/quota.py
+++ b/quota_gateway/policy/quota.py
@@ -4,9 +4,9 @@
 from quota_gateway.model.settings import Plan, Settings
 from quota_gateway.policy.clock import DecayClock
 
-MILLIUNITS_PER_UNIT = 1000.0  # of a unit, the unit of the excess
-SHARE_GROWTH = 0.1  # share of the headroom given out: reports are late, and all gateways rise on one figure
-REPORT_PERIODS = 4.0  # usage periods a report stays news: the period, its lateness, a gap in traffic
+MILLIUNITS_PER_UNIT = 1000.0
+SHARE_INCREASE_PER_HEADROOM = 0.1
+REPORT_LIFETIME_USAGE_PERIODS = 4.0
 
 
 class LocalQuota:
@@ -14,25 +14,25 @@
 
     def __init__(self, settings: Settings, clock: DecayClock) -> None:
         self._clock = clock
-        self.report_lifetime_ms = REPORT_PERIODS * settings.usage_period_ms
+        self.report_lifetime_ms = REPORT_LIFETIME_USAGE_PERIODS * settings.usage_period_ms
 
     def headroom(self, customer: CustomerState, lifetime_ms: float) -> float:
-        """What the last report leaves of the quota; nothing at or over quota, or when it is too old."""
+        """Share of the quota that the last report leaves; 0 at or over quota, or if the report is too old."""
         is_fresh = self._clock.now_ms - customer.usage_at_ms <= lifetime_ms
         return max(0.0, 1.0 - customer.usage) if is_fresh else 0.0
 
     def share(self, customer: CustomerState) -> float:
-        """The even share of the quota, and the even part of the headroom that a fresh report leaves."""
+        """The even share of the quota, increased by a share of the headroom that a fresh report leaves."""
         headroom = self.headroom(customer, self.report_lifetime_ms)
-        return min(1.0, (1.0 + SHARE_GROWTH * headroom) / customer.gateway_set_size)
+        return min(1.0, (1.0 + SHARE_INCREASE_PER_HEADROOM * headroom) / customer.gateway_set_size)
 
     def drain_ms(self, customer: CustomerState, plan: Plan) -> float:
-        """How long the even share takes to drain the customer's largest request."""
+        """Milliseconds that the even share takes to drain the customer's largest request."""
         if not plan.rate:
             return 0.0
         return customer.largest_units * customer.gateway_set_size * MILLIUNITS_PER_UNIT / plan.rate
 
     def share_is_below_one_request(self, customer: CustomerState, plan: Plan) -> bool:
-        """Whether the even share is less than a request, in its burst and while a report is news."""
-        is_burst_thin = plan.burst < customer.largest_units * customer.gateway_set_size
-        return is_burst_thin and self.drain_ms(customer, plan) > self.report_lifetime_ms
+        """Whether an even share can't cover the largest request, by its burst or in a report's lifetime."""
+        burst_is_below_one_request = plan.burst < customer.largest_units * customer.gateway_set_size
+        return burst_is_below_one_request and self.drain_ms(customer, plan) > self.report_lifetime_ms
--- a/quota_gateway/policy/retries.py
+++ b/quota_gateway/policy/retries.py
@@ -1,54 +1,110 @@
-"""Retries and hedged requests, and their budget: docs/decisions/retries.md."""
+"""Retries: what follows a failed attempt, and one that is slow: docs/decisions/retries.md."""
 
+from dataclasses import dataclass
+from enum import Enum, auto
+
+from quota_gateway.model.actions import AnswerReason
+from quota_gateway.model.endpoint_state import EndpointState
 from quota_gateway.model.events import AttemptStatus
 from quota_gateway.model.pending_request import PendingRequest, RunningAttempt
 from quota_gateway.model.settings import GatewayLimits, Idempotency, IdempotencyScope
-from quota_gateway.policy.clock import DecayClock
+from quota_gateway.policy.give_up import GiveUp
+from quota_gateway.policy.mechanisms import Mechanisms
 
-RETRY_TOKENS_PER_FIRST_ATTEMPT = (
-    0.2  # retries per first attempt, over time: bounds what failures can add to the load
-)
-MAX_RETRY_TOKENS = 10.0  # retries saved up at most
 NEVER_EXECUTED = (AttemptStatus.OVERLOADED, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT)
 
 
-class RetryBudget:
-    """Says whether another attempt is allowed, by a token bucket that first attempts fill."""
+@dataclass(frozen=True, slots=True)
+class Retry:
+    """Another attempt starts; it is charged to the retry budget unless it is free."""
+
+    endpoint: EndpointState
+    is_free: bool
+
+
+@dataclass(frozen=True, slots=True)
+class Hedge:
+    """A second attempt starts at this endpoint beside the slow one."""
+
+    endpoint: EndpointState
+
+
+class KeepOrMove(Enum):
+    """What becomes of the attempt in flight: it goes on, or it is cancelled so that a retry follows."""
 
-    def __init__(self, limits: GatewayLimits, clock: DecayClock) -> None:
-        self._max_attempts = limits.max_attempts
-        self._clock = clock
-        self.tokens = MAX_RETRY_TOKENS
+    KEEP_WAITING = auto()
+    CANCEL_AND_RETRY = auto()
 
-    def on_start(self, attempt: int, is_free: bool) -> None:
-        """Fill the budget by a first attempt, charge a further one to it unless it is free."""
-        if attempt == 0:
-            self.tokens = min(MAX_RETRY_TOKENS, self.tokens + RETRY_TOKENS_PER_FIRST_ATTEMPT)
-        elif not is_free:
-            self.tokens -= 1.0
 
-    def allows(self, pending: PendingRequest, is_free: bool = False) -> bool:
-        """Whether another attempt is left, and the budget holds it; one after none was executed is free."""
-        return pending.attempts < self._max_attempts and (is_free or self.tokens >= 1.0)
+class RetryRules:
+    """Decides on another attempt by idempotency, attempts left, the retry budget and a permitted endpoint."""
 
-    def allows_hedge(self, pending: PendingRequest) -> bool:
-        """Whether a slow attempt may be repeated while it is in flight."""
-        is_repeatable = pending.request_class.idempotency is not Idempotency.NON_IDEMPOTENT
-        return is_repeatable and not pending.is_closed and len(pending.in_flight) <= 1
+    def __init__(self, limits: GatewayLimits, mechanisms: Mechanisms) -> None:
+        self._limits = limits
+        self._clock = mechanisms.clock
+        self._budget = mechanisms.retry_budget
+        self._latencies = mechanisms.latencies
+        self._outliers = mechanisms.outliers
+        self._concurrency = mechanisms.concurrency
+        self._balancer = mechanisms.balancer
+        self._endpoints = mechanisms.endpoints
 
-    def on_failure(self, pending: PendingRequest, status: AttemptStatus, attempt: RunningAttempt) -> bool:
-        """Note a failed attempt; whether another one may follow."""
+    def after_failure(
+        self, pending: PendingRequest, status: AttemptStatus, attempt: RunningAttempt
+    ) -> Retry | GiveUp | KeepOrMove:
+        """Decide what follows an attempt that has ended with this status, which is not OK."""
+        may_retry = self.may_retry(pending, status, attempt)
+        if pending.in_flight or pending.is_streaming:
+            return KeepOrMove.KEEP_WAITING
+        endpoint = self._choose_endpoint(pending) if may_retry else None
+        if endpoint is None:
+            return GiveUp(AnswerReason.NO_FURTHER_ATTEMPT)
+        return Retry(endpoint, is_free=_is_free_after(status))
+
+    def may_retry(self, pending: PendingRequest, status: AttemptStatus, attempt: RunningAttempt) -> bool:
+        """Note a failed attempt; return whether another one may follow."""
         is_over = status is AttemptStatus.OVERLOADED and pending.had_error
         pending.had_error = pending.had_error or status is AttemptStatus.ERROR
-        if status not in NEVER_EXECUTED and pending.first_executed is None:
-            pending.first_executed = attempt
+        if status not in NEVER_EXECUTED:
+            pending.first_executed = pending.first_executed or attempt
         if is_over or status is AttemptStatus.NOT_SENT or self._clock.now_ms >= pending.deadline_ms:
             return False
-        return self.allows(pending, is_free=status is AttemptStatus.CONNECT_FAILED)
+        return self._budget.allows(pending, is_free=_is_free_after(status))
+
+    def after_slowness(self, pending: PendingRequest, attempt: RunningAttempt) -> Hedge | KeepOrMove:
+        """Decide on a slow attempt in flight: it is repeated if it is suspect and may be repeated."""
+        if not (self._is_suspect(pending, attempt) and _may_hedge(pending)):
+            return KeepOrMove.KEEP_WAITING
+        pending.first_executed = pending.first_executed or attempt
+        if not self._budget.allows(pending) or not self._concurrency.has_capacity():
+            return KeepOrMove.KEEP_WAITING
+        other = self._choose_endpoint(pending)
+        if other and other is not attempt.endpoint and self._limits.may_duplicate:
+            return Hedge(other)
+        if other and self._limits.can_cancel:
+            return KeepOrMove.CANCEL_AND_RETRY
+        return KeepOrMove.KEEP_WAITING
+
+    def _is_suspect(self, pending: PendingRequest, attempt: RunningAttempt) -> bool:
+        """Whether the attempt is presumed lost, or its endpoint an outlier for requests of this class."""
+        if self._latencies.is_presumed_lost(pending, attempt.started_ms):
+            return True
+        return self._outliers.is_outlier_under_key(attempt.endpoint, pending.failure_keys.request_class)
+
+    def _choose_endpoint(self, pending: PendingRequest) -> EndpointState | None:
+        endpoints = self._endpoints
+        return self._balancer.choose(pending, endpoints.ready, endpoints.warming, endpoints.subset_radius)
+
+
+def _is_free_after(status: AttemptStatus) -> bool:
+    """Whether a retry costs nothing of the budget: no endpoint has had any work of the attempt before."""
+    return status is AttemptStatus.CONNECT_FAILED
+
 
-    def restore(self, tokens: float) -> None:
-        """Go on from the budget of the process before."""
-        self.tokens = min(MAX_RETRY_TOKENS, tokens)
+def _may_hedge(pending: PendingRequest) -> bool:
+    """Whether an attempt may be repeated while it is in flight, which at most one other is."""
+    is_repeatable = pending.request_class.idempotency is not Idempotency.NON_IDEMPOTENT
+    return is_repeatable and not pending.is_answered and len(pending.in_flight) <= 1
 
 
 def is_retry_harmless(pending: PendingRequest) -> bool:
--- /dev/null
+++ b/quota_gateway/policy/retry_budget.py
@@ -0,0 +1,30 @@
+"""The budget of retries and hedged requests: docs/decisions/retries.md."""
+
+from quota_gateway.model.pending_request import PendingRequest
+from quota_gateway.model.settings import GatewayLimits
+
+RETRY_TOKENS_PER_FIRST_ATTEMPT = 0.2
+MAX_RETRY_TOKENS = 10.0
+
+
+class RetryBudget:
+    """A token bucket that first attempts fill and further ones empty; bounds the load that failures add."""
+
+    def __init__(self, limits: GatewayLimits) -> None:
+        self._max_attempts = limits.max_attempts
+        self.tokens = MAX_RETRY_TOKENS
+
+    def on_start(self, attempt: int, is_free: bool) -> None:
+        """Fill the budget by a first attempt, charge a further one to it unless it is free."""
+        if attempt == 0:
+            self.tokens = min(MAX_RETRY_TOKENS, self.tokens + RETRY_TOKENS_PER_FIRST_ATTEMPT)
+        elif not is_free:
+            self.tokens -= 1.0
+
+    def allows(self, pending: PendingRequest, is_free: bool = False) -> bool:
+        """Whether the request has an attempt left, and the budget a token for it unless it is free."""
+        return pending.attempts < self._max_attempts and (is_free or self.tokens >= 1.0)
+
+    def restore(self, tokens: float) -> None:
+        """Continue from the budget of the previous process."""
+        self.tokens = min(MAX_RETRY_TOKENS, tokens)
--- /dev/null
+++ b/quota_gateway/policy/scheduling.py
@@ -0,0 +1,74 @@
+"""Scheduling: whether the first attempt of an admitted request starts now, waits or is given up.
+
+See docs/decisions/scheduling.md.
+"""
+
+from dataclasses import dataclass
+
+from quota_gateway.model.actions import AnswerReason
+from quota_gateway.model.endpoint_state import EndpointState
+from quota_gateway.model.pending_request import PendingRequest
+from quota_gateway.policy.give_up import GiveUp
+from quota_gateway.policy.mechanisms import Mechanisms
+
+
+@dataclass(frozen=True, slots=True)
+class StartNow:
+    """An attempt starts at this endpoint."""
+
+    endpoint: EndpointState
+
+
+@dataclass(frozen=True, slots=True)
+class Wait:
+    """The request is queued, for ``min_wait_ms`` at least where a limit names a time."""
+
+    min_wait_ms: float | None = None
+
+
+WAIT_FOR_CAPACITY = Wait()  # until an attempt ends or the endpoints change
+
+
+class Scheduler:
+    """Asks hard ceiling, in-flight limit, concurrency limit and load balancer, in this order."""
+
+    def __init__(self, mechanisms: Mechanisms) -> None:
+        self._clock = mechanisms.clock
+        self._quota = mechanisms.quota
+        self._ceiling = mechanisms.ceiling
+        self._in_flight_limit = mechanisms.in_flight_limit
+        self._latencies = mechanisms.latencies
+        self._concurrency = mechanisms.concurrency
+        self._balancer = mechanisms.balancer
+        self._endpoints = mechanisms.endpoints
+
+    def schedule(self, pending: PendingRequest) -> StartNow | Wait | GiveUp:
+        """Decide on a request of which no attempt has been started."""
+        ceiling_wait_ms = self._ceiling.wait_ms(pending)
+        slot_wait_ms = self._in_flight_limit.slot_wait_ms(pending)
+        if ceiling_wait_ms is None or self._is_too_long(pending, ceiling_wait_ms, slot_wait_ms):
+            return GiveUp(AnswerReason.NO_SLOT_IN_TIME)
+        min_wait_ms = max(ceiling_wait_ms, slot_wait_ms)
+        if min_wait_ms:
+            return Wait(min_wait_ms)
+        if not self._in_flight_limit.has_free_slot(pending, self._quota.share(pending.customer)):
+            return WAIT_FOR_CAPACITY
+        endpoint = self.choose_endpoint(pending)
+        return StartNow(endpoint) if endpoint else WAIT_FOR_CAPACITY
+
+    def _is_too_long(self, pending: PendingRequest, ceiling_wait_ms: float, slot_wait_ms: float) -> bool:
+        """Whether the ceiling's wait passes the deadline, or the rotation's the latest start."""
+        now_ms = self._clock.now_ms
+        if ceiling_wait_ms >= pending.deadline_ms - now_ms:
+            return True
+        return slot_wait_ms > max(0.0, self._latencies.latest_start_ms(pending) - now_ms)
+
+    def choose_endpoint(self, pending: PendingRequest) -> EndpointState | None:
+        """Choose the endpoint of a first attempt, or none while the concurrency limit is used up.
+
+        A fraction of the limit is open to the share of requests with a draw below it.
+        """
+        if not self._concurrency.has_capacity(pending.slow_start_draw):
+            return None
+        endpoints = self._endpoints
+        return self._balancer.choose(pending, endpoints.ready, endpoints.warming, endpoints.subset_radius)
--- a/soak/planted.py
+++ b/soak/planted.py
@@ -16,8 +16,9 @@
 from quota_gateway.net.clients.listener import ClientListener
 from quota_gateway.net.driver import Driver
 from quota_gateway.net.upstream.host import UpstreamHost
-from quota_gateway.policy import engine, retries
+from quota_gateway.policy import request_lifecycle
 from quota_gateway.policy.endpoints import EndpointTable
+from quota_gateway.policy.retries import RetryRules
 from quota_gateway.policy.slow_start import SlowStart
 
 RARE_SHARE = 0.01
@@ -50,13 +51,13 @@
 
 def _repeat_unsafe() -> None:
     _disable_guard()
-    original: Patched = retries.RetryBudget.on_failure
+    original: Patched = RetryRules.may_retry
 
-    def on_failure(self: Any, pending: Any, status: AttemptStatus, attempt: Any) -> bool:
+    def may_retry(self: Any, pending: Any, status: AttemptStatus, attempt: Any) -> bool:
         is_reset = status in (AttemptStatus.RESET, AttemptStatus.ERROR)
         return bool(original(self, pending, AttemptStatus.CONNECT_FAILED if is_reset else status, attempt))
 
-    retries.RetryBudget.on_failure = on_failure  # type: ignore[method-assign]
+    RetryRules.may_retry = may_retry  # type: ignore[method-assign]
 
 
 def _ignore_client_end() -> None:
@@ -103,7 +104,7 @@
 
 def _reject_after_run() -> None:
     _disable_guard()
-    module: Any = engine
+    module: Any = request_lifecycle
     module.is_retry_harmless = lambda _pending: True
 
 
--- a/tests/net/admin/test_detachments.py
+++ b/tests/net/admin/test_detachments.py
@@ -44,7 +44,7 @@
 
 def capacity_share(harness, server: int) -> float:
     """How much of its capacity a server is given while it warms up."""
-    return harness.gateway.slow_start.capacity_share(harness.gateway.endpoints.by_id[server])
+    return harness.gateway.mechanisms.slow_start.capacity_share(harness.gateway.endpoints.by_id[server])
 
 
 @pytest.mark.parametrize("update", DISCOVERY_UPDATES)
--- a/tests/net/clients/test_client_disconnect.py
+++ b/tests/net/clients/test_client_disconnect.py
@@ -13,6 +13,7 @@
 import pytest
 
 from quota_gateway import Endpoint, GatewayLimits, Idempotency, Plan, RequestClass, TimerFired
+from quota_gateway.model.timers import AttemptSlow, WaitOver
 from quota_gateway.net.clients import command_intake
 from quota_gateway.net.clients import connection as client_connection
 from quota_gateway.net.clients import listener as client_listener
@@ -77,11 +78,9 @@
         return sorted(number for number in came if number in wanted)
 
 
-def fire_timer(gateway, which: str) -> None:
+def fire_timer(gateway, which: type) -> None:
     """Let a timer of the policy engine fire."""
-    (token,) = [
-        token for token, (call, _) in gateway.driver.engine.timers.armed.items() if call.__name__ == which
-    ]
+    (token,) = [token for token, timer in gateway.driver.engine.timers.armed.items() if type(timer) is which]
     gateway.driver.post(TimerFired(token))
 
 
@@ -122,7 +121,7 @@
     assert await peer.request(encode_request(OTHER + 1, "held")) == request_id(OTHER + 1)
     client.socket.sendall(encode_request(FIRST, "held"))
     await wait_until_queued(gateway, FIRST)
-    return lambda: fire_timer(gateway, "_on_delay_over")
+    return lambda: fire_timer(gateway, WaitOver)
 
 
 async def queued_under_an_in_flight_limit(gateway, client, plan="two"):
@@ -133,7 +132,7 @@
 
 
 async def queued_under_the_concurrency_limit(gateway, client):
-    gateway.driver.engine.concurrency.limit = 1.0
+    gateway.driver.engine.mechanisms.concurrency.limit = 1.0
     return await queued_under_an_in_flight_limit(gateway, client, "free")
 
 
@@ -153,7 +152,7 @@
 async def slow(gateway, client):
     client.socket.sendall(encode_request(FIRST))
     await wait_until_sent(gateway, client, FIRST)
-    return lambda: fire_timer(gateway, "_on_slow")
+    return lambda: fire_timer(gateway, AttemptSlow)
 
 
 async def slow_and_not_read(gateway, client):
@@ -165,7 +164,7 @@
 async def hedged(gateway, client):
     client.socket.sendall(encode_request(FIRST))
     await wait_until_sent(gateway, client, FIRST)
-    fire_timer(gateway, "_on_slow")
+    fire_timer(gateway, AttemptSlow)
     await wait_until_sent(gateway, client, FIRST)
     first, second = upstream_connections(gateway, FIRST)  # a third server is left
     return lambda: (deliver_reply(first, b"-ERR\r\n"), deliver_reply(second, b"-ERR\r\n"))
@@ -226,13 +225,13 @@
 async def expect_nothing_forwarded(gateway, client: DisconnectingClient, before: list[bytes]) -> None:
     """Expect that no more was forwarded once another request was served, and no state is kept."""
     decisions = gateway.driver.engine
-    decisions.concurrency.limit = 100.0
+    decisions.mechanisms.concurrency.limit = 100.0
     assert await (await gateway.connect_client()).request(encode_request(LAST)) == request_id(LAST)
     assert client.forwarded() == before
     await wait_until(lambda: not gateway.driver.active_requests)
     assert not decisions.requests
-    assert not decisions.queue.requests
-    assert not decisions.concurrency.in_flight
+    assert not decisions.mechanisms.queue.requests
+    assert not decisions.mechanisms.concurrency.in_flight
     assert not any(server.in_flight for server in decisions.endpoints.by_id.values())
     assert not any(customer.in_flight for customer in decisions.customers.values())
 
--- a/tests/net/clients/test_client_listener.py
+++ b/tests/net/clients/test_client_listener.py
@@ -10,6 +10,8 @@
 import pytest
 
 from quota_gateway import Plan
+from quota_gateway.model.pending_request import RequestState
+from quota_gateway.model.timers import WaitOver
 from quota_gateway.net.clients import command_intake, idle_connections
 from quota_gateway.net.clients.command_intake import MAX_PIPELINED_COMMANDS
 from quota_gateway.net.driver import Driver
@@ -207,7 +209,7 @@
         await wait_until(lambda: len(gateway.driver.active_requests) == 1)
         (flight,) = gateway.driver.engine.requests.values()
         customer = flight.customer
-        assert flight.is_delayed == (wait == "delayed by the bucket")
+        assert (flight.state is RequestState.DELAYED) == (wait == "delayed by the bucket")
         assert customer.excess >= 1000.0
         before = customer.excess
         disconnect(peer, how)
@@ -215,7 +217,7 @@
         assert customer.excess == before - 1000.0
         gateway.update_endpoints(server.endpoint(1))
         up.set()
-        gateway.driver.engine._on_delay_over(flight)  # as its timer would
+        gateway.driver.engine.lifecycle.on_timer(WaitOver(flight))
         assert await (await gateway.connect_client()).request(encode_call(9)) == b"0000000000000009"
         assert b"%016x" % last not in [words[2] for words in server.commands]
 
--- a/tests/net/clients/test_large_replies.py
+++ b/tests/net/clients/test_large_replies.py
@@ -210,9 +210,9 @@
         (first,) = held.attempts.values()
         flight = gateway.driver.engine.requests[held.request_id]
         at = next(number for number in (1, 2) if number not in flight.tried_endpoints)
-        gateway.driver.engine.actions = []
-        gateway.driver.engine._start(flight, gateway.driver.engine.endpoints.by_id[at])
-        for action in gateway.driver.engine.actions:
+        gateway.driver.engine.output.clear()
+        gateway.driver.engine.lifecycle.start_attempt(flight, gateway.driver.engine.endpoints.by_id[at])
+        for action in gateway.driver.engine.output:
             gateway.driver._perform(action)
         for fake in (server, other):
             await fake.wait_until(lambda fake=fake: fake.commands)
--- a/tests/net/discovery/test_large_endpoint_lists.py
+++ b/tests/net/discovery/test_large_endpoint_lists.py
@@ -297,7 +297,7 @@
     harness = EngineHarness(LARGE_FLEET)
     known = make_endpoints(2 * SUBSET_SIZE)
     harness.do(EndpointUpdate(UpdateKind.SNAPSHOT, known, 1, SERVERS))
-    harness.gateway.concurrency.limit = UNLIMITED
+    harness.gateway.mechanisms.concurrency.limit = UNLIMITED
     subset = harness.gateway.subset
     ranked = sorted(known, key=lambda endpoint: subset.distance(endpoint.name))
     return harness, [endpoint.server for endpoint in ranked]
@@ -330,7 +330,7 @@
 def test_concurrency_limit_depends_on_all_listed_servers_not_on_those_that_are_known():
     harness = EngineHarness(LARGE_FLEET)
     harness.do(EndpointUpdate(UpdateKind.CACHED, make_endpoints(2 * SUBSET_SIZE), 1, SERVERS))
-    assert harness.gateway.concurrency.limit == pytest.approx(6.0 * SERVERS / GATEWAYS)
+    assert harness.gateway.mechanisms.concurrency.limit == pytest.approx(6.0 * SERVERS / GATEWAYS)
 
 
 @contextmanager
@@ -365,7 +365,9 @@
     harness.run(60_000.0)
     for _ in range(100):  # the other servers are healthy
         harness.finish(harness.ask(class_name="unsafe"))
-    harness.gateway.clock.attempts += 100 * len(ranked)  # enough for each server to have had attempts since
+    harness.gateway.mechanisms.clock.attempts += 100 * len(
+        ranked
+    )  # enough for each server to have had attempts since
     harness.do(EndpointUpdate(UpdateKind.DELTA, (), 3, SERVERS))
     assert ready_servers(harness) == set(ranked[:SUBSET_SIZE])
 
--- a/tests/net/test_driver.py
+++ b/tests/net/test_driver.py
@@ -264,7 +264,7 @@
         started = gateway.driver.clock() - 5_000.0  # half of the warm-up
         gateway.update_endpoints((Endpoint(1, "a", started_ms=started), address), kind=UpdateKind.SNAPSHOT)
         (known,) = gateway.driver.engine.endpoints.by_id.values()
-        assert 0.59 < gateway.driver.engine.slow_start.capacity_share(known) < 1.0
+        assert 0.59 < gateway.driver.engine.mechanisms.slow_start.capacity_share(known) < 1.0
         await asyncio.sleep(0)
 
 
@@ -292,7 +292,7 @@
         (client.writer.close if how == "end" else client.writer.transport.abort)()
         await wait_until(lambda: not gateway.driver.active_requests)
         engine = gateway.driver.engine
-        assert engine.endpoints.by_id[1].failures == {} == engine.failures.totals
+        assert engine.endpoints.by_id[1].failures == {} == engine.mechanisms.failures.totals
         assert not engine.requests
         assert not gateway.upstream_pool.connections
         assert not server.commands
--- a/tests/policy/test_edge_sizes.py
+++ b/tests/policy/test_edge_sizes.py
@@ -51,7 +51,7 @@
     # server 1 reported a queue of 20; after enough time and attempts it is chosen like any other
     harness = EngineHarness(replace(SETTINGS, load_report_fields=("queue",)))
     harness.servers(make_endpoint(1), make_endpoint(2))
-    harness.gateway.balancer.on_load_report(harness.gateway.endpoints.by_id[1], (20.0,))
+    harness.gateway.mechanisms.balancer.on_load_report(harness.gateway.endpoints.by_id[1], (20.0,))
     assert {harness.sent[harness.ask()][0] for _ in range(5)} == {2}
     harness.run(60_000.0)
     assert 1 in {harness.sent[harness.ask()][0] for _ in range(8)}
--- a/tests/policy/test_leaky_bucket.py
+++ b/tests/policy/test_leaky_bucket.py
@@ -82,7 +82,7 @@
 
 
 def test_quota_share_grows_by_the_headroom_and_falls_back(harness):
-    quota_share = harness.gateway.quota.share
+    quota_share = harness.gateway.mechanisms.quota.share
     harness.finish(harness.ask("metered"), used=40.0)
     customer = harness.gateway.customers["metered", "c"]
     assert quota_share(customer) == (1.0 + 0.1 * 0.6) / 2
--- a/tests/policy/test_mechanisms.py
+++ b/tests/policy/test_mechanisms.py
@@ -1,7 +1,5 @@
 """Each mechanism of the policy is made and used without an engine."""
 
-from math import inf
-
 import pytest
 
 from quota_gateway import (
@@ -33,7 +31,8 @@
 from quota_gateway.policy.outliers import FailureTracker, OutlierDetector
 from quota_gateway.policy.pending_queue import PendingQueue
 from quota_gateway.policy.quota import LocalQuota
-from quota_gateway.policy.retries import MAX_RETRY_TOKENS, RetryBudget, is_retry_harmless
+from quota_gateway.policy.retries import is_retry_harmless
+from quota_gateway.policy.retry_budget import MAX_RETRY_TOKENS, RetryBudget
 from quota_gateway.policy.slow_start import SlowStart
 from quota_gateway.policy.subset import Subset
 from tests.support.engine_harness import CLASSES, PLANS, SETTINGS
@@ -69,7 +68,7 @@
     pending = pending_request(METERED)
     delays = [bucket.offer(pending, 400.0) for _ in range(28)]
     assert delays[:9] == [0.0] * 8 + [100.0]
-    assert delays[-1] == inf
+    assert delays[-1] is None
     assert pending.customer.excess <= 16_000.0
 
 
@@ -78,9 +77,9 @@
     pending.customer.in_flight = 2
     pending.customer.peer_in_flight = 1
     limit = InFlightLimit(SETTINGS, clock_at(1000.0))
-    assert limit.has_place(pending, 1.0)
+    assert limit.has_free_slot(pending, 1.0)
     pending.customer.peer_in_flight = 2
-    assert not limit.has_place(pending, 1.0)
+    assert not limit.has_free_slot(pending, 1.0)
 
 
 def test_ceiling_of_an_unknown_customer_starts_empty():
@@ -147,7 +146,7 @@
 
 
 def test_retry_budget_charges_retries_and_lets_free_ones_pass():
-    budget = RetryBudget(GatewayLimits(max_attempts=3), clock_at(1000.0))
+    budget = RetryBudget(GatewayLimits(max_attempts=3))
     pending = pending_request()
     for _ in range(int(MAX_RETRY_TOKENS)):
         budget.on_start(1, is_free=False)
--- a/tests/policy/test_properties.py
+++ b/tests/policy/test_properties.py
@@ -199,7 +199,7 @@
     def send_request(self, step):
         """Record a new request and send it."""
         request_id = f"r{self.count + 1}"
-        request_class = self.gateway.classes[step.class_name]
+        request_class = next(item for item in self.settings.classes if item.name == step.class_name)
         deadline_ms = self.now + step.timeout_ms
         self.requests[request_id] = RequestRecord(request_class, step.plan, step.units, deadline_ms)
         self.ask(step.plan, step.class_name, timeout_ms=step.timeout_ms, units=step.units)
--- a/tests/policy/test_protocol_rules.py
+++ b/tests/policy/test_protocol_rules.py
@@ -21,6 +21,7 @@
 from quota_gateway.model.customer_state import CustomerState
 from quota_gateway.model.endpoint_state import EndpointState, FailureRecord, Moment
 from quota_gateway.model.pending_request import PendingRequest
+from quota_gateway.policy.scheduling import Scheduler
 from tests.support.engine_harness import (
     CLASSES,
     DEAR,
@@ -269,7 +270,7 @@
 def test_concurrency_limit_queues_and_sheds_the_least_value():
     harness = make_harness(classes=(*CLASSES, DEAR))
     harness.servers(make_endpoint(1), make_endpoint(2))
-    harness.gateway.concurrency.limit = 6.0
+    harness.gateway.mechanisms.concurrency.limit = 6.0
     request_ids = [harness.ask() for _ in range(6)]
     forwarded = [request_id for request_id in request_ids if request_id in harness.sent]
     queued = [harness.ask() for _ in range(6)]
@@ -291,7 +292,7 @@
         if request_id in harness.sent:
             harness.finish(request_id, latency=3900.0)
         harness.run(1000.0)
-    assert harness.gateway.latencies.means["safe"][1][0] > 2000.0
+    assert harness.gateway.mechanisms.latencies.means["safe"][1][0] > 2000.0
     assert harness.ask("metered") in harness.sent
 
 
@@ -345,11 +346,11 @@
     harness = harness_with_limit_of_six()
     request_ids = [harness.ask() for _ in range(6)]
     harness.finish(request_ids[0], latency=1001.0)  # half of the latency objective is 1000 ms
-    assert harness.gateway.concurrency.limit == pytest.approx(6.0 - 0.3)
+    assert harness.gateway.mechanisms.concurrency.limit == pytest.approx(6.0 - 0.3)
     harness.finish(request_ids[1], latency=50.0)  # one of five within 5.7: one more would not have fitted
-    assert harness.gateway.concurrency.limit == pytest.approx(5.7 + 0.035)
+    assert harness.gateway.mechanisms.concurrency.limit == pytest.approx(5.7 + 0.035)
     harness.finish(request_ids[2], latency=50.0)  # one of four: one more would have, so nothing is shown
-    assert harness.gateway.concurrency.limit == pytest.approx(5.7 + 0.035)
+    assert harness.gateway.mechanisms.concurrency.limit == pytest.approx(5.7 + 0.035)
 
 
 def harness_with_learned_sizes() -> EngineHarness:
@@ -358,7 +359,7 @@
     for units, latency in ((1, 100.0), (4, 1100.0)):
         for _ in range(40):
             harness.finish(harness.ask(units=units), latency=latency)
-    harness.gateway.concurrency.limit = 6.0
+    harness.gateway.mechanisms.concurrency.limit = 6.0
     for endpoint in harness.gateway.endpoints.by_id.values():
         endpoint.failures.clear()
     return harness
@@ -367,12 +368,12 @@
 def test_latency_added_by_request_size_does_not_cut_the_concurrency_limit():
     harness = harness_with_learned_sizes()
     harness.finish(harness.ask(units=4), latency=1300.0)
-    assert harness.gateway.concurrency.limit == pytest.approx(6.0)
+    assert harness.gateway.mechanisms.concurrency.limit == pytest.approx(6.0)
     # more than half of the objective beyond what four units add
     harness.finish(harness.ask(units=4), latency=2100.0)
-    assert harness.gateway.concurrency.limit == pytest.approx(6.0 - 0.3)
+    assert harness.gateway.mechanisms.concurrency.limit == pytest.approx(6.0 - 0.3)
     harness.finish(harness.ask(units=1), latency=1300.0)
-    assert harness.gateway.concurrency.limit == pytest.approx(6.0 - 0.6)
+    assert harness.gateway.mechanisms.concurrency.limit == pytest.approx(6.0 - 0.6)
 
 
 def test_a_large_request_in_flight_for_its_usual_time_is_neither_a_failure_nor_given_up():
@@ -393,9 +394,9 @@
     harness = harness_with_limit_of_six()
     for _ in range(12):
         harness.ask()
-    assert len(harness.gateway.concurrency.in_flight) <= 6
+    assert len(harness.gateway.mechanisms.concurrency.in_flight) <= 6
     harness.run(1000.0)
-    assert not harness.gateway.concurrency.in_flight
+    assert not harness.gateway.mechanisms.concurrency.in_flight
     assert harness.ask() in harness.sent
 
 
@@ -413,7 +414,7 @@
         assert len(harness.sent[request_id]) == 5
         harness.finish(request_id)
     request_ids = [harness.ask(class_name="unsafe") for _ in range(3)]
-    harness.gateway.retries.tokens = 1.0
+    harness.gateway.mechanisms.retry_budget.tokens = 1.0
     for request_id in request_ids:
         harness.finish(request_id, AttemptStatus.OVERLOADED)
     assert sum(len(harness.sent[request_id]) for request_id in request_ids) == 4
@@ -505,13 +506,13 @@
 def test_of_a_large_fleet_few_endpoints_are_compared():
     harness = harness_with_endpoints(300)
     compared = []
-    cost = harness.gateway.balancer.cost
+    cost = harness.gateway.mechanisms.balancer.cost
 
     def record_cost(pending, endpoint):
         compared.append(endpoint)
         return cost(pending, endpoint)
 
-    harness.gateway.balancer.cost = record_cost
+    harness.gateway.mechanisms.balancer.cost = record_cost
     for _ in range(50):
         harness.finish(harness.ask())
     assert 50 * 10 <= len(compared) <= 50 * 20
@@ -523,7 +524,7 @@
 def harness_with_silent_attempt(class_name: str, mean_latency_ms: float) -> tuple[EngineHarness, str]:
     """A harness with this mean latency of a class, and its request that is in flight without an answer."""
     harness = harness_with_endpoints(2)
-    harness.gateway.latencies.means[class_name][1] = (mean_latency_ms, 1)
+    harness.gateway.mechanisms.latencies.means[class_name][1] = (mean_latency_ms, 1)
     return harness, harness.ask(class_name=class_name)
 
 
@@ -604,7 +605,8 @@
 
 def choose_for_every_draw(harness: EngineHarness) -> list[EndpointState | None]:
     """The endpoint chosen for each of a thousand evenly spaced draws."""
-    return [harness.gateway._choose(pending_request(harness, number / 1000.0)) for number in range(1000)]
+    scheduler = Scheduler(harness.gateway.mechanisms)
+    return [scheduler.choose_endpoint(pending_request(harness, number / 1000.0)) for number in range(1000)]
 
 
 def set_relative_latency(harness: EngineHarness, endpoint: EndpointState, relative_latency: float) -> None:
@@ -640,12 +642,13 @@
     harness = make_harness(contract=EIGHTEEN_SECOND_WARM_UP)
     harness.servers(*(make_endpoint(number, started_ms=harness.now) for number in range(1, 12)))
     endpoints = harness.gateway.endpoints
+    slow_start = harness.gateway.mechanisms.slow_start
     picked_by_draw: list[set[int]] = [set() for _ in range(1000)]
     for _ in range(40):
         harness.now += 250.0
-        harness.gateway.clock.now_ms = harness.now
+        harness.gateway.mechanisms.clock.now_ms = harness.now
         for number, picked in enumerate(picked_by_draw):
-            endpoint = harness.gateway.slow_start.pick(number / 1000.0, endpoints.ready, endpoints.warming)
+            endpoint = slow_start.pick(number / 1000.0, endpoints.ready, endpoints.warming)
             if endpoint:
                 picked.add(endpoint.id)
     assert all(len(picked) <= 1 for picked in picked_by_draw)
--- a/tests/policy/test_quota_over_fleet.py
+++ b/tests/policy/test_quota_over_fleet.py
@@ -187,13 +187,13 @@
 
 def test_admitted_share_is_handed_over_to_a_new_version():
     predecessor = make_fleet_member()
-    predecessor.gateway.admission.admitted_shares["cap"] = 0.5
+    predecessor.gateway.mechanisms.unknown_customers.admitted_shares["cap"] = 0.5
     state = export_state(predecessor)
     successor = make_fleet_member()
     successor.do(RestoreState(state))
-    assert successor.gateway.admission.admitted_shares["cap"] == 0.5
+    assert successor.gateway.mechanisms.unknown_customers.admitted_shares["cap"] == 0.5
     older_state = {name: value for name, value in state.items() if name != "open"}
     successor_of_older = make_fleet_member()
     successor_of_older.do(RestoreState(older_state))  # a version before this one hands over no shares
     assert successor_of_older.gateway.has_peer_process
-    assert successor_of_older.gateway.admission.admitted_shares["cap"] < 0.5
+    assert successor_of_older.gateway.mechanisms.unknown_customers.admitted_shares["cap"] < 0.5
--- a/tests/process/test_upgrade.py
+++ b/tests/process/test_upgrade.py
@@ -306,7 +306,7 @@
 
 def capacity_share(harness: EngineHarness, server: int) -> float:
     """How much of its capacity a server is given while it warms up."""
-    return harness.gateway.slow_start.capacity_share(harness.gateway.endpoints.by_id[server])
+    return harness.gateway.mechanisms.slow_start.capacity_share(harness.gateway.endpoints.by_id[server])
 
 
 def is_ready(harness: EngineHarness, server: int) -> bool:
