--- a/tests/policy/test_mechanisms.py
+++ b/tests/policy/test_mechanisms.py
@@ -1,7 +1,5 @@
 """Each mechanism of the policy is made and used without an engine."""
 
-from math import inf
-
 import pytest
 
 from quota_gateway import (
@@ -23,15 +21,18 @@
     LIMIT_DECREASE_PER_SLOW_RESPONSE,
     LIMIT_INCREASE_PER_FAST_RESPONSE,
     ConcurrencyLimit,
-    PendingQueue,
 )
+from quota_gateway.policy.customer_table import CustomerTable
 from quota_gateway.policy.endpoints import EndpointTable
-from quota_gateway.policy.in_flight_limit import Ceiling, InFlightLimit
+from quota_gateway.policy.hard_ceiling import HardCeiling
+from quota_gateway.policy.in_flight_limit import InFlightLimit
 from quota_gateway.policy.latency import INITIAL_LATENCY_OBJECTIVE_SHARE, LatencyStatistics
 from quota_gateway.policy.leaky_bucket import LeakyBucket
 from quota_gateway.policy.outliers import FailureTracker, OutlierDetector
-from quota_gateway.policy.quota import CustomerTable, LocalQuota
-from quota_gateway.policy.retries import MAX_RETRY_TOKENS, RetryBudget, is_retry_harmless
+from quota_gateway.policy.pending_queue import PendingQueue
+from quota_gateway.policy.quota import LocalQuota
+from quota_gateway.policy.retries import is_retry_harmless
+from quota_gateway.policy.retry_budget import MAX_RETRY_TOKENS, RetryBudget
 from quota_gateway.policy.slow_start import SlowStart
 from quota_gateway.policy.subset import Subset
 from tests.support.engine_harness import CLASSES, PLANS, SETTINGS
@@ -67,7 +68,7 @@
     pending = pending_request(METERED)
     delays = [bucket.offer(pending, 400.0) for _ in range(28)]
     assert delays[:9] == [0.0] * 8 + [100.0]
-    assert delays[-1] == inf
+    assert delays[-1] is None
     assert pending.customer.excess <= 16_000.0
 
 
@@ -76,21 +77,21 @@
     pending.customer.in_flight = 2
     pending.customer.peer_in_flight = 1
     limit = InFlightLimit(SETTINGS, clock_at(1000.0))
-    assert limit.has_place(pending, 1.0)
+    assert limit.has_free_slot(pending, 1.0)
     pending.customer.peer_in_flight = 2
-    assert not limit.has_place(pending, 1.0)
+    assert not limit.has_free_slot(pending, 1.0)
 
 
 def test_ceiling_of_an_unknown_customer_starts_empty():
     clock = clock_at(1000.0)
-    ceiling = Ceiling(clock)
+    ceiling = HardCeiling(clock)
     assert ceiling.initial_level(CEILING, 2) == 0.0
     assert ceiling.wait_ms(pending_request(CEILING)) == 100.0
 
 
 def test_customer_table_forgets_one_that_is_as_new():
     clock = clock_at(1000.0)
-    table = CustomerTable(SETTINGS, clock, LocalQuota(SETTINGS, clock), Ceiling(clock))
+    table = CustomerTable(SETTINGS, clock, LocalQuota(SETTINGS, clock), HardCeiling(clock))
     table.use(Request("r", SAFE.name, FREE.name, "first", 4000.0), FREE)
     clock.advance(10_000.0)
     table.use(Request("r", SAFE.name, FREE.name, "second", 4000.0), FREE)
@@ -145,7 +146,7 @@
 
 
 def test_retry_budget_charges_retries_and_lets_free_ones_pass():
-    budget = RetryBudget(GatewayLimits(max_attempts=3), clock_at(1000.0))
+    budget = RetryBudget(GatewayLimits(max_attempts=3))
     pending = pending_request()
     for _ in range(int(MAX_RETRY_TOKENS)):
         budget.on_start(1, is_free=False)
