--- a/scale/measurements/list_length.py
+++ b/scale/measurements/list_length.py
@@ -19,8 +19,8 @@
 REJECTED_LIST_S = 10.0
 """How long a gateway is measured that rejects the list and polls it again and again."""
 
-REJECTED_LIST_LOG_TEXT = "a line without end"
-"""What a gateway that bounds the length of a list logs as it rejects one.
+REJECTED_LIST_LOG_TEXT = "malformed discovery document"
+"""What a gateway logs as it rejects a list.
 
 One that logs something else is recognized by its watches, which end again and again.
 """
