--- a/scale/__main__.py
+++ b/scale/__main__.py
@@ -70,22 +70,24 @@
     return supervisor.stop_reason
 
 
+def _make_progress() -> Progress:
+    """Make the progress bar that is shown on standard error."""
+    return Progress(
+        TextColumn("{task.description}"),
+        BarColumn(),
+        MofNCompleteColumn(),
+        TimeElapsedColumn(),
+        console=Console(stderr=True),
+    )
+
+
 def _execute(command: str, config: Config, out: Path, measurements: Sequence[Measurement], steps: int) -> int:
     """Execute a whole run and return its exit code; the result is written also where it was cut short."""
     started_at_s = time.time()
     measurement_log = results.MeasurementLog()
     log_folder = out / f"{time.strftime('%Y%m%dT%H%M%S', time.gmtime(started_at_s))}-{command}-logs"
     log_folder.mkdir(parents=True, exist_ok=True)
-    with (
-        (log_folder / "run.log").open("a") as stream,
-        Progress(
-            TextColumn("{task.description}"),
-            BarColumn(),
-            MofNCompleteColumn(),
-            TimeElapsedColumn(),
-            console=Console(stderr=True),
-        ) as progress,
-    ):
+    with (log_folder / "run.log").open("a") as stream, _make_progress() as progress:
         log = _make_log(stream)
         task = progress.add_task("start", total=steps)
 
--- a/scale/fleet/gateways.py
+++ b/scale/fleet/gateways.py
@@ -9,6 +9,7 @@
 import time
 import tomllib
 from pathlib import Path
+from typing import Any
 
 from scale.child_process import ChildError, ChildProcess
 from scale.fleet.gateway_settings import settings_document
@@ -108,7 +109,6 @@
     port = _free_port()
     folder = supervisor.scratch_folder / name
     folder.mkdir()
-    config_path = folder / "config.json"
     config = {
         "name": name,
         "listen": f"127.0.0.1:{port}",
@@ -118,15 +118,20 @@
         "known": {"generation": 0, "reset": True, "instances": []},
         "settings": settings_document(gateways, number % gateways, "a"),
     }
+    process = await supervisor.start_program(name, gateway_command(), _write_environment(folder, config))
+    return RealGateway(process, port, supervisor.log_folder / f"{name}.log")
+
+
+def _write_environment(folder: Path, config: dict[str, Any]) -> dict[str, str]:
+    """Write a gateway's configuration file and make its temporary folder; return its environment."""
+    config_path = folder / "config.json"
     config_path.write_text(json.dumps(config))
     temporary_folder = folder / "tmp"
     temporary_folder.mkdir()
-    environment = {
+    return {
         "EDGE_CONFIG": str(config_path),
-        "EDGE_NAME": name,
-        "EDGE_LISTEN": f"127.0.0.1:{port}",
-        "EDGE_DISCOVERY": f"127.0.0.1:{discovery_port}",
+        "EDGE_NAME": config["name"],
+        "EDGE_LISTEN": config["listen"],
+        "EDGE_DISCOVERY": config["discovery"],
         "TMPDIR": str(temporary_folder),
     }
-    process = await supervisor.start_program(name, gateway_command(), environment)
-    return RealGateway(process, port, supervisor.log_folder / f"{name}.log")
--- a/scale/fleet/hollow.py
+++ b/scale/fleet/hollow.py
@@ -163,13 +163,7 @@
             await asyncio.sleep(max(0.0, start_s + arrival.due_s - time.monotonic()))
             self._submit(source.choice(drivers), f"{seed}-{number}", arrival.customer, number, replies)
         await asyncio.sleep(TIMEOUT_MS / 1000.0)
-        served = sum(number for word, number in replies.items() if word.startswith("$"))
-        rejected = replies["-BUSY"]
-        return {
-            LoadOutcome.SERVED.value: served,
-            LoadOutcome.REJECTED.value: rejected,
-            LoadOutcome.FAILED.value: replies.total() - served - rejected,
-        }
+        return _count_outcomes(replies)
 
     @staticmethod
     def _submit(driver: Driver, request_id: str, customer: int, number: int, replies: Counter[str]) -> None:
@@ -190,3 +184,14 @@
     async def end_probe(self) -> LoopStalls:
         """Return the longest stalls since then."""
         return self._probe.end()
+
+
+def _count_outcomes(replies: Counter[str]) -> dict[str, int]:
+    """Count requests by outcome, from the beginnings of their replies."""
+    served = sum(number for word, number in replies.items() if word.startswith("$"))
+    rejected = replies["-BUSY"]
+    return {
+        LoadOutcome.SERVED.value: served,
+        LoadOutcome.REJECTED.value: rejected,
+        LoadOutcome.FAILED.value: replies.total() - served - rejected,
+    }
--- a/scale/play.py
+++ b/scale/play.py
@@ -52,28 +52,15 @@
 
 async def play(testbed: Testbed) -> None:
     """Start all processes, let churn and faults run beside the load, and record what it cost."""
-    config = testbed.config
     processes = await _start_processes(testbed)
     before = processes.usages()
-    seconds = _churn_seconds(testbed, len(processes.gateways))
-    testbed.report_step(
-        f"churn for {seconds:.0f} s at {config.churn.speedup:g} times a day's speed, with load"
-    )
     loop = asyncio.get_running_loop()
     start_s = loop.time()
-    events_by_kind = await processes.discovery.call(
-        "play", dict[str, int], config=msgspec.to_builtins(config), seconds=seconds
-    )
-    await _run_loads(testbed, processes, seconds)
-    testbed.report_step(f"updates propagate for {SETTLING_S:g} s")
-    await asyncio.sleep(SETTLING_S)
+    await _run_churn(testbed, processes)
     after = processes.usages()
     wall_s = loop.time() - start_s
     cpu_ms_per_s = {process: after[process].cpu_ms_since(before[process]) / wall_s for process in after}
     statistics = await testbed.discovery_statistics(processes.discovery)
-    testbed.measurements.figures |= {
-        f"events: {kind}": number for kind, number in sorted(events_by_kind.items())
-    }
     _record_discovery(
         testbed, statistics, cpu_ms_per_s[processes.discovery], after[processes.discovery].rss_mb
     )
@@ -84,6 +71,24 @@
     await _record_propagation(testbed, statistics, processes.hollow)
 
 
+async def _run_churn(testbed: Testbed, processes: PlayProcesses) -> None:
+    """Let churn and faults run beside the load until updates have propagated; record the events."""
+    config = testbed.config
+    seconds = _churn_seconds(testbed, len(processes.gateways))
+    testbed.report_step(
+        f"churn for {seconds:.0f} s at {config.churn.speedup:g} times a day's speed, with load"
+    )
+    events_by_kind = await processes.discovery.call(
+        "play", dict[str, int], config=msgspec.to_builtins(config), seconds=seconds
+    )
+    await _run_loads(testbed, processes, seconds)
+    testbed.report_step(f"updates propagate for {SETTLING_S:g} s")
+    await asyncio.sleep(SETTLING_S)
+    testbed.measurements.figures |= {
+        f"events: {kind}": number for kind, number in sorted(events_by_kind.items())
+    }
+
+
 async def _start_processes(testbed: Testbed) -> PlayProcesses:
     fleet = testbed.config.fleet
     testbed.report_step(f"{fleet.real} real and {fleet.hollow} hollow gateways start")
--- a/scale/subsets/metrics.py
+++ b/scale/subsets/metrics.py
@@ -5,7 +5,7 @@
 import numpy as np
 from numpy.typing import NDArray
 
-from scale.subsets.strategies import FleetSubsets, Strategy, Topology
+from scale.subsets.strategies import FleetSubsets, ServerIndexes, Strategy, Topology
 
 ZONES = 15
 REGIONS = 4
@@ -40,7 +40,6 @@
         and the subsets' sizes, by the names of the result files.
     """
     gateways = len(subsets)
-    sizes = np.array([len(servers) for servers in subsets])
     even = _server_loads(subsets, topology, np.ones(gateways))
     uneven = [
         _server_loads(subsets, topology, generator.gamma(1.0, size=gateways))
@@ -50,18 +49,32 @@
         settled_loads(subsets, topology, generator.gamma(1.0, size=gateways))
         for _ in range(SETTLED_TRAFFIC_DRAWS)
     ]
-    sharers = np.bincount(np.concatenate(subsets), minlength=len(topology.names))[topology.listed]
     return {
         "max": float(even.max()),
         "p99.9": float(np.quantile(even, 0.999)),
-        "uneven max": float(np.mean([load.max() for load in uneven])),
-        "uneven p99.9": float(np.mean([np.quantile(load, 0.999) for load in uneven])),
-        "settled max": float(np.mean([load.max() for load in settled])),
-        "settled p99.9": float(np.mean([np.quantile(load, 0.999) for load in settled])),
-        "least sharers": float(sharers.min()),
-        "mean sharers": float(sharers.mean()),
-        "least size": float(sizes.min()),
-        "most size": float(sizes.max()),
+        **_mean_peaks("uneven", uneven),
+        **_mean_peaks("settled", settled),
+        **_size_metrics(subsets, topology),
+    }
+
+
+def _mean_peaks(traffic: str, draws: list[NDArray[np.float64]]) -> dict[str, float]:
+    """Return the highest load and the 99.9th percentile of a kind of traffic, as means over its draws."""
+    return {
+        f"{traffic} max": float(np.mean([load.max() for load in draws])),
+        f"{traffic} p99.9": float(np.mean([np.quantile(load, 0.999) for load in draws])),
+    }
+
+
+def _size_metrics(subsets: FleetSubsets, topology: Topology) -> dict[str, float]:
+    """Return how many gateways share a server, and the subsets' sizes."""
+    sizes = [len(servers) for servers in subsets]
+    gateways_per_server = np.bincount(np.concatenate(subsets), minlength=len(topology.names))[topology.listed]
+    return {
+        "least sharers": float(gateways_per_server.min()),
+        "mean sharers": float(gateways_per_server.mean()),
+        "least size": float(min(sizes)),
+        "most size": float(max(sizes)),
     }
 
 
@@ -148,18 +161,17 @@
     down_but_listed = Topology(topology.names, without_down.listed, topology.gateways, topology.subset_size())
     removed = generator.choice(listed, SINGLE_SERVER_CHANGES, replace=False)
 
+    added = spare[:SINGLE_SERVER_CHANGES]
+
     def churn_to(changed: Topology) -> float:
         return churn(subsets, choose(changed))
 
+    def mean_churn(servers: ServerIndexes, listed: bool) -> float:
+        return float(np.mean([churn_to(topology.with_servers([server], listed)) for server in servers]))
+
     return {
-        "server goes": float(
-            np.mean([churn_to(topology.with_servers([server], False)) for server in removed])
-        ),
-        "server comes": float(
-            np.mean(
-                [churn_to(topology.with_servers([server], True)) for server in spare[:SINGLE_SERVER_CHANGES]]
-            )
-        ),
+        "server goes": mean_churn(removed, listed=False),
+        "server comes": mean_churn(added, listed=True),
         "gateway goes": churn_to(topology.with_gateways(topology.gateways - 1)),
         "gateway comes": churn_to(topology.with_gateways(topology.gateways + 1)),
         "1% down": churn_to(down_but_listed),
