--- /dev/null
+++ b/tests/scale/measurements/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the measurements."""
--- /dev/null
+++ b/tests/scale/stubs/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the stand-ins for discovery and servers."""
