--- a/scale/__main__.py
+++ b/scale/__main__.py
@@ -3,11 +3,12 @@
 from __future__ import annotations
 
 import asyncio
+import functools
 import sys
 import time
 from collections.abc import Callable, Sequence
 from pathlib import Path
-from typing import TextIO
+from typing import Any, TextIO
 
 import click
 import msgspec
@@ -131,7 +132,24 @@
 
 
 def _run_options(command: Callable[..., None]) -> Callable[..., None]:
-    """Add the flags that override the file."""
+    """Add the flags that override the file; the command is called with the configuration and ``out``."""
+
+    @functools.wraps(command)
+    def load_and_run(
+        *,
+        file: Path | None,
+        out: Path,
+        seed: int | None,
+        servers: int | None,
+        hollow: int | None,
+        deadline: float | None,
+        flags: tuple[str, ...],
+        **own_options: Any,
+    ) -> None:
+        config = _load_config(file, seed, servers, hollow, deadline, flags)
+        command(config=config, out=out, **own_options)
+
+    wrapped: Callable[..., None] = load_and_run
     for option in (
         click.option("--set", "flags", multiple=True, metavar="KEY=VALUE", help="any key, as TOML"),
         click.option("--deadline", type=float, help="seconds for all of it (deadline_s)"),
@@ -152,8 +170,8 @@
             help="a TOML file; without it the small defaults",
         ),
     ):
-        command = option(command)
-    return command
+        wrapped = option(wrapped)
+    return wrapped
 
 
 @click.group()
@@ -163,17 +181,8 @@
 
 @main.command()
 @_run_options
-def run(
-    file: Path | None,
-    out: Path,
-    seed: int | None,
-    servers: int | None,
-    hollow: int | None,
-    deadline: float | None,
-    flags: tuple[str, ...],
-) -> None:
+def run(config: Config, out: Path) -> None:
     """One play: a fleet under churn, faults and load."""
-    config = _load_config(file, seed, servers, hollow, deadline, flags)
     sys.exit(_execute("run", config, out, [play_module.play], PLAY_STEPS))
 
 
@@ -182,18 +191,8 @@
     "--only", multiple=True, type=click.Choice(list(slopes.MEASUREMENTS)), help="these measures; else all"
 )
 @_run_options
-def slopes_command(
-    only: tuple[str, ...],
-    file: Path | None,
-    out: Path,
-    seed: int | None,
-    servers: int | None,
-    hollow: int | None,
-    deadline: float | None,
-    flags: tuple[str, ...],
-) -> None:
+def slopes_command(config: Config, out: Path, only: tuple[str, ...]) -> None:
     """What each role's cost grows by, size by size."""
-    config = _load_config(file, seed, servers, hollow, deadline, flags)
     names = only or tuple(slopes.MEASUREMENTS)
     measurements = [slopes.MEASUREMENTS[name] for name in names]
     sys.exit(_execute("slopes", config, out, measurements, slopes.count_steps(config, names)))
