--- a/quota_gateway/net/handover/handover.py
+++ b/quota_gateway/net/handover/handover.py
@@ -1,8 +1,8 @@
 """The handover to a new version: two processes of one gateway and the channel between them.
 
-The process that serves listens at the rendezvous path. One that starts says hello there, and is given the
-state, the listening socket and, once it says that it serves, each client's connection on which nothing is
-owed. ``docs/decisions/handover.md`` has the reasons.
+The process that serves listens at the rendezvous path. One that starts says hello there, and gets the state,
+the listening socket and, once it says that it serves, each client's connection on which no reply is pending.
+``docs/decisions/handover.md`` has the reasons.
 """
 
 from __future__ import annotations
@@ -48,27 +48,27 @@
 
     @property
     def path(self) -> Path | None:
-        """Where the processes of this gateway meet."""
+        """The rendezvous path of this gateway's processes."""
         return self.sender.path
 
     def took_over(self, state: HandoverState, spare_bytes: int) -> None:
-        """This process serves now, with the previous one's state, and with so many bytes less buffered."""
+        """Take the previous process's place, with both buffer limits lower by so many bytes until it ends."""
         self.receiver.took_over(state, spare_bytes)
 
     def wait(self) -> None:
-        """Wait for a process that takes over."""
+        """Listen for a process that takes over."""
         self.sender.listen()
 
     def refuse(self) -> None:
-        """Let no further process take over: one that starts now has nothing to wait for."""
+        """Let no further process take over."""
         self.sender.refuse()
 
     def busy(self) -> bool:
-        """Whether something is still on its way to the other process."""
+        """Whether something is still to be sent to a peer process."""
         return any(channel.queued_packets for channel in self.peers.channels())
 
     def close(self) -> None:
-        """The end of this process."""
+        """Close the listener and all channels, as this process ends."""
         self.sender.stop_listening()
         for channel in self.peers.channels():
             channel.close_silently("this process ends")
--- /dev/null
+++ b/quota_gateway/net/handover/message_json.py
@@ -0,0 +1,242 @@
+"""The JSON form of the messages between two processes of one gateway.
+
+``MESSAGE_FORMATS`` maps the JSON keys to the fields of the messages. Kinds and keys are the wire format
+between two versions that run side by side during an upgrade, so they never change.
+"""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Callable
+from enum import Enum
+from math import isfinite
+from typing import Any, NamedTuple, TypeVar
+
+from quota_gateway.errors import HandoverError
+from quota_gateway.model import PeerProcessUsage
+from quota_gateway.net.handover.peer_messages import (
+    DescriptorsInUse,
+    DetachmentReply,
+    DetachmentRequest,
+    HandedOverConnection,
+    HandoverOffer,
+    Hello,
+    Serving,
+)
+
+PROTOCOL_VERSION = 1  # a process of another protocol version is neither asked for its state nor given one
+
+Json = dict[str, Any]
+PeerMessage = (
+    Hello
+    | HandoverOffer
+    | Serving
+    | HandedOverConnection
+    | DescriptorsInUse
+    | PeerProcessUsage
+    | DetachmentRequest
+    | DetachmentReply
+)
+HeaderMessage = TypeVar(
+    "HeaderMessage",
+    Hello,
+    HandedOverConnection,
+    DescriptorsInUse,
+    PeerProcessUsage,
+    DetachmentRequest,
+    DetachmentReply,
+)
+
+
+class MessageKind(Enum):
+    """What a message says, by the word in its ``kind``."""
+
+    HELLO = "hello"
+    OFFER = "estate"
+    SERVING = "serving"
+    CONNECTION = "connection"
+    DESCRIPTORS_IN_USE = "holds"
+    USAGE = "out"
+    DETACHMENT_REQUEST = "ban"
+    DETACHMENT_REPLY = "banned"
+
+    @staticmethod
+    def of(header: Json) -> MessageKind | None:
+        """Return the kind of a message, None for one that only a later version knows.
+
+        Raises:
+            HandoverError: The header has no kind.
+        """
+        if "kind" not in header:
+            raise HandoverError(f"message: kind is missing in {header!r:.200}")
+        try:
+            return MessageKind(header["kind"])
+        except ValueError:
+            return None
+
+
+def _finite(value: Any) -> float:
+    number = float(value)
+    if not isfinite(number):
+        raise ValueError("not finite")
+    return number
+
+
+def _finite_or_zero(value: Any) -> float:
+    number = float(value)
+    return number if isfinite(number) else 0.0
+
+
+def _non_negative(value: Any) -> int:
+    return max(0, int(value))
+
+
+class JsonField(NamedTuple):
+    """One field of a message.
+
+    Attributes:
+        name: Of the field in the code.
+        key: Of the field in the JSON.
+        convert: Converts a JSON value; raises ValueError, TypeError or OverflowError.
+        default: The value of a field that may be missing, and is then not written either. None: required.
+    """
+
+    name: str
+    key: str
+    convert: Callable[[Any], Any]
+    default: Any = None
+
+    def read(self, kind: MessageKind, document: Json) -> Any:
+        """Return the value; HandoverError that names kind, key and value where it is missing or malformed."""
+        if self.key not in document:
+            if self.default is None:
+                raise HandoverError(f"{kind.value}: {self.key} is missing")
+            return self.default
+        value = document[self.key]
+        try:
+            return self.convert(value)
+        except (ValueError, TypeError, OverflowError) as error:
+            raise HandoverError(f"{kind.value}: {self.key}={value!r:.200} is malformed: {error!r}") from error
+
+
+class MessageFormat(NamedTuple):
+    """The header of a message: its kind, the protocol version where it is named, and the fields."""
+
+    kind: MessageKind
+    fields: tuple[JsonField, ...] = ()
+    names_version: bool = False
+
+
+MESSAGE_FORMATS: dict[type[PeerMessage], MessageFormat] = {
+    Hello: MessageFormat(MessageKind.HELLO, names_version=True),
+    HandoverOffer: MessageFormat(MessageKind.OFFER, names_version=True),  # its fields are in the body
+    Serving: MessageFormat(MessageKind.SERVING),
+    HandedOverConnection: MessageFormat(
+        MessageKind.CONNECTION,
+        (
+            JsonField("has_sent_command", "spoke", bool),
+            JsonField("request_count", "asked", int),
+            JsonField("command_due_for_s", "owing_s", _finite_or_zero),
+            JsonField("waited_s", "waited_s", _finite_or_zero, default=0.0),
+            JsonField("silent_s", "silent_s", _finite_or_zero, default=0.0),
+        ),
+    ),
+    DescriptorsInUse: MessageFormat(
+        MessageKind.DESCRIPTORS_IN_USE,
+        (
+            JsonField("clients", "clients", _non_negative),
+            JsonField("upstream", "servers", _non_negative),
+        ),
+    ),
+    PeerProcessUsage: MessageFormat(
+        MessageKind.USAGE,
+        (
+            JsonField("plan", "plan", str),
+            JsonField("customer", "customer", str),
+            JsonField("in_flight", "out", int),
+            JsonField("excess_change", "change", float),
+        ),
+    ),
+    DetachmentRequest: MessageFormat(
+        MessageKind.DETACHMENT_REQUEST,
+        (
+            JsonField("name", "id", str),
+            JsonField("detached", "out", bool),
+            JsonField("known", "known", bool),
+            JsonField("number", "number", int),
+        ),
+    ),
+    DetachmentReply: MessageFormat(
+        MessageKind.DETACHMENT_REPLY,
+        (
+            JsonField("number", "number", int),
+            JsonField("known", "known", bool),
+        ),
+    ),
+}
+OFFER_STATE = JsonField("state", "state", dict)
+OFFER_REGISTRY = JsonField("registry", "roster", dict)
+OFFER_CLOCK_OFFSET_MS = JsonField("clock_offset_ms", "clock", _finite)  # may be missing
+
+
+def to_header(message: PeerMessage) -> Json:
+    """Return the header of a message."""
+    message_format = MESSAGE_FORMATS[type(message)]
+    header: Json = {"kind": message_format.kind.value}
+    if message_format.names_version:
+        header["version"] = PROTOCOL_VERSION
+    for field in message_format.fields:
+        value = getattr(message, field.name)
+        if field.default is None or value != field.default:
+            header[field.key] = value
+    return header
+
+
+def from_header(message_type: type[HeaderMessage], header: Json) -> HeaderMessage:
+    """Read a message of this type.
+
+    Raises:
+        HandoverError: It is malformed, or of another protocol version.
+    """
+    message_format = MESSAGE_FORMATS[message_type]
+    if message_format.names_version:
+        _check_kind_and_version(message_format.kind, header)
+    fields = {field.name: field.read(message_format.kind, header) for field in message_format.fields}
+    return message_type(**fields)
+
+
+def _check_kind_and_version(kind: MessageKind, header: Json) -> None:
+    if header.get("kind") != kind.value:
+        raise HandoverError(f"{kind.value}: kind={header.get('kind')!r:.200} instead")
+    if header.get("version") != PROTOCOL_VERSION:
+        raise HandoverError(f"{kind.value}: version={header.get('version')!r:.200} is not {PROTOCOL_VERSION}")
+
+
+def encode_offer_body(offer: HandoverOffer) -> bytes:
+    """Return the body of an offer. It is apart from the header, as the state may be long."""
+    body: Json = {OFFER_STATE.key: offer.state, OFFER_REGISTRY.key: offer.registry}
+    if offer.clock_offset_ms is not None:
+        body[OFFER_CLOCK_OFFSET_MS.key] = offer.clock_offset_ms
+    return json.dumps(body).encode()
+
+
+def read_offer(header: Json, body: bytes) -> HandoverOffer:
+    """Read an offer.
+
+    Raises:
+        HandoverError: It is another message, of another protocol version or malformed.
+    """
+    kind = MessageKind.OFFER
+    _check_kind_and_version(kind, header)
+    try:
+        document = json.loads(body)
+    except ValueError as error:
+        raise HandoverError(f"{kind.value}: the body is not JSON: {error}") from error
+    if not isinstance(document, dict):
+        raise HandoverError(f"{kind.value}: the body is no object: {document!r:.200}")
+    names_clock = OFFER_CLOCK_OFFSET_MS.key in document
+    return HandoverOffer(
+        state=OFFER_STATE.read(kind, document),
+        registry=OFFER_REGISTRY.read(kind, document),
+        clock_offset_ms=OFFER_CLOCK_OFFSET_MS.read(kind, document) if names_clock else None,
+    )
--- a/quota_gateway/net/handover/peer_processes.py
+++ b/quota_gateway/net/handover/peer_processes.py
@@ -1,4 +1,4 @@
-"""The other processes of this gateway during an upgrade: what is asked of them and told to them."""
+"""The peer processes of this gateway during an upgrade: the requests and notifications to them."""
 
 from __future__ import annotations
 
@@ -6,16 +6,17 @@
 from collections.abc import Callable
 
 from quota_gateway.model import PeerProcessUsage
-from quota_gateway.net.handover.peer_messages import DetachmentReply, DetachmentRequest, UsageNotification
+from quota_gateway.net.handover.message_json import to_header
+from quota_gateway.net.handover.peer_messages import DetachmentReply, DetachmentRequest
 from quota_gateway.net.handover.process_channel import ChannelMessage, ProcessChannel
 
-DETACHMENT_TIMEOUT_S = 0.4  # for the other process to carry out a detachment: an operator waits 1 s in all
+DETACHMENT_TIMEOUT_S = 0.4  # for the peer process to carry out a detachment: an operator waits 1 s in all
 
 UsageListener = Callable[[PeerProcessUsage], None]
 
 
 class PeerProcesses:
-    """The channels to the process that served before and to the one that takes over, if there are any."""
+    """The channels to the previous process and to the next one, where there are any."""
 
     def __init__(self) -> None:
         self.previous: ProcessChannel | None = None
@@ -28,12 +29,12 @@
         return [channel for channel in (self.previous, self.next) if channel]
 
     def notify_usage(self, usage: PeerProcessUsage) -> None:
-        """Tell the other process what is in flight for a customer from here."""
+        """Notify the peer process of what is in flight for a customer here."""
         for channel in self.channels():
-            channel.send(ChannelMessage(UsageNotification(usage).to_json()))
+            channel.send(ChannelMessage(to_header(usage)))
 
     async def set_detached(self, name: str, detached: bool, known: bool) -> bool:
-        """Have the other process, if there is one, detach or attach a server.
+        """Have the peer process, if there is one, detach or attach a server.
 
         Args:
             name: The server's name, as discovery has it.
@@ -41,7 +42,7 @@
             known: Whether this process knows the server.
 
         Returns:
-            Whether the other process knows the server; False if it has not answered in time.
+            Whether the peer process knows the server; False if it has not replied in time.
         """
         pending = [self._request_detachment(channel, name, detached, known) for channel in self.channels()]
         if not pending:
@@ -56,17 +57,17 @@
         request = DetachmentRequest(name, detached, known, self._last_request_number)
         reply: asyncio.Future[DetachmentReply] = asyncio.get_running_loop().create_future()
         self._pending[request.number] = reply
-        channel.send(ChannelMessage(request.to_json()))
+        channel.send(ChannelMessage(to_header(request)))
         return reply
 
     def on_detachment_reply(self, reply: DetachmentReply) -> None:
-        """The other process has carried out a request."""
+        """Settle the request that the peer process has carried out."""
         pending = self._pending.pop(reply.number, None)
         if pending and not pending.done():
             pending.set_result(reply)
 
     def on_process_ended(self) -> None:
-        """A process that has ended answers nothing: nobody waits for it any longer."""
+        """Settle all requests: a process that has ended replies to none."""
         for number, pending in self._pending.items():
             if not pending.done():
                 pending.set_result(DetachmentReply(number, known=False))
--- a/quota_gateway/net/handover/peer_requests.py
+++ b/quota_gateway/net/handover/peer_requests.py
@@ -1,15 +1,12 @@
-"""What either process of an upgrade may ask of the other or tell it, whichever of them is the new one."""
+"""The messages that either process of an upgrade may send, whichever of them is the new one."""
 
 from __future__ import annotations
 
+from quota_gateway.model import PeerProcessUsage
 from quota_gateway.net.admin.detachments import Detachments
 from quota_gateway.net.driver import Driver
-from quota_gateway.net.handover.peer_messages import (
-    DetachmentReply,
-    DetachmentRequest,
-    MessageKind,
-    UsageNotification,
-)
+from quota_gateway.net.handover.message_json import MessageKind, from_header, to_header
+from quota_gateway.net.handover.peer_messages import DetachmentReply, DetachmentRequest
 from quota_gateway.net.handover.peer_processes import PeerProcesses
 from quota_gateway.net.handover.process_channel import ChannelMessage, ProcessChannel, ReceivedMessage
 
@@ -28,12 +25,12 @@
         Raises:
             HandoverError: The message is malformed.
         """
-        kind = MessageKind.of(message.header)
-        if kind is MessageKind.USAGE:
-            self.driver.post(UsageNotification.from_json(message.header).usage)
-        elif kind is MessageKind.DETACHMENT_REQUEST:
-            request = DetachmentRequest.from_json(message.header)
-            known = self.detachments.carry_out(request.name, request.detached, request.known)
-            channel.send(ChannelMessage(DetachmentReply(request.number, known).to_json()))
-        elif kind is MessageKind.DETACHMENT_REPLY:
-            self.peers.on_detachment_reply(DetachmentReply.from_json(message.header))
+        match MessageKind.of(message.header):
+            case MessageKind.USAGE:
+                self.driver.post(from_header(PeerProcessUsage, message.header))
+            case MessageKind.DETACHMENT_REQUEST:
+                request = from_header(DetachmentRequest, message.header)
+                known = self.detachments.carry_out(request.name, request.detached, request.known)
+                channel.send(ChannelMessage(to_header(DetachmentReply(request.number, known))))
+            case MessageKind.DETACHMENT_REPLY:
+                self.peers.on_detachment_reply(from_header(DetachmentReply, message.header))
--- a/quota_gateway/net/handover/receiver.py
+++ b/quota_gateway/net/handover/receiver.py
@@ -1,4 +1,4 @@
-"""Taking over from the process that serves: the request for its state, then its clients' connections."""
+"""The starting process's side of a handover: asks for the state, then takes over connections."""
 
 from __future__ import annotations
 
@@ -6,7 +6,6 @@
 import logging
 import socket
 import time
-from enum import Enum, auto
 from pathlib import Path
 from typing import Any, NamedTuple
 
@@ -15,42 +14,45 @@
 from quota_gateway.net.clients.listener import ClientListener, ResumedConnection
 from quota_gateway.net.driver import Driver
 from quota_gateway.net.handover import rendezvous
-from quota_gateway.net.handover.peer_messages import (
-    DescriptorsInUse,
-    HandoverOffer,
-    Hello,
-    MessageKind,
-    PassedConnection,
-    Serving,
-)
+from quota_gateway.net.handover.message_json import MessageKind, from_header, read_offer, to_header
+from quota_gateway.net.handover.peer_messages import DescriptorsInUse, HandedOverConnection, Hello, Serving
 from quota_gateway.net.handover.peer_processes import PeerProcesses
 from quota_gateway.net.handover.peer_requests import PeerRequestHandler
 from quota_gateway.net.handover.process_channel import ChannelMessage, ProcessChannel, ReceivedMessage
+from quota_gateway.net.handover.states import ReceiverState
 from quota_gateway.net.upstream.pool import UpstreamPool
 from quota_gateway.telemetry import Metric
 
 log = logging.getLogger(__name__)
 
-REQUEST_TIMEOUT_S = 1.0  # for the first answer of the process that serves, where it is asked again
+REQUEST_TIMEOUT_S = 1.0  # for requests that fail for a moment, over all retries
 REQUEST_RETRY_S = 0.02
-OFFER_TIMEOUT_S = 1.5  # for the state, from hello on: a start goes on without it, and is due to be ready
+OFFER_TIMEOUT_S = 1.5  # for the state, after hello: the start goes on without it
 
 
 class HandoverState(NamedTuple):
-    """What the previous process has handed over, and the channel to it."""
+    """What the previous process has handed over, and the channel to it.
+
+    Attributes:
+        channel: To the previous process.
+        listener: The listening socket for clients.
+        state: The policy engine's.
+        registry: The endpoint registry's.
+        clock_offset_ms: Of the clock of all times in both, where the previous process says it.
+    """
 
     channel: ProcessChannel
     listener: socket.socket
-    state: dict[str, Any]  # the policy engine's
-    registry: dict[str, Any]  # the endpoint registry's
-    clock_offset_ms: float | None  # of the clock of the times in them, if it is known
+    state: dict[str, Any]
+    registry: dict[str, Any]
+    clock_offset_ms: float | None
 
 
 async def request_handover(path: Path | None) -> HandoverState | None:
     """Ask the process that serves for its state; see ``docs/decisions/handover.md``.
 
-    Where either process is short of descriptors or memory for a moment it is asked again: a start without its
-    state knows neither buckets nor detachments.
+    The request is retried where either process is short of descriptors or memory for a moment: a start
+    without the state knows neither buckets nor detachments.
 
     Returns:
         None if there is no such process, or it is silent or malformed: a start goes on without it.
@@ -85,7 +87,7 @@
     channel = ProcessChannel(sock)
     try:
         async with asyncio.timeout(OFFER_TIMEOUT_S):
-            channel.send(ChannelMessage(Hello().to_json()))
+            channel.send(ChannelMessage(to_header(Hello())))
             message = await channel.first_message()
     except TimeoutError:
         channel.close("previous process is silent")
@@ -103,7 +105,7 @@
 
 def _state_from(channel: ProcessChannel, message: ReceivedMessage) -> HandoverState:
     """What the offer holds; HandoverError or OSError if it is malformed, or its descriptor no listener."""
-    offer = HandoverOffer.from_json(message.header, message.body)
+    offer = read_offer(message.header, message.body)
     listener = message.take_socket()
     if not listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
         listener.close()
@@ -111,14 +113,6 @@
     return HandoverState(channel, listener, offer.state, offer.registry, offer.clock_offset_ms)
 
 
-class ReceiverState(Enum):
-    """How far this process has taken over from another one."""
-
-    NOT_TAKING_OVER = auto()  # there was no process to take over from, or it is not settled yet
-    SERVING = auto()  # in place of the previous process, which passes connections on
-    PREVIOUS_ENDED = auto()
-
-
 class HandoverReceiver:
     """The new process's side of a handover, from the moment that it serves."""
 
@@ -136,14 +130,14 @@
         self.upstream_pool = upstream_pool
         self.peers = peers
         self.requests = requests
-        self._spare_bytes = 0  # of either side's bound, left to the previous process until it ends
+        self._spare_bytes = 0  # of either buffer limit, left to the previous process until it ends
 
     def took_over(self, handover_state: HandoverState, spare_bytes: int) -> None:
-        """This process serves now, in place of the previous one.
+        """Take the previous process's place: this process serves now.
 
         Args:
             handover_state: What the previous process has handed over.
-            spare_bytes: By how much less is buffered for either side until that process has ended.
+            spare_bytes: By how much both buffer limits are lower until that process has ended.
         """
         channel = handover_state.channel
         self.peers.previous = channel
@@ -156,12 +150,12 @@
         if channel.closed:
             self._on_previous_ended()
             return
-        channel.send(ChannelMessage(Serving().to_json()))
+        channel.send(ChannelMessage(to_header(Serving())))
         log.info("handover received")
 
     def _enter(self, state: ReceiverState) -> None:
         self.state = state
-        self.driver.telemetry.metrics.count(Metric.STATE_TRANSITIONS, f"receiver_{state.name.lower()}")
+        self.driver.telemetry.metrics.count(Metric.STATE_TRANSITIONS, state.value)
 
     def _on_previous_ended(self) -> None:
         if self.state is not ReceiverState.SERVING:
@@ -178,18 +172,18 @@
             self.driver.post(PeerProcessExited())
 
     def _on_message(self, channel: ProcessChannel, message: ReceivedMessage) -> None:
-        kind = MessageKind.of(message.header)
-        if kind is MessageKind.CONNECTION and message.descriptor is not None:
-            self._on_connection(message)
-        elif kind is MessageKind.DESCRIPTORS_IN_USE:
-            in_use = DescriptorsInUse.from_json(message.header)
-            self.clients.peer_connections = in_use.clients
-            self.upstream_pool.peer_connections = in_use.upstream
-        else:
-            self.requests.handle(channel, message)
+        match MessageKind.of(message.header):
+            case MessageKind.CONNECTION if message.descriptor is not None:
+                self._on_connection(message)
+            case MessageKind.DESCRIPTORS_IN_USE:
+                in_use = from_header(DescriptorsInUse, message.header)
+                self.clients.peer_connections = in_use.clients
+                self.upstream_pool.peer_connections = in_use.upstream
+            case _:
+                self.requests.handle(channel, message)
 
     def _on_connection(self, message: ReceivedMessage) -> None:
-        connection = PassedConnection.from_json(message.header)
+        connection = from_header(HandedOverConnection, message.header)
         resumed = ResumedConnection(
             connection.has_sent_command,
             connection.request_count,
--- a/quota_gateway/net/handover/rendezvous.py
+++ b/quota_gateway/net/handover/rendezvous.py
@@ -15,19 +15,19 @@
 
 log = logging.getLogger(__name__)
 
-BACKLOG = 4  # processes that ask at the same time; one is due
-OWNER_ONLY = 0o600  # who may connect is given the clients' connections
+BACKLOG_PROCESSES = 4  # that connect at the same time; one is expected
+OWNER_ONLY_MODE = 0o600  # who may connect gets the clients' connections
 
 
 def rendezvous_path(address: Address) -> Path | None:
-    """Where the processes of a gateway meet that listens at this address; nowhere without $TMPDIR."""
+    """Return where the processes of the gateway at this address meet, None without $TMPDIR."""
     folder = os.environ.get("TMPDIR")
     return Path(folder) / f"handover-{address[0]}-{address[1]}" if folder else None
 
 
 @contextmanager
 def _short_name(path: Path) -> Iterator[str]:
-    """A name for the path that is short enough for a socket, good inside the block."""
+    """Give a name of the path that is short enough for a socket, valid inside the block."""
     folder = os.open(path.parent, os.O_PATH | os.O_DIRECTORY)
     try:
         yield f"/proc/self/fd/{folder}/{path.name}"
@@ -36,7 +36,7 @@
 
 
 def connect(path: Path) -> socket.socket | None:
-    """Connect to the process that waits at the path; None if there is none, or such sockets are refused.
+    """Connect to the process that listens at the path; None if there is none, or Unix sockets are refused.
 
     Raises:
         OSError: The system is short of something, or that process is busy; a later call may succeed.
@@ -64,7 +64,7 @@
 
 
 def listen(path: Path) -> socket.socket | None:
-    """Listen at the path, in the place of whatever is there, dead or alive; None if that is refused.
+    """Listen at the path, in the place of whatever is there, dead or alive; None if Unix sockets are refused.
 
     Raises:
         OSError: The system is short of something, or the folder can't be written; a later call may succeed.
@@ -80,7 +80,7 @@
 
 
 def _listening(name: str) -> socket.socket:
-    """A listener under a name of its own first: there is no moment without one at the path."""
+    """Bind under a name of its own first, then rename it: there is no moment without a listener."""
     own_name = Path(f"{name}.{os.getpid()}")
     with suppress(FileNotFoundError):
         own_name.unlink()
@@ -88,8 +88,8 @@
     try:
         listener.setblocking(False)
         listener.bind(str(own_name))
-        own_name.chmod(OWNER_ONLY)
-        listener.listen(BACKLOG)
+        own_name.chmod(OWNER_ONLY_MODE)
+        listener.listen(BACKLOG_PROCESSES)
         own_name.rename(name)
     except OSError:
         listener.close()
--- a/quota_gateway/net/handover/sender.py
+++ b/quota_gateway/net/handover/sender.py
@@ -1,4 +1,8 @@
-"""Being taken over from: the listener for a new process, the state for it, then the clients' connections."""
+"""The serving process's side of a handover.
+
+It listens at the rendezvous path, sends its state to the process that says hello there, then hands over the
+clients' connections.
+"""
 
 from __future__ import annotations
 
@@ -6,45 +10,29 @@
 import logging
 import os
 import socket
-import time
-from enum import Enum, auto
 from pathlib import Path
 
 from quota_gateway.errors import HandoverError
 from quota_gateway.model import PeerProcessExited
-from quota_gateway.net.clients.listener import ClientConnection, ClientListener
+from quota_gateway.net.clients.listener import ClientListener
 from quota_gateway.net.discovery.endpoint_registry import EndpointRegistry
 from quota_gateway.net.driver import Driver
 from quota_gateway.net.handover import rendezvous
-from quota_gateway.net.handover.peer_messages import (
-    DescriptorsInUse,
-    HandoverOffer,
-    Hello,
-    MessageKind,
-    PassedConnection,
-)
+from quota_gateway.net.handover.connection_handover import ConnectionHandover
+from quota_gateway.net.handover.message_json import MessageKind, encode_offer_body, from_header, to_header
+from quota_gateway.net.handover.peer_messages import HandoverOffer, Hello
 from quota_gateway.net.handover.peer_processes import PeerProcesses
 from quota_gateway.net.handover.peer_requests import PeerRequestHandler
 from quota_gateway.net.handover.process_channel import ChannelMessage, ProcessChannel, ReceivedMessage
+from quota_gateway.net.handover.states import SenderState
 from quota_gateway.net.upstream.pool import UpstreamPool
 from quota_gateway.telemetry import Metric
 
 log = logging.getLogger(__name__)
 
-MAX_QUEUED_PACKETS = 8  # each with a descriptor, that wait for the kernel before more connections follow
-HELLO_TIMEOUT_S = 2.0  # from connecting on: who connects and says nothing holds a descriptor
-SERVING_TIMEOUT_S = 1.5  # from the state on, for the word that the other serves: nobody accepts meanwhile
-LISTEN_RETRY_S = 0.5  # where the path can not be had for a moment
-PASS_INTERVAL_S = 0.005  # between two looks at which connections may be passed on
-
-
-class SenderState(Enum):
-    """How far this process has handed over to another one."""
-
-    NOT_LISTENING = auto()  # without a path, or where it is refused, or as this process ends
-    LISTENING = auto()  # for a process that takes over; this one serves
-    STATE_SENT = auto()  # nobody accepts until the other says that it serves
-    PASSING_CONNECTIONS = auto()  # the other serves and gets each connection on which nothing is owed
+HELLO_TIMEOUT_S = 2.0  # after connecting: a silent process holds a descriptor
+SERVING_TIMEOUT_S = 1.5  # after the state was sent: nobody accepts until the next process serves
+LISTEN_RETRY_S = 0.5  # where the path is not available for a moment
 
 
 class HandoverSender:
@@ -71,19 +59,18 @@
         self.requests = requests
         self.loop = asyncio.get_running_loop()
         self._serving_timeout: asyncio.TimerHandle | None = None
-        self._next_pass: asyncio.TimerHandle | None = None
         self._listen_retry: asyncio.TimerHandle | None = None
         self._is_refusing = False
-        self._reported: DescriptorsInUse | None = None
+        self._connections: ConnectionHandover | None = None  # to the next process
 
     def _enter(self, state: SenderState) -> None:
         self.state = state
-        self.driver.telemetry.metrics.count(Metric.STATE_TRANSITIONS, f"sender_{state.name.lower()}")
+        self.driver.telemetry.metrics.count(Metric.STATE_TRANSITIONS, state.value)
 
     # ---- Listening
 
     def listen(self) -> None:
-        """Wait for a process that takes over. Whatever is at the path is replaced, dead or alive."""
+        """Listen for a process that takes over. Whatever is at the path is replaced, dead or alive."""
         if self._is_refusing:
             return
         try:
@@ -99,7 +86,7 @@
         self.loop.add_reader(listener, self._on_connect)
 
     def stop_listening(self) -> None:
-        """Take no further process. The path is left as it is: another process may have taken it."""
+        """Accept no further process. The path stays as it is: another process may listen there already."""
         if self._listen_retry:
             self._listen_retry.cancel()
         if self.listener:
@@ -108,7 +95,7 @@
             self.listener = None
 
     def refuse(self) -> None:
-        """Take no further process from now on, also where the one that takes over dies."""
+        """Accept no further process from now on, also where the one that takes over dies."""
         self._is_refusing = True
         self.stop_listening()
 
@@ -124,7 +111,7 @@
 
         def on_hello(message: ReceivedMessage) -> None:
             timeout.cancel()
-            Hello.from_json(message.header)
+            from_header(Hello, message.header)
             if self.peers.next:
                 raise HandoverError("hello: another process is taking over")
             self._send_state(channel)
@@ -134,7 +121,7 @@
     # ---- The state
 
     def _send_state(self, channel: ProcessChannel) -> None:
-        """Stop serving and hand the state over. No connection is passed on before the other one serves."""
+        """Stop serving and send the state. No connection is handed over before the next process serves."""
         if self.clients.listening_socket is None:
             channel.close("this process has stopped listening")
             return
@@ -146,26 +133,28 @@
         log.info("handover requested")
         self._enter(SenderState.STATE_SENT)
         self.peers.next = channel
+        connections = ConnectionHandover(channel, self.clients, self.upstream_pool)
+        self._connections = connections
         channel.on_end = self._on_next_ended
         channel.set_receiver(lambda message: self._on_message(channel, message))
         self.clients.suspend()
         state, registry = self.driver.export_state(), self.registry.export_state()
         offer = HandoverOffer(state, registry, self.driver.clock_offset_ms)
-        channel.send(ChannelMessage(offer.to_json(), offer.encode_body(), listening_socket))
-        self._reported = None
-        self._report_descriptors(channel)
+        channel.send(ChannelMessage(to_header(offer), encode_offer_body(offer), listening_socket))
+        connections.report_descriptors()
         self._serving_timeout = self.loop.call_later(
             SERVING_TIMEOUT_S, channel.close, "next process is silent"
         )
 
     def _on_next_ended(self) -> None:
-        """The new process has died, or never served: this process goes on as before."""
+        """Serve on as before: the next process has ended, or never served."""
         log.warning("handover aborted, serving resumed")
-        for timer in (self._serving_timeout, self._next_pass):
-            if timer:
-                timer.cancel()
-        self._serving_timeout = None
-        self._next_pass = None
+        if self._serving_timeout:
+            self._serving_timeout.cancel()
+            self._serving_timeout = None
+        if self._connections:
+            self._connections.cancel()
+            self._connections = None
         self.peers.next = None
         self.peers.on_process_ended()
         if self.peers.previous is None:
@@ -177,57 +166,22 @@
             self._enter(SenderState.NOT_LISTENING)
             self.listen()
 
-    # ---- The connections
+    # ---- Messages
 
     def _on_message(self, channel: ProcessChannel, message: ReceivedMessage) -> None:
         kind = MessageKind.of(message.header)
         if kind is MessageKind.SERVING and self.state is SenderState.STATE_SENT:
-            self._on_serving(channel)
+            self._on_serving()
         else:
             self.requests.handle(channel, message)
 
-    def _on_serving(self, channel: ProcessChannel) -> None:
+    def _on_serving(self) -> None:
         if self._serving_timeout:
             self._serving_timeout.cancel()
             self._serving_timeout = None
-        self._enter(SenderState.PASSING_CONNECTIONS)
+        self._enter(SenderState.HANDING_OVER_CONNECTIONS)
         self.clients.acceptor.share()
         self.stop_listening()  # the version after the next asks the one that serves now
         log.info("handover accepted connections=%d", len(self.clients.connections))
-        self._pass_connections(channel)
-
-    def _pass_connections(self, channel: ProcessChannel) -> None:
-        """Pass on each connection on which nothing is owed, and look again in a moment."""
-        if not channel.closed:
-            self._next_pass = self.loop.call_later(PASS_INTERVAL_S, self._pass_connections, channel)
-        self.upstream_pool.close_all_idle()
-        for client in list(self.clients.connections):
-            if channel.closed or channel.queued_packets >= MAX_QUEUED_PACKETS:
-                break
-            self._pass_connection(channel, client)
-        self._report_descriptors(channel)
-
-    def _pass_connection(self, channel: ProcessChannel, client: ClientConnection) -> None:
-        try:
-            released = client.release()
-        except OSError as error:  # of descriptors, for a moment: it is looked at again
-            log.warning("connection not passed on reason=%r", error)
-            return
-        if released is None:
-            return
-        descriptor, resumed = released
-        connection = PassedConnection(
-            resumed.has_sent_command,
-            resumed.request_count,
-            resumed.command_due_for_s,
-            max(0.0, time.monotonic() - resumed.waiting_since_s),
-            resumed.silent_s,
-        )
-        channel.send(ChannelMessage(connection.to_json(), resumed.partial_command, descriptor))
-
-    def _report_descriptors(self, channel: ProcessChannel) -> None:
-        """Tell what this process still has of the limits that both share, when it has changed."""
-        in_use = DescriptorsInUse(self.clients.descriptors_in_use, self.upstream_pool.descriptors_in_use)
-        if in_use != self._reported and not channel.closed:
-            self._reported = in_use
-            channel.send(ChannelMessage(in_use.to_json()))
+        assert self._connections
+        self._connections.run()
--- a/quota_gateway/resources.py
+++ b/quota_gateway/resources.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from quota_gateway.net.admin.server import MAX_CONNECTIONS as MAX_ADMIN_CONNECTIONS
-from quota_gateway.net.handover.sender import MAX_QUEUED_PACKETS
+from quota_gateway.net.handover.connection_handover import MAX_QUEUED_PACKETS
 
 OWN_DESCRIPTORS = Path("/proc/self/fd")
 STANDARD_STREAMS = 3  # standard input, output and error, which is the log
--- a/tests/net/handover/test_handover_faults.py
+++ b/tests/net/handover/test_handover_faults.py
@@ -10,7 +10,7 @@
 from quota_gateway.net.handover import rendezvous
 from quota_gateway.net.handover import sender as handover_sender
 from quota_gateway.net.handover.handover import request_handover
-from quota_gateway.net.handover.sender import SenderState
+from quota_gateway.net.handover.states import SenderState
 from quota_gateway.server import shut_down_gracefully
 from tests.support.gateway_node import SETTINGS, run_gateway, wait_until
 from tests.support.resp_encoding import encode_call, encode_command
@@ -50,7 +50,7 @@
         await wait_until(lambda: old.handover.sender.state is SenderState.LISTENING)
 
 
-async def test_connection_is_passed_on_once_descriptors_are_left(tmp_path, monkeypatch):
+async def test_connection_is_handed_over_once_descriptors_are_left(tmp_path, monkeypatch):
     async with run_gateway() as old, run_gateway() as new:
         old.handover.sender.path = new.handover.sender.path = tmp_path / "rendezvous"
         old.handover.wait()
@@ -86,7 +86,7 @@
         await shutdown
 
 
-async def test_half_a_body_is_overdue_in_its_time_however_often_its_connection_is_passed_on(monkeypatch):
+async def test_half_a_body_is_overdue_in_its_time_however_often_its_connection_is_handed_over(monkeypatch):
     monkeypatch.setattr(idle_connections, "COMMAND_TIMEOUT_S", 0.3)
     monkeypatch.setattr(command_intake, "BODY_GAP_TIMEOUT_S", 3600.0)  # it counts as arriving for long
     async with run_gateway() as gateway:
--- a/tests/net/handover/test_peer_messages.py
+++ b/tests/net/handover/test_peer_messages.py
@@ -2,30 +2,32 @@
 
 import json
 import socket
+from functools import partial
 from pathlib import Path
 
 import pytest
 
 from quota_gateway import PeerProcessUsage
 from quota_gateway.errors import HandoverError
+from quota_gateway.net.handover.message_json import (
+    MESSAGE_FORMATS,
+    MessageKind,
+    encode_offer_body,
+    from_header,
+    read_offer,
+    to_header,
+)
+from quota_gateway.net.handover.packets import MAX_MESSAGE_BYTES, PIECE_BYTES
 from quota_gateway.net.handover.peer_messages import (
     DescriptorsInUse,
     DetachmentReply,
     DetachmentRequest,
+    HandedOverConnection,
     HandoverOffer,
     Hello,
-    MessageKind,
-    PassedConnection,
     Serving,
-    UsageNotification,
-)
-from quota_gateway.net.handover.process_channel import (
-    MAX_MESSAGE_BYTES,
-    PIECE_BYTES,
-    ChannelMessage,
-    ProcessChannel,
-    ReceivedMessage,
 )
+from quota_gateway.net.handover.process_channel import ChannelMessage, ProcessChannel, ReceivedMessage
 from tests.support.gateway_node import wait_until
 
 RECORD = Path(__file__).parent.parent.parent / "process" / "data" / "handover_4431b5a.json"
@@ -34,25 +36,25 @@
     (Hello(), "hello"),
     (HandoverOffer({}, {}), "estate"),
     (Serving(), "serving"),
-    (PassedConnection(has_sent_command=True, request_count=3, command_due_for_s=0.25), "connection"),
+    (HandedOverConnection(has_sent_command=True, request_count=3, command_due_for_s=0.25), "connection"),
     (DescriptorsInUse(clients=12, upstream=34), "holds"),
-    (UsageNotification(PeerProcessUsage("metered", "c-1", 2, -0.5)), "out"),
+    (PeerProcessUsage("metered", "c-1", 2, -0.5), "out"),
     (DetachmentRequest("s-1", detached=True, known=False, number=1), "ban"),
     (DetachmentReply(number=7, known=True), "banned"),
 ]
 READABLE = {
-    "hello": Hello.from_json,
-    "connection": PassedConnection.from_json,
-    "holds": DescriptorsInUse.from_json,
-    "out": UsageNotification.from_json,
-    "ban": DetachmentRequest.from_json,
-    "banned": DetachmentReply.from_json,
+    "hello": partial(from_header, Hello),
+    "connection": partial(from_header, HandedOverConnection),
+    "holds": partial(from_header, DescriptorsInUse),
+    "out": partial(from_header, PeerProcessUsage),
+    "ban": partial(from_header, DetachmentRequest),
+    "banned": partial(from_header, DetachmentReply),
 }
 
 
 @pytest.mark.parametrize(("message", "kind"), MESSAGES)
 def test_message_is_written_as_the_recorded_process_wrote_it(message, kind):
-    assert json.dumps(message.to_json()) == json.dumps(RECORDED[kind])
+    assert json.dumps(to_header(message)) == json.dumps(RECORDED[kind])
 
 
 @pytest.mark.parametrize(("message", "kind"), [item for item in MESSAGES if item[1] in READABLE])
@@ -60,6 +62,13 @@
     assert READABLE[kind](RECORDED[kind]) == message
 
 
+def test_every_message_has_a_format():
+    assert list(MESSAGE_FORMATS) == [type(message) for message, _ in MESSAGES]
+    assert [message_format.kind.value for message_format in MESSAGE_FORMATS.values()] == [
+        kind for _, kind in MESSAGES
+    ]
+
+
 def test_every_kind_is_recorded():
     assert {kind.value for kind in MessageKind} == set(RECORDED) == {kind for _, kind in MESSAGES}
 
@@ -109,22 +118,22 @@
 )
 def test_malformed_offer_is_refused(body, wrong):
     with pytest.raises(HandoverError, match=f"^estate: .*{wrong}"):
-        HandoverOffer.from_json(RECORDED["estate"], body)
+        read_offer(RECORDED["estate"], body)
 
 
 @pytest.mark.parametrize("header", [{"kind": "hello", "version": 1}, {"kind": "estate", "version": 2}, {}])
 def test_offer_of_another_kind_or_version_is_refused(header):
     with pytest.raises(HandoverError, match=r"^estate: (kind|version)="):
-        HandoverOffer.from_json(header, b'{"state": {}, "roster": {}}')
+        read_offer(header, b'{"state": {}, "roster": {}}')
 
 
 @pytest.mark.parametrize("due_s", [float("inf"), float("-inf"), float("nan")])
 def test_time_that_is_not_finite_counts_as_none(due_s):
-    assert PassedConnection.from_json({**RECORDED["connection"], "owing_s": due_s}).command_due_for_s == 0.0
+    assert READABLE["connection"]({**RECORDED["connection"], "owing_s": due_s}).command_due_for_s == 0.0
 
 
 def test_counts_below_none_count_as_none():
-    assert DescriptorsInUse.from_json({"clients": -1, "servers": -7}) == DescriptorsInUse(0, 0)
+    assert READABLE["holds"]({"clients": -1, "servers": -7}) == DescriptorsInUse(0, 0)
 
 
 @pytest.mark.parametrize("kind", ["new", 7, None, [], {}])
@@ -186,7 +195,7 @@
     channel, peer = channel_and_peer()
     ends = []
     channel.on_end = lambda: ends.append(True)
-    channel.set_receiver(lambda message: UsageNotification.from_json(message.header) and None)
+    channel.set_receiver(lambda message: from_header(PeerProcessUsage, message.header) and None)
     passed, other = socket.socketpair()
     for packet in packets:
         socket.send_fds(peer, [packet], [passed.fileno(), other.fileno()])
@@ -247,9 +256,9 @@
 @pytest.mark.parametrize("offset_ms", [None, 1.7e12])
 def test_offer_tells_the_offset_of_its_clock(offset_ms):
     offer = HandoverOffer({"a": 1}, {"b": 2}, offset_ms)
-    assert HandoverOffer.from_json(offer.to_json(), offer.encode_body()) == offer
+    assert read_offer(to_header(offer), encode_offer_body(offer)) == offer
 
 
 def test_offset_that_is_no_number_is_refused():
     with pytest.raises(HandoverError, match=r"^estate: clock="):
-        HandoverOffer.from_json(RECORDED["estate"], b'{"state": {}, "roster": {}, "clock": "x"}')
+        read_offer(RECORDED["estate"], b'{"state": {}, "roster": {}, "clock": "x"}')
--- a/tests/process/test_recorded_handover.py
+++ b/tests/process/test_recorded_handover.py
@@ -12,6 +12,7 @@
 from quota_gateway import AttachServer, AttemptStatus, DetachServer, ExportState, RestoreState, StateSnapshot
 from quota_gateway.net.discovery.client import DiscoveryClient
 from quota_gateway.net.discovery.endpoint_registry import EndpointRegistry
+from quota_gateway.net.handover.message_json import encode_offer_body, read_offer, to_header
 from quota_gateway.net.handover.peer_messages import HandoverOffer
 from tests.support.engine_harness import EngineHarness, make_endpoint
 from tests.support.fake_discovery import make_instance
@@ -22,7 +23,7 @@
 
 def recorded_offer() -> HandoverOffer:
     """The offer as it is read from the channel."""
-    return HandoverOffer.from_json(OFFER_HEADER, json.dumps(RECORD["body"]).encode())
+    return read_offer(OFFER_HEADER, json.dumps(RECORD["body"]).encode())
 
 
 def export(harness: EngineHarness) -> dict:
@@ -146,8 +147,8 @@
 @pytest.mark.parametrize("part", ["state", "roster"])
 def test_offer_is_written_with_the_recorded_keys(part):
     offer = recorded_offer()
-    assert offer.to_json() == OFFER_HEADER
-    written = json.loads(offer.encode_body())
+    assert to_header(offer) == OFFER_HEADER
+    written = json.loads(encode_offer_body(offer))
     assert list(written) == ["state", "roster"]
     assert list(written[part]) == list(RECORD["body"][part])
     assert written[part] == RECORD["body"][part]
--- a/tests/process/test_upgrade.py
+++ b/tests/process/test_upgrade.py
@@ -24,8 +24,7 @@
 from quota_gateway.net.handover import receiver as handover_receiver
 from quota_gateway.net.handover import sender as handover_sender
 from quota_gateway.net.handover.handover import rendezvous_path, request_handover
-from quota_gateway.net.handover.receiver import ReceiverState
-from quota_gateway.net.handover.sender import SenderState
+from quota_gateway.net.handover.states import ReceiverState, SenderState
 from tests.support.admin_calls import encode_post, send_admin_call
 from tests.support.engine_harness import EngineHarness, make_endpoint, make_harness
 from tests.support.fake_client import FakeClient
@@ -96,7 +95,7 @@
         assert old.handover.sender.state is SenderState.STATE_SENT
         new.handover.took_over(handover_state, 0)
         assert new.handover.receiver.state is ReceiverState.SERVING
-        await wait_until(lambda: old.handover.sender.state is SenderState.PASSING_CONNECTIONS)
+        await wait_until(lambda: old.handover.sender.state is SenderState.HANDING_OVER_CONNECTIONS)
         await wait_until(lambda: new.client_listener.connections)
         old.handover.close()
         await wait_until(lambda: new.handover.receiver.state is ReceiverState.PREVIOUS_ENDED)
@@ -106,7 +105,7 @@
         "handover received",
         "handover accepted connections=1",
         "process channel closed reason='this process ends'",
-        "process channel closed reason='the other process ended it'",
+        "process channel closed reason='peer process ended it'",
         "previous process ended",
     ]
 
@@ -133,7 +132,7 @@
     assert handover_log(caplog)[:-2] == [
         "handover requested",
         "process channel closed reason='gone'",
-        "process channel closed reason='the other process ended it'",
+        "process channel closed reason='peer process ended it'",
         "handover aborted, serving resumed",
     ]
     assert refused.startswith(
