--- a/tests/net/handover/test_peer_messages.py
+++ b/tests/net/handover/test_peer_messages.py
@@ -30,8 +30,11 @@
 from quota_gateway.net.handover.process_channel import ChannelMessage, ProcessChannel, ReceivedMessage
 from tests.support.gateway_node import wait_until
 
-RECORD = Path(__file__).parent.parent.parent / "process" / "data" / "handover_4431b5a.json"
-RECORDED = {header["kind"]: header for header in json.loads(RECORD.read_text())["headers"]}
+DATA = Path(__file__).parent.parent.parent / "process" / "data"
+RECORDED, RECORDED_4ABEC57 = [
+    {header["kind"]: header for header in json.loads((DATA / name).read_text())["headers"]}
+    for name in ("handover_4431b5a.json", "handover_4abec57.json")
+]
 MESSAGES = [
     (Hello(), "hello"),
     (HandoverOffer({}, {}), "estate"),
@@ -62,6 +65,18 @@
     assert READABLE[kind](RECORDED[kind]) == message
 
 
+@pytest.mark.parametrize(
+    ("message", "kind"),
+    [
+        (HandedOverConnection(True, 3, 0.25, 1.5, 0.75) if kind == "connection" else message, kind)
+        for message, kind in MESSAGES
+    ],
+)
+def test_message_is_written_and_read_as_commit_4abec57_wrote_it(message, kind):
+    assert json.dumps(to_header(message)) == json.dumps(RECORDED_4ABEC57[kind])
+    assert kind not in READABLE or READABLE[kind](RECORDED_4ABEC57[kind]) == message
+
+
 def test_every_message_has_a_format():
     assert list(MESSAGE_FORMATS) == [type(message) for message, _ in MESSAGES]
     assert [message_format.kind.value for message_format in MESSAGE_FORMATS.values()] == [
--- a/tests/process/test_recorded_handover.py
+++ b/tests/process/test_recorded_handover.py
@@ -1,7 +1,8 @@
-"""What a process of commit 4431b5a hands over, recorded: the present code restores it and writes the same.
+"""What processes of earlier commits hand over, recorded: the present code restores it and writes the same.
 
-``data/handover_4431b5a.json`` has the headers that its code wrote on the channel, the body of its offer, and
-the body that it wrote in turn once it had restored the first one 250 ms later.
+``data/handover_COMMIT.json`` has the headers that the commit's code wrote on the channel, the body of its
+offer, and the body that it wrote in turn once it had restored the first one 250 ms later. 4431b5a names no
+clock in its offer.
 """
 
 import json
@@ -17,13 +18,22 @@
 from tests.support.engine_harness import EngineHarness, make_endpoint
 from tests.support.fake_discovery import make_instance
 
-RECORD = json.loads((Path(__file__).parent / "data" / "handover_4431b5a.json").read_text())
+RECORDS = {
+    commit: json.loads((Path(__file__).parent / "data" / f"handover_{commit}.json").read_text())
+    for commit in ("4431b5a", "4abec57")
+}
 OFFER_HEADER = {"kind": "estate", "version": 1}
 
 
-def recorded_offer() -> HandoverOffer:
+@pytest.fixture(params=list(RECORDS))
+def record(request) -> dict:
+    """What a process of one commit has handed over."""
+    return RECORDS[request.param]
+
+
+def recorded_offer(record: dict) -> HandoverOffer:
     """The offer as it is read from the channel."""
-    return read_offer(OFFER_HEADER, json.dumps(RECORD["body"]).encode())
+    return read_offer(OFFER_HEADER, json.dumps(record["body"]).encode())
 
 
 def export(harness: EngineHarness) -> dict:
@@ -32,12 +42,12 @@
     return json.loads(json.dumps(snapshot.state))
 
 
-def restore(now_ms: float = RECORD["restored_at_ms"]) -> EngineHarness:
+def restore(record: dict) -> EngineHarness:
     """An engine that has restored the recorded state."""
     harness = EngineHarness()
-    harness.now = now_ms
+    harness.now = record["restored_at_ms"]
     harness.servers(make_endpoint(1), make_endpoint(2), make_endpoint(3))
-    harness.do(RestoreState(recorded_offer().state))
+    harness.do(RestoreState(recorded_offer(record).state))
     return harness
 
 
@@ -62,8 +72,8 @@
     harness.run(10.0)
 
 
-def test_record_holds_buckets_detachments_failure_rates_latencies_and_requests_in_flight():
-    state = RECORD["body"]["state"]
+def test_record_holds_buckets_detachments_failure_rates_latencies_and_requests_in_flight(record):
+    state = record["body"]["state"]
     assert max(customer[3] for customer in state["customers"]) > 0.0
     assert [number for number, _ in state["barred"]] == [1]
     assert [number for number, *_ in state["attached"]] == [2]
@@ -75,22 +85,22 @@
     assert any(customer[2] for customer in state["customers"])
 
 
-def test_restored_state_is_written_as_the_recorded_process_wrote_it_after_it_had_restored_it():
-    assert export(restore()) == RECORD["body_after_restore"]["state"]
+def test_restored_state_is_written_as_the_recorded_process_wrote_it_after_it_had_restored_it(record):
+    assert export(restore(record)) == record["body_after_restore"]["state"]
 
 
-def test_same_events_lead_to_the_recorded_state():
+def test_same_events_lead_to_the_recorded_state(record):
     harness = EngineHarness()
     replay(harness)
-    assert harness.now == RECORD["exported_at_ms"]
+    assert harness.now == record["exported_at_ms"]
     state = export(harness)
-    assert list(state) == list(RECORD["body"]["state"])
-    assert state == RECORD["body"]["state"]
+    assert list(state) == list(record["body"]["state"])
+    assert state == record["body"]["state"]
 
 
-def test_restored_bucket_and_cap_go_on_where_the_recorded_process_was():
-    harness = restore()
-    full = {tuple(customer[:2]): customer[3] for customer in RECORD["body"]["state"]["customers"]}
+def test_restored_bucket_and_cap_go_on_where_the_recorded_process_was(record):
+    harness = restore(record)
+    full = {tuple(customer[:2]): customer[3] for customer in record["body"]["state"]["customers"]}
     assert full["metered", "waiting"] > full["metered", "c-1"]
     restored = {tuple(customer[:2]): customer[3] for customer in export(harness)["customers"]}
     assert restored == full
@@ -99,8 +109,8 @@
     assert harness.ask("only-cap", "safe", "somebody-else") in harness.sent
 
 
-def test_restored_detachment_holds_until_the_server_is_attached():
-    harness = restore()
+def test_restored_detachment_holds_until_the_server_is_attached(record):
+    harness = restore(record)
     harness.servers(make_endpoint(1))
     name = harness.ask("free")
     harness.run(100.0)
@@ -110,17 +120,17 @@
     assert harness.sent[name][0] == 1
 
 
-def test_restored_latencies_are_those_of_the_recorded_process():
-    assert export(restore())["latency"] == RECORD["body"]["state"]["latency"]
+def test_restored_latencies_are_those_of_the_recorded_process(record):
+    assert export(restore(record))["latency"] == record["body"]["state"]["latency"]
 
 
-def test_restored_registry_keeps_numbers_names_and_detachments():
+def test_restored_registry_keeps_numbers_names_and_detachments(record):
     updates = []
     registry = EndpointRegistry()
     client = DiscoveryClient(
         registry, lambda update, addresses: updates.append((update, addresses)), lambda: None, 1
     )
-    client.load_known(registry.restore_state(recorded_offer().registry))
+    client.load_known(registry.restore_state(recorded_offer(record).registry))
     assert registry.detached == {"s-1"}
     assert [registry.number_of(name) for name in ("s-1", "s-2", "s-3", "s-4")] == [1, 2, 3, 4]
     ((update, addresses),) = updates
@@ -131,24 +141,27 @@
     ]
     assert addresses == {number: ("127.0.0.1", 7000 + number) for number in (1, 2, 3)}
     written = json.loads(json.dumps(registry.export_state()))
-    assert list(written) == list(RECORD["body"]["roster"])
-    assert written == RECORD["body_after_restore"]["roster"]
+    assert list(written) == list(record["body"]["roster"])
+    assert written == record["body_after_restore"]["roster"]
 
 
-def test_registry_of_the_same_documents_is_written_as_recorded():
+def test_registry_of_the_same_documents_is_written_as_recorded(record):
     registry = EndpointRegistry()
     rows = [make_instance(f"s-{number}", 7000 + number) for number in (1, 2, 3, 4)]
     registry.read({"generation": 1, "reset": True, "instances": rows})
     registry.read({"generation": 2, "reset": False, "instances": [make_instance("s-4", 7004, "Gone")]})
     registry.detached.add("s-1")
-    assert json.loads(json.dumps(registry.export_state())) == RECORD["body"]["roster"]
+    assert json.loads(json.dumps(registry.export_state())) == record["body"]["roster"]
 
 
 @pytest.mark.parametrize("part", ["state", "roster"])
-def test_offer_is_written_with_the_recorded_keys(part):
-    offer = recorded_offer()
+def test_offer_is_written_with_the_recorded_keys(record, part):
+    offer = recorded_offer(record)
     assert to_header(offer) == OFFER_HEADER
     written = json.loads(encode_offer_body(offer))
-    assert list(written) == ["state", "roster"]
-    assert list(written[part]) == list(RECORD["body"][part])
-    assert written[part] == RECORD["body"][part]
+    assert list(written) == list(record["body"])
+    assert list(written)[:2] == ["state", "roster"]
+    assert list(written)[2:] == ([] if record["commit"] == "4431b5a" else ["clock"])
+    assert written == record["body"]
+    assert list(written[part]) == list(record["body"][part])
+    assert written[part] == record["body"][part]
