--- a/quota_gateway/net/handover/receiver.py
+++ b/quota_gateway/net/handover/receiver.py
@@ -165,7 +165,7 @@
         self.clients.max_buffered_bytes += self._spare_bytes
         self.upstream_pool.max_buffered_bytes += self._spare_bytes
         self.clients.peer_connections = 0
-        self.upstream_pool.peer_connections = 0
+        self.upstream_pool.limiter.peer_connections = 0
         self.peers.on_process_ended()
         log.info("previous process ended")
         if self.peers.next is None:
@@ -178,7 +178,7 @@
             case MessageKind.DESCRIPTORS_IN_USE:
                 in_use = from_header(DescriptorsInUse, message.header)
                 self.clients.peer_connections = in_use.clients
-                self.upstream_pool.peer_connections = in_use.upstream
+                self.upstream_pool.limiter.peer_connections = in_use.upstream
             case _:
                 self.requests.handle(channel, message)
 
--- a/quota_gateway/net/upstream/attempt.py
+++ b/quota_gateway/net/upstream/attempt.py
@@ -17,7 +17,7 @@
 
     Attributes:
         status: How it ended.
-        value: The value of a good answer, empty for one that was passed on in pieces.
+        value: The value of a good reply, empty for one that was streamed in pieces.
         usage_percent: The customer's metered use over all gateways, in percent of its rate.
         final_units: The units that the request took.
         load: A figure for each of ``Settings.load_report_fields``.
@@ -33,7 +33,9 @@
 class AttemptConnection(Protocol):
     """The connection that carries an attempt, as far as those who hold the attempt need it."""
 
-    fully_sent: bool
+    @property
+    def fully_sent(self) -> bool:
+        """Whether the kernel has the attempt's last byte."""
 
     @property
     def is_established(self) -> bool:
@@ -63,7 +65,7 @@
 
 
 def _ignore_sent() -> None:
-    """What happens when a command has gone whole and nobody wants to know."""
+    """Do nothing when a command is fully sent."""
 
 
 class Attempt:
@@ -73,7 +75,7 @@
         payload: The command's bytes.
         on_done: Called once, with the outcome.
         on_body_started: Called with the length of a large value as its first bytes come; returns the
-            consumer of its pieces. Such a value is not gathered, the outcome's value is empty then.
+            consumer of its pieces. Such a value is not buffered, the outcome's value is empty then.
         encode_again: Encodes the command anew for a connection that took a while to come up.
         refusal_to_send: Asked before the first and the last bytes go: None, or how the attempt ends instead.
         on_sent: Called when the last byte has gone to the kernel.
@@ -116,7 +118,7 @@
             self.connection.pause(pause)
 
     def finish(self, reply: UpstreamReply) -> None:
-        """Report the outcome, the first only, and let go of the command and the client.
+        """Report the outcome, the first only, and drop the command and all callbacks.
 
         The timer of an attempt holds it until it is due; see docs/decisions/upstream-attempts.md.
         """
--- a/quota_gateway/net/upstream/connection.py
+++ b/quota_gateway/net/upstream/connection.py
@@ -14,17 +14,17 @@
 
 from quota_gateway.errors import ProtocolError
 from quota_gateway.model import AttemptStatus
-from quota_gateway.net.resp import ReplyReader
 from quota_gateway.net.upstream.attempt import Attempt, UpstreamReply
+from quota_gateway.net.upstream.command_writer import CommandWriter
+from quota_gateway.net.upstream.connection_state import ConnectionState
 from quota_gateway.net.upstream.host import UpstreamHost
 from quota_gateway.net.upstream.reply_parser import ReplyParser
+from quota_gateway.net.upstream.reply_receiver import ReplyReceiver
 from quota_gateway.telemetry import Invariant, Metric, Telemetry
 
 log = logging.getLogger(__name__)
 
-RECEIVE_BUFFER_BYTES = 32 * 1024  # that the kernel reads ahead, about: what is read at once of a large value
-MAX_WHOLE_WRITE_BYTES = 16 * 1024  # of a command that the kernel takes at once, as nothing else waits there
-WITHHELD_BYTES = 2  # of a longer command's end: the fewest that leave its CR LF, and so the command, unsent
+RECEIVE_BUFFER_BYTES = 32 * 1024  # of the kernel, about: what is read at once of a large value
 LOGGED_BYTES = 60  # of a malformed reply: enough to tell what wrote it
 
 
@@ -36,38 +36,35 @@
     reply_parser: ReplyParser
     telemetry: Telemetry
 
-    def count_buffered(self, connection: UpstreamConnection, change_bytes: int) -> None:
+    def count_buffered(self, change_bytes: int) -> None:
         """Count bytes buffered for a reply; raises ProtocolError where there are too many."""
 
     def release(self, connection: UpstreamConnection) -> None:
-        """An attempt has ended with a reply: keep its connection, or close it."""
+        """Keep the connection of an attempt that has ended with a reply, or close it."""
 
     def on_closing(self, connection: UpstreamConnection) -> None:
-        """A connection is closing; its descriptor is still open."""
+        """Forget a connection that is closing; its descriptor is still open."""
 
     def on_descriptor_closed(self) -> None:
-        """The descriptor of a connection has been closed, or is as the loop goes on."""
+        """Count the descriptor of a connection as closed; it is as the loop goes on."""
 
 
 class UpstreamConnection(asyncio.Protocol):
-    """One connection to a server: connecting, idle, or with one attempt in flight."""
+    """One connection to a server."""
 
     def __init__(self, owner: ConnectionOwner, host: UpstreamHost, attempt: Attempt) -> None:
         self.owner = owner
         self.host = host
         self.epoch = host.epoch
+        self.state = ConnectionState.CONNECTING
         self.attempt: Attempt | None = attempt
         self.transport: asyncio.Transport | None = None
         self.socket: socket.socket | None = None
         self.task: asyncio.Task[None] | None = None
-        self.reader = ReplyReader()
-        self.buffered_bytes = 0  # of a reply that is not complete yet
-        self.fully_sent = False  # whether the kernel has the attempt's last byte
-        self.withheld = b""  # end of its command, not written until the rest has gone
         self.idle_since_s = 0.0
-        self.last_received_s = 0.0  # when a large value last came on
-        self.closed = False
         self.paused = False
+        self._writer: CommandWriter | None = None  # once established
+        self._receiver = ReplyReceiver(owner.reply_parser, owner.count_buffered, owner.loop.time)
         attempt.connection = self
 
     @property
@@ -75,6 +72,21 @@
         """Whether the connection has come up."""
         return self.transport is not None
 
+    @property
+    def closed(self) -> bool:
+        """Whether it is closed, or about to be."""
+        return self.state is ConnectionState.CLOSED
+
+    @property
+    def fully_sent(self) -> bool:
+        """Whether the kernel has the last byte of the attempt."""
+        return self._writer is not None and self._writer.fully_sent
+
+    def _enter(self, state: ConnectionState) -> None:
+        """Change the state; a closed connection stays closed."""
+        if not self.closed:
+            self.state = state
+
     # ---- Connecting
 
     async def open(self) -> None:
@@ -96,7 +108,7 @@
                 sock.close()
 
     def on_open_ended(self, _task: asyncio.Task[None]) -> None:
-        """``open`` has ended, or never began. Where no transport came of it, no descriptor is left."""
+        """Count the descriptor as closed where ``open`` has ended, or never began, without a transport."""
         if self.transport is None:
             self.owner.on_descriptor_closed()
 
@@ -104,8 +116,9 @@
         """Send the attempt, unless its server or its client has gone meanwhile."""
         # uvloop's transports are not asyncio.Transport by class: no isinstance here
         self.transport = cast(asyncio.Transport, transport)
-        # With a limit of 0 the loop tells when the last byte has gone to the kernel (resume_writing).
+        # With a limit of 0 the loop calls resume_writing when the last byte has gone to the kernel.
         self.transport.set_write_buffer_limits(0)
+        self._writer = CommandWriter(self.transport, self.close)
         attempt = self.attempt
         if self.closed or attempt is None:
             self.transport.abort()
@@ -117,7 +130,7 @@
             if refusal:
                 self.close(refusal)  # the client has left, its end may not have been handled yet
             else:
-                self._write(payload)
+                self._write(attempt, payload)
 
     # ---- Sending
 
@@ -125,64 +138,26 @@
         """Send an attempt on an idle connection."""
         self.attempt = attempt
         attempt.connection = self
-        self._write(attempt.payload)
-
-    def _write(self, payload: bytes) -> None:
-        """Write a command; the end of one that the kernel may not take at once only once it has the rest.
+        self._write(attempt, attempt.payload)
 
-        The last byte starts an attempt, and it must not go out for a client that has left; see
-        docs/decisions/upstream-attempts.md.
-        """
-        assert self.transport is not None
-        self.fully_sent = False
-        if not self._is_host_ready():
-            self.close(AttemptStatus.CONNECT_FAILED)
-            return
-        if len(payload) <= MAX_WHOLE_WRITE_BYTES:
-            self.withheld = b""
-            self.transport.write(payload)
+    def _write(self, attempt: Attempt, payload: bytes) -> None:
+        assert self._writer is not None
+        self._enter(ConnectionState.IN_FLIGHT)
+        if self._is_host_ready():
+            self._writer.write(attempt, payload)
         else:
-            self.withheld = payload[-WITHHELD_BYTES:]
-            self.transport.write(memoryview(payload)[:-WITHHELD_BYTES])
-        if self._has_gone():
-            self._on_written()
-
-    def _has_gone(self) -> bool:
-        """Whether the kernel has all that was written; a write that failed leaves nothing either."""
-        transport = self.transport
-        return transport is not None and not transport.is_closing() and transport.get_write_buffer_size() == 0
-
-    def resume_writing(self) -> None:
-        """All that was written has gone to the kernel, unless the connection has broken."""
-        if self._has_gone():
-            self._on_written()
-
-    def _on_written(self) -> None:
-        """Write what was withheld, if the client still waits, or note that the command has gone whole."""
-        withheld = self.withheld
-        self.withheld = b""
-        if not withheld:
-            self._on_fully_sent()
-        elif self.attempt and self.transport and not self.transport.is_closing():
-            refusal = self.attempt.refusal_to_send()
-            if refusal:
-                self.close(refusal)
-                return
-            self.transport.write(withheld)
-            if self._has_gone():
-                self._on_fully_sent()
-
-    def _on_fully_sent(self) -> None:
-        """The kernel has the attempt's last byte."""
-        self.fully_sent = True
-        if self.attempt:
-            self.attempt.on_sent()
+            self.close(AttemptStatus.CONNECT_FAILED)
 
     def _is_host_ready(self) -> bool:
         """Whether the first byte may go; a host that is not ready was refused before."""
         check = self.owner.telemetry.invariants.check
         return self.host.is_ready or check(Invariant.NO_SEND_TO_UNREADY, False, repr(self.host.address))
 
+    def resume_writing(self) -> None:
+        """Go on writing: the kernel has all that was written, unless the connection has broken."""
+        if self._writer:
+            self._writer.on_buffer_empty()
+
     # ---- Receiving
 
     def data_received(self, data: bytes) -> None:
@@ -197,68 +172,45 @@
         if attempt is None:
             self.close(AttemptStatus.RESET)
             return
-        self.reader.feed(data)
         try:
-            reply = self._next_reply(attempt)
+            reply = self._receiver.feed(data, attempt)
         except ProtocolError as error:
             log.warning("upstream reply malformed data=%.60r reason=%s", data[:LOGGED_BYTES], error)
             self.close(AttemptStatus.ERROR)  # it may have run
             return
-        if reply is None:
-            return
-        self.attempt = None
-        if self.reader.buffer:
+        if reply:
+            self._on_reply(attempt, reply)
+
+    def _on_reply(self, attempt: Attempt, reply: UpstreamReply) -> None:
+        self._end_attempt()
+        if self._receiver.has_surplus_bytes:
             self.close(AttemptStatus.RESET)
         else:
             self.owner.release(self)
         attempt.finish(reply)
 
-    def _next_reply(self, attempt: Attempt) -> UpstreamReply | None:
-        """Return the reply once it is complete; None too where the connection was closed over it."""
-        answer = self.reader.next_reply()
-        if answer is None and self.reader.streamed_bytes_left is not None:
-            self._pass_on(attempt)
-            if self.closed:
-                return None
-            answer = self.reader.next_reply()
-        if answer is None:
-            self.owner.count_buffered(self, len(self.reader.buffer) - self.buffered_bytes)
-            return None
-        self.owner.count_buffered(self, -self.buffered_bytes)
-        return self.owner.reply_parser.parse(answer)
-
-    def _pass_on(self, attempt: Attempt) -> None:
-        """Pass on what has come of a large value, which is never gathered."""
-        assert self.reader.streamed_bytes_left is not None
-        piece = self.reader.take_piece()
-        if not piece:
-            return  # a header alone commits nobody: other attempts may still be quicker
-        self.last_received_s = self.owner.loop.time()
-        if attempt.body_consumer is None:
-            attempt.payload = b""
-            body_consumer = attempt.on_body_started(self.reader.streamed_bytes_left + len(piece))
-            if self.closed:
-                return  # nobody wants it any more
-            attempt.body_consumer = body_consumer
-        attempt.body_consumer(piece)
+    def set_idle(self, now_s: float) -> None:
+        """Wait for another attempt, since this time of the loop."""
+        self._enter(ConnectionState.IDLE)
+        self.idle_since_s = now_s
 
     def pause(self, pause: bool) -> None:
         """Read no more for now, or go on: backpressure from a client slower than the server."""
         if self.transport is None or self.closed or pause == self.paused:
             return
         self.paused = pause
-        self.last_received_s = self.owner.loop.time()
+        self._receiver.on_reading_changed()
         if pause:
             self.transport.pause_reading()
         else:
             self.transport.resume_reading()
 
     def is_stalled(self, before_s: float) -> bool:
-        """Whether the server has begun a large value and sent nothing of it since a time of the loop."""
+        """Whether nothing of a large value that has begun was received since this time of the loop."""
         attempt = self.attempt
         if attempt is None or attempt.body_consumer is None or self.paused:
             return False
-        return self.last_received_s < before_s
+        return self._receiver.last_progress_s < before_s
 
     def is_alive(self) -> bool:
         """Whether the server has neither closed it nor written out of turn while it was idle.
@@ -280,7 +232,7 @@
     # ---- Closing
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 (asyncio's signature)
-        """The connection has ended; the loop closes its descriptor as this returns.
+        """Close: the connection has ended, and the loop closes its descriptor as this returns.
 
         The socket lets go of its descriptor so that it is not closed twice; see
         docs/decisions/upstream-connections.md.
@@ -296,17 +248,23 @@
         The socket is shut down before the outcome is reported, so that a retry, which the outcome may bring
         about, never finds this attempt still in flight.
         """
-        attempt = self.attempt
-        self.attempt = None
+        attempt = self._end_attempt()
         if not self.closed:
-            self.closed = True
+            self._enter(ConnectionState.CLOSED)
             self.owner.telemetry.metrics.count(Metric.UPSTREAM_CONNECTIONS_CLOSED, status.value)
-            self.owner.count_buffered(self, -self.buffered_bytes)
+            self._receiver.close()
             self.owner.on_closing(self)
             self._shut_down()
         if attempt:
             attempt.finish(UpstreamReply(status))
 
+    def _end_attempt(self) -> Attempt | None:
+        attempt = self.attempt
+        self.attempt = None
+        if self._writer:
+            self._writer.on_attempt_ended()
+        return attempt
+
     def _shut_down(self) -> None:
         if self.socket is None and self.task:
             self.task.cancel()
--- /dev/null
+++ b/quota_gateway/net/upstream/host_table.py
@@ -0,0 +1,72 @@
+"""The servers of discovery's list, by number, with those that operators detached."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+
+from quota_gateway.model import EndpointLifecycle, EndpointUpdate, UpdateKind
+from quota_gateway.net.address import Address
+from quota_gateway.net.upstream.host import HostConnection, UpstreamHost
+
+
+class HostTable:
+    """The hosts that the gateway has connections to; each change closes the connections it makes useless."""
+
+    __slots__ = ("_detached", "by_server")
+
+    def __init__(self) -> None:
+        self.by_server: dict[int, UpstreamHost] = {}
+        self._detached: set[int] = set()  # by operators, also those that no list names now
+
+    def update(self, update: EndpointUpdate, addresses: Mapping[int, Address]) -> None:
+        """Take over an endpoint update.
+
+        Args:
+            update: A snapshot names all hosts, a delta those that changed.
+            addresses: Of all endpoints in it, by their numbers.
+        """
+        if update.kind is not UpdateKind.DELTA:
+            listed = {endpoint.server for endpoint in update.endpoints}
+            for server in [number for number in self.by_server if number not in listed]:
+                self._remove(server)
+        for endpoint in update.endpoints:
+            server = endpoint.server
+            if endpoint.state is EndpointLifecycle.GONE:
+                self._remove(server)
+                continue
+            host = self.by_server.setdefault(server, UpstreamHost())
+            host.update(endpoint, addresses[server], server in self._detached)
+
+    def _remove(self, server: int) -> None:
+        host = self.by_server.pop(server, None)
+        if host:
+            host.listed = False
+            host.start_epoch()
+
+    def set_detached(self, server: int, detached: bool) -> UpstreamHost | None:
+        """Detach or attach a server; return its host, if it is listed."""
+        if detached:
+            self._detached.add(server)
+        else:
+            self._detached.discard(server)
+        host = self.by_server.get(server)
+        if host:
+            host.detached = detached
+            if detached:
+                host.start_epoch()
+        return host
+
+    def longest_idle(self) -> HostConnection | None:
+        """Return the connection that has been idle longest, over all hosts."""
+        longest_of_each = [host.idle[0] for host in self.by_server.values() if host.idle]
+        return min(longest_of_each, key=lambda connection: connection.idle_since_s, default=None)
+
+    def close_idle_since(self, before_s: float) -> None:
+        """Close the connections that have been idle since before a time of the loop."""
+        for host in self.by_server.values():
+            host.close_idle_since(before_s)
+
+    def close_all_idle(self) -> None:
+        """Close every idle connection."""
+        for host in self.by_server.values():
+            host.close_idle()
--- /dev/null
+++ b/quota_gateway/net/upstream/reply_receiver.py
@@ -0,0 +1,94 @@
+"""Receives the reply to an attempt: small values whole, large ones piece by piece."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from quota_gateway.net.resp import ReplyReader
+from quota_gateway.net.upstream.attempt import Attempt, UpstreamReply
+from quota_gateway.net.upstream.reply_parser import ReplyParser
+
+
+class ReplyReceiver:
+    """Puts the bytes of one connection together to replies, and counts those that it buffers.
+
+    Args:
+        parser: Of complete replies.
+        count_buffered: Takes the change of the buffered bytes; raises ProtocolError where there are too many.
+        clock_s: The time of the event loop.
+    """
+
+    __slots__ = (
+        "_buffered_bytes",
+        "_clock_s",
+        "_count_buffered",
+        "_is_closed",
+        "_parser",
+        "_reader",
+        "last_progress_s",
+    )
+
+    def __init__(
+        self,
+        parser: ReplyParser,
+        count_buffered: Callable[[int], None],
+        clock_s: Callable[[], float],
+    ) -> None:
+        self._parser = parser
+        self._count_buffered = count_buffered
+        self._clock_s = clock_s
+        self._reader = ReplyReader()
+        self._buffered_bytes = 0  # of a reply that is not complete yet
+        self._is_closed = False
+        self.last_progress_s = 0.0  # when a piece of a large value was last received, or reading went on
+
+    @property
+    def has_surplus_bytes(self) -> bool:
+        """Whether bytes were received behind the last complete reply."""
+        return bool(self._reader.buffer)
+
+    def feed(self, data: bytes, attempt: Attempt) -> UpstreamReply | None:
+        """Take bytes; return the reply once it is complete, None too where the connection was closed over it.
+
+        Raises:
+            ProtocolError: The reply is malformed, or there is no memory for it.
+        """
+        self._reader.feed(data)
+        answer = self._reader.next_reply()
+        if answer is None and self._reader.streamed_bytes_left is not None:
+            self._stream_body(attempt, self._reader.streamed_bytes_left)
+            if self._is_closed:
+                return None
+            answer = self._reader.next_reply()
+        if answer is None:
+            self._change_buffered(len(self._reader.buffer) - self._buffered_bytes)
+            return None
+        self._change_buffered(-self._buffered_bytes)
+        return self._parser.parse(answer)
+
+    def _stream_body(self, attempt: Attempt, bytes_left: int) -> None:
+        """Hand on what was received of a large value, which is never buffered as a whole."""
+        piece = self._reader.take_piece()
+        if not piece:
+            return  # a header alone commits nobody: other attempts may still be quicker
+        self.last_progress_s = self._clock_s()
+        if attempt.body_consumer is None:
+            attempt.payload = b""
+            body_consumer = attempt.on_body_started(bytes_left)
+            if self._is_closed:
+                return  # nobody wants it any more
+            attempt.body_consumer = body_consumer
+        attempt.body_consumer(piece)
+
+    def on_reading_changed(self) -> None:
+        """Count the time without progress from now on: reading was paused or resumed."""
+        self.last_progress_s = self._clock_s()
+
+    def close(self) -> None:
+        """Drop what is buffered, as the connection closes."""
+        self._is_closed = True
+        self._change_buffered(-self._buffered_bytes)
+
+    def _change_buffered(self, change_bytes: int) -> None:
+        self._buffered_bytes += change_bytes
+        self._count_buffered(change_bytes)
--- a/tests/net/test_descriptors.py
+++ b/tests/net/test_descriptors.py
@@ -129,7 +129,7 @@
         pool.start(1, waiting)
         pool.stop(waiting, AttemptStatus.TIMEOUT)
         assert statuses == [AttemptStatus.CONNECT_FAILED]  # it never ran
-        assert not pool.waiting_to_open
+        assert not pool.limiter.waiting_to_open
         assert not pool.connections
         await wait_until(lambda: pool.descriptors_in_use == 0)
         pool.close()
--- a/tests/process/test_recorded_conversation.py
+++ b/tests/process/test_recorded_conversation.py
@@ -115,7 +115,7 @@
         assert await idle.request(encode_call(2)) == b"0000000000000002"
         assert await busy.request(encode_command("PING")) == b"PONG"
         assert gateway.client_listener.peer_connections == 3
-        assert gateway.upstream_pool.peer_connections == AFTER_OFFER[0]["header"]["servers"]
+        assert gateway.upstream_pool.limiter.peer_connections == AFTER_OFFER[0]["header"]["servers"]
 
 
 async def test_latencies_and_detachments_of_the_recorded_process_are_restored(tmp_path):
