--- a/quota_gateway/config.py
+++ b/quota_gateway/config.py
@@ -6,9 +6,8 @@
 import re
 import time
 from collections.abc import Mapping
-from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 from quota_gateway.errors import ConfigError
 from quota_gateway.json_document import JsonObject, invalid_field
@@ -26,8 +25,7 @@
 READ_RETRY_S = 0.02  # a reload does not block the loop so: it tries again by itself
 
 
-@dataclass(frozen=True)
-class Config:
+class Config(NamedTuple):
     """What a gateway is told at its start.
 
     Attributes:
--- a/quota_gateway/net/discovery/endpoint_row.py
+++ b/quota_gateway/net/discovery/endpoint_row.py
@@ -4,7 +4,6 @@
 
 import socket
 from collections.abc import Callable
-from dataclasses import dataclass
 from math import isfinite
 from typing import Any, NamedTuple
 
@@ -35,8 +34,7 @@
     address: Address
 
 
-@dataclass(frozen=True, slots=True)
-class RegistryChange:
+class RegistryChange(NamedTuple):
     """What an update of the endpoint list tells.
 
     Attributes:
--- a/quota_gateway/net/discovery/registry_state.py
+++ b/quota_gateway/net/discovery/registry_state.py
@@ -1,10 +1,9 @@
-"""What a process tells the next one of its endpoint registry, to and from JSON."""
+"""The state of the endpoint registry that a process hands over to the next one, to and from JSON."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
-from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
 from quota_gateway.errors import StateError
 from quota_gateway.net.discovery.endpoint_row import EndpointRow
@@ -16,8 +15,7 @@
 DETACHED_KEY = "barred"
 
 
-@dataclass(frozen=True, slots=True)
-class RegistryState:
+class RegistryState(NamedTuple):
     """The endpoint list, and which number stands for which endpoint.
 
     Attributes:
@@ -57,20 +55,21 @@
             )
         except (KeyError, TypeError, ValueError, AttributeError) as error:
             raise StateError(f"the exported endpoint registry is malformed: {error!r}") from error
-        state._require_consistent()
+        _require_consistent(state)
         return state
 
     def all_numbers(self) -> dict[str, int]:
         """By name, all numbers that are in use."""
         return {**self.numbers, **self.absent}
 
-    def _require_consistent(self) -> None:
-        numbers = self.all_numbers()
-        if len(set(numbers.values())) != len(numbers):
-            raise StateError("the exported endpoint registry gives one number to several endpoints")
-        if not self.detached <= set(numbers):
-            unnumbered = sorted(self.detached - set(numbers))
-            raise StateError(f"the exported endpoint registry has no number for detached {unnumbered!r:.200}")
+
+def _require_consistent(state: RegistryState) -> None:
+    numbers = state.all_numbers()
+    if len(set(numbers.values())) != len(numbers):
+        raise StateError("the exported endpoint registry gives one number to several endpoints")
+    if not state.detached <= set(numbers):
+        unnumbered = sorted(state.detached - set(numbers))
+        raise StateError(f"the exported endpoint registry has no number for detached {unnumbered!r:.200}")
 
 
 def _numbers(items: Iterable[tuple[Any, Any]]) -> dict[str, int]:
--- a/quota_gateway/net/discovery/snapshot_document.py
+++ b/quota_gateway/net/discovery/snapshot_document.py
@@ -5,8 +5,6 @@
 from collections.abc import Callable
 from typing import Any
 
-import ijson
-
 from quota_gateway.errors import DiscoveryError
 
 MAX_ROW_BYTES = 64 * 1024  # of the document in which no row ends
@@ -36,11 +34,14 @@
         Args:
             on_row: Called with each row, which may be any value of JSON, when it has ended.
         """
+        import ijson  # here, as only a long list needs it, and no start does
+
         self.fields: dict[str, Any] = {}
         self.row_count = 0
         self._on_row = on_row
         self._events = ijson.sendable_list()
         self._parser = ijson.basic_parse_coro(self._events, use_float=True)
+        self._json_errors = (ijson.JSONError, UnicodeDecodeError)
         self._row: dict[str, Any] = {}
         self._key = ""
         self._depth = OUTSIDE_DEPTH
@@ -72,7 +73,7 @@
         row_count_before = self.row_count
         try:
             self._parser.send(line + line_end)
-        except (ijson.JSONError, UnicodeDecodeError) as error:
+        except self._json_errors as error:
             raise DiscoveryError(f"not JSON: {error}") from error
         for event, value in self._events:
             self._on_event(event, value)
