--- a/quota_gateway/config.py
+++ b/quota_gateway/config.py
@@ -1,4 +1,4 @@
-"""From the environment and the configuration file to a typed ``Config``."""
+"""Read the environment and the configuration file into a typed ``Config``."""
 
 from __future__ import annotations
 
@@ -17,22 +17,22 @@
 from quota_gateway.resources import MEGABYTE, count_open_descriptors
 from quota_gateway.settings_format import settings_from_document
 
-DOCUMENT = "config"  # the name of the configuration file's object in error messages
+DOCUMENT_PATH = "config"  # of the configuration file's object, in error messages
 MAX_PORT = (1 << 16) - 1
 PORT_DIGITS = re.compile("0*[0-9]{1,5}")  # a longer number is no port, and costs time to convert
 SEED_BASE = 16  # the seed is written in hexadecimal digits
-READ_ATTEMPTS = 10  # at the start, which nothing else would begin anew
-READ_RETRY_S = 0.02  # a reload does not block the loop so: it tries again by itself
+MAX_START_READS = 10  # of a file that is being written; a reload retries without blocking the loop
+READ_RETRY_S = 0.02
 
 
 class Config(NamedTuple):
-    """What a gateway is told at its start.
+    """The configuration of a gateway process.
 
     Attributes:
         path: The configuration file, which is read again at SIGHUP.
         listen: Where clients connect.
         discovery: Where endpoint lists come from.
-        admin: Where operators call, if they do.
+        admin: Where operators call; None where they are not served.
         seed: Of all random numbers.
         max_descriptors: Limit of open descriptors of the process.
         inherited_descriptors: How many of them the process was started with.
@@ -57,7 +57,7 @@
     """Parse ``HOST:PORT``.
 
     Raises:
-        ConfigError: It is anything else, or the port can't be one; the message names the field.
+        InvalidFieldError: It is anything else, or the port is out of range.
     """
     host, _, digits = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     port = int(digits) if PORT_DIGITS.fullmatch(digits) else 0
@@ -82,25 +82,25 @@
         raise invalid_field(document.path_of("seed"), text, "is not a hexadecimal number") from None
 
 
-def _read_document(path: Path, attempts: int = 1) -> JsonObject:
+def _read_document(path: Path, max_reads: int = 1) -> JsonObject:
     try:
-        content = _read_json(path, attempts)
+        content = _read_json(path, max_reads)
     except OSError as error:
         raise ConfigError(f"EDGE_CONFIG: the file can not be read: {error}") from None
     except (ValueError, RecursionError) as error:
         raise ConfigError(f"EDGE_CONFIG: {str(path)!r} is not JSON: {error}") from None
-    return JsonObject(content, DOCUMENT)
+    return JsonObject(content, DOCUMENT_PATH)
 
 
-def _read_json(path: Path, attempts: int) -> Any:
-    """Read the file; one that fails in a way that passes, or is half written, is read so many times in all.
+def _read_json(path: Path, max_reads: int) -> Any:
+    """Read the file; retry for a moment where the system is short of something or the file is half written.
 
     Raises:
         OSError: It can't be read.
         ValueError: It is no JSON.
         RecursionError: It is nested too deeply.
     """
-    for _ in range(attempts - 1):
+    for _ in range(max_reads - 1):
         try:
             return json.loads(path.read_text())
         except OSError as error:
@@ -113,7 +113,7 @@
 
 
 def _address(environment: Mapping[str, str], variable: str, document: JsonObject, key: str) -> Address:
-    """The address in the environment, where it is set there, else in the document."""
+    """Return the address in the environment, where it is set there, else the one in the document."""
     override = environment.get(variable)
     if override:
         return parse_address(f"{variable} ({key})", override)
@@ -130,7 +130,7 @@
     if file_name is None:
         raise ConfigError("EDGE_CONFIG: is not set; it names the configuration file")
     path = Path(file_name)
-    document = _read_document(path, READ_ATTEMPTS)
+    document = _read_document(path, MAX_START_READS)
     limits = document.nested("limits")
     has_admin = environment.get("EDGE_MGMT") or document.optional("mgmt")
     return Config(
@@ -148,7 +148,7 @@
 
 
 def read_discovery_address(path: Path) -> Address:
-    """The address of discovery as the configuration file names it now.
+    """Return the address of discovery as the configuration file names it now.
 
     Raises:
         ConfigError: The file is missing, half-written or malformed.
--- a/quota_gateway/errors.py
+++ b/quota_gateway/errors.py
@@ -1,5 +1,7 @@
 """The errors of this package. Each message says what was wrong, where, and which field and value."""
 
+MAX_SHOWN_CHARACTERS = 100  # of a wrong value in an error message, which has to stay a readable line
+
 
 class QuotaGatewayError(Exception):
     """Base of all errors that this package raises on purpose."""
@@ -9,6 +11,37 @@
     """The environment, the configuration file or the settings are malformed; the gateway does not start."""
 
 
+class InvalidFieldError(ConfigError):
+    """A field of the configuration has a value that is not allowed.
+
+    Attributes:
+        field: Path of the key that the operator wrote, such as ``config.limits.sockets``.
+        value: What stands there.
+        reason: What is allowed, as the end of a sentence: ``is not a number``.
+    """
+
+    def __init__(self, field: str, value: object, reason: str) -> None:
+        shown = repr(value)
+        if len(shown) > MAX_SHOWN_CHARACTERS:
+            shown = f"{shown[:MAX_SHOWN_CHARACTERS]}..."
+        super().__init__(f"{field}: {shown} {reason}")
+        self.field = field
+        self.value = value
+        self.reason = reason
+
+
+class MissingFieldError(ConfigError):
+    """A required field of the configuration is missing.
+
+    Attributes:
+        field: Path of the key, such as ``config.limits.sockets``.
+    """
+
+    def __init__(self, field: str) -> None:
+        super().__init__(f"{field}: is missing")
+        self.field = field
+
+
 class ProtocolError(QuotaGatewayError, ValueError):
     """Bytes from a client or an upstream server are not of the form that the protocol has."""
 
@@ -22,7 +55,7 @@
 
 
 class HandoverError(QuotaGatewayError, ValueError):
-    """A message from the other process of this gateway is malformed."""
+    """A message from the peer process of this gateway is malformed."""
 
 
 class StateError(QuotaGatewayError, ValueError):
--- a/quota_gateway/json_document.py
+++ b/quota_gateway/json_document.py
@@ -5,25 +5,20 @@
 from collections.abc import Mapping
 from typing import Any, TypeVar
 
-from quota_gateway.errors import ConfigError
-
-MAX_SHOWN_CHARACTERS = 100  # of a wrong value in an error message, which has to stay a readable line
+from quota_gateway.errors import InvalidFieldError, MissingFieldError
 
 Choice = TypeVar("Choice")
 
 
-def invalid_field(field: str, value: object, reason: str) -> ConfigError:
-    """The error for a field whose value can't be used.
+def invalid_field(field: str, value: object, reason: str) -> InvalidFieldError:
+    """Return the error for a field whose value is not allowed.
 
     Args:
         field: Path of the field, such as ``settings.limits.open_cap``.
         value: What stands there.
-        reason: What is wrong with it, as the end of a sentence: ``is not a list``.
+        reason: What is allowed, as the end of a sentence: ``is not a list``.
     """
-    shown = repr(value)
-    if len(shown) > MAX_SHOWN_CHARACTERS:
-        shown = f"{shown[:MAX_SHOWN_CHARACTERS]}..."
-    return ConfigError(f"{field}: {shown} {reason}")
+    return InvalidFieldError(field, value, reason)
 
 
 class JsonObject:
@@ -38,26 +33,26 @@
         self.path = path
 
     def path_of(self, key: str) -> str:
-        """The path of one of its fields, as errors name it."""
+        """Return the path of one of its fields, as errors name it."""
         return f"{self.path}.{key}"
 
     def optional(self, key: str) -> Any:
-        """The value of a field, None where it is missing."""
+        """Return the value of a field, None where it is missing."""
         return self._fields.get(key)
 
     def required(self, key: str) -> Any:
-        """The value of a field.
+        """Return the value of a field.
 
         Raises:
-            ConfigError: The field is missing.
+            MissingFieldError: The field is missing.
         """
         try:
             return self._fields[key]
         except KeyError:
-            raise ConfigError(f"{self.path_of(key)}: is missing") from None
+            raise MissingFieldError(self.path_of(key)) from None
 
     def nested(self, key: str) -> JsonObject:
-        """The object in a field.
+        """Return the object in a field.
 
         Raises:
             ConfigError: The field is missing or no object.
@@ -65,7 +60,7 @@
         return JsonObject(self.required(key), self.path_of(key))
 
     def elements(self, key: str) -> list[Any]:
-        """The list in a field.
+        """Return the list in a field.
 
         Raises:
             ConfigError: The field is missing or no list.
@@ -76,7 +71,7 @@
         return value
 
     def nested_elements(self, key: str) -> list[JsonObject]:
-        """The objects in the list in a field.
+        """Return the objects in the list in a field.
 
         Raises:
             ConfigError: The field is missing, no list, or an item is no object.
@@ -85,7 +80,7 @@
         return [JsonObject(item, f"{path}[{number}]") for number, item in enumerate(self.elements(key))]
 
     def text(self, key: str) -> str:
-        """The string in a field.
+        """Return the string in a field.
 
         Raises:
             ConfigError: The field is missing or no string.
@@ -96,7 +91,7 @@
         return value
 
     def choice(self, key: str, choices: Mapping[str, Choice]) -> Choice:
-        """What one of a few strings in a field stands for.
+        """Return what one of a few strings in a field stands for.
 
         Raises:
             ConfigError: The field is missing or holds another value.
--- /dev/null
+++ b/quota_gateway/net/graceful_shutdown.py
@@ -0,0 +1,53 @@
+"""The graceful shutdown of a gateway: all that was accepted is answered before SIGKILL comes.
+
+The order of the steps matters: docs/decisions/start-and-shutdown.md.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections.abc import Callable
+
+from quota_gateway.model import Settings, ShutdownStarted
+from quota_gateway.net.clients.listener import ClientListener
+from quota_gateway.net.clock import MS_PER_S
+from quota_gateway.net.driver import Driver
+from quota_gateway.net.handover.handover import Handover
+
+log = logging.getLogger("quota_gateway")
+
+ACCEPT_PERIOD_S = 0.45  # after SIGTERM: clients go on connecting for 0.4 s
+MAX_DEADLINE_S = 3.0  # SIGKILL follows SIGTERM after the longest deadline, this at most, ...
+KILL_GRACE_S = 0.7  # ... and this much more
+ANSWERED_BEFORE_KILL_S = 0.3  # before SIGKILL all that is pending is answered
+FLUSH_TIMEOUT_S = 0.2  # of that, for replies on their way to clients that still send or read slowly
+SHUTDOWN_CHECK_S = 0.01  # between two looks at whether all is answered
+
+
+async def shut_down_gracefully(
+    settings: Settings, driver: Driver, clients: ClientListener, handover: Handover
+) -> None:
+    """Accept for ``ACCEPT_PERIOD_S`` more, answer all that was accepted, close; all before SIGKILL comes.
+
+    Where the next process has taken over, connections are handed over to it in place of being closed.
+    """
+    loop = asyncio.get_running_loop()
+    longest_deadline_s = max(request_class.deadline_ms for request_class in settings.classes) / MS_PER_S
+    timeout_s = min(MAX_DEADLINE_S, longest_deadline_s) + KILL_GRACE_S - ANSWERED_BEFORE_KILL_S
+    end = loop.time() + timeout_s
+    log.info("shutdown started timeout_s=%.3f connections=%d", timeout_s, len(clients.connections))
+    driver.post(ShutdownStarted(timeout_s * MS_PER_S))
+    await asyncio.sleep(ACCEPT_PERIOD_S)
+    clients.stop_listening()
+    handover.refuse()
+    await _wait_while(lambda: clients.is_busy() or handover.busy(), until=end)
+    clients.finish()
+    await _wait_while(clients.is_busy, until=end + FLUSH_TIMEOUT_S)
+    clients.abort()
+
+
+async def _wait_while(is_busy: Callable[[], bool], until: float) -> None:
+    loop = asyncio.get_running_loop()
+    while is_busy() and loop.time() < until:  # noqa: ASYNC110 - an event for it would cost each request
+        await asyncio.sleep(SHUTDOWN_CHECK_S)
--- a/quota_gateway/server.py
+++ b/quota_gateway/server.py
@@ -1,4 +1,4 @@
-"""A real gateway: its parts made, joined, started, and shut down in order.
+"""The parts of a real gateway: made, joined, started, and closed in order.
 
 The order of the steps matters: docs/decisions/start-and-shutdown.md.
 """
@@ -8,7 +8,6 @@
 import asyncio
 import logging
 import signal
-from collections.abc import Callable
 from pathlib import Path
 
 from quota_gateway import model
@@ -22,6 +21,7 @@
 from quota_gateway.net.discovery.endpoint_registry import EndpointRegistry
 from quota_gateway.net.discovery.start_times import StartTimes
 from quota_gateway.net.driver import Clock, Driver
+from quota_gateway.net.graceful_shutdown import shut_down_gracefully
 from quota_gateway.net.handover.handover import Handover, HandoverState, rendezvous_path, request_handover
 from quota_gateway.net.handover.peer_processes import PeerProcesses
 from quota_gateway.net.handover.receiver import OFFER_TIMEOUT_S
@@ -35,34 +35,25 @@
 
 HANDLED_SIGNALS = frozenset({signal.SIGTERM, signal.SIGINT, signal.SIGHUP})
 
-LISTEN_TIMEOUT_S = 5.0  # for an address to become free: a new version is due to be ready in 6 s
+LISTEN_TIMEOUT_S = 5.0  # for an address to become free: a new version has to be ready within 6 s
 LISTEN_RETRY_S = 0.05
-RELOAD_TIMEOUT_S = 3.0  # for a configuration to be readable; what discovery tells counts 4 s after SIGHUP
+RELOAD_TIMEOUT_S = 3.0  # for a configuration to be readable: discovery's updates count 4 s after SIGHUP
 RELOAD_RETRY_S = 0.1
-FIRST_UPDATE_TIMEOUT_S = 1.0  # how long the known list, which may be old, waits for discovery's
-
-ACCEPT_PERIOD_S = 0.45  # after SIGTERM: new connections go on coming for 0.4 s
-MAX_DEADLINE_S = 3.0  # SIGKILL follows SIGTERM after the longest deadline, this at most, ...
-KILL_GRACE_S = 0.7  # ... and so much more
-ANSWERED_BEFORE_KILL_S = 0.3  # of that time, in which all is answered but not yet killed
-FLUSH_TIMEOUT_S = 0.2  # of that, for replies on their way to clients that still send or read slowly
-SHUTDOWN_CHECK_S = 0.01  # between two looks at whether all is answered
+FIRST_UPDATE_TIMEOUT_S = 1.0  # for discovery, before the known list is served by, which may be old
 
 
 class GatewayServer:
-    """One gateway of its own process. It makes all parts and closes them; it has to be made on the loop."""
+    """A gateway that has its process to itself. Makes all parts, on the running loop, and closes them."""
 
     def __init__(self, config: Config) -> None:
         self.config = config
         self._stop_requested = asyncio.Event()
-        self._reload_requested = asyncio.Event()
-        self._reload_task: asyncio.Task[None] | None = None
         self.telemetry = Telemetry()
         self._make_upstream_side()
         self._make_client_side()
 
     def _make_upstream_side(self) -> None:
-        """The engine, and what it drives."""
+        """Make the engine, the driver, the upstream pool and discovery."""
         settings = self.config.settings
         self.limits = divide_resources(
             self.config.max_descriptors,
@@ -88,9 +79,10 @@
             self.config.seed,
             self.telemetry.metrics,
         )
+        self._reloader = ConfigurationReloader(self.config.path, self.discovery)
 
     def _make_client_side(self) -> None:
-        """What clients, operators and other processes of this gateway reach."""
+        """Make what clients, operators and peer processes connect to."""
         self.clients = ClientListener(
             self.driver,
             self.config.settings,
@@ -129,7 +121,7 @@
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self._stop_requested.set)
         loop.add_signal_handler(signal.SIGINT, self._stop_requested.set)
-        loop.add_signal_handler(signal.SIGHUP, self._reload_requested.set)
+        loop.add_signal_handler(signal.SIGHUP, self._reloader.request)
         signal.pthread_sigmask(signal.SIG_UNBLOCK, HANDLED_SIGNALS)
 
     async def _start(self) -> None:
@@ -140,8 +132,7 @@
         self.discovery.watch(self.config.discovery)
         if self.config.admin:
             self.admin.listen(self.config.admin)
-        self._reload_task = asyncio.create_task(self._reload_on_request(), name="reload-configuration")
-        self._reload_task.add_done_callback(_log_failure)
+        self._reloader.start()
         if not (state and self._take_over(state)):
             await self._start_alone()
         self.handover.wait()
@@ -149,7 +140,7 @@
         log.info("listening host=%s port=%d", *self.config.listen)
 
     def _initial_endpoints(self, state: HandoverState | None) -> object:
-        """The list to start with: what the process before had, else what the configuration says."""
+        """Return the endpoint list of the previous process, else the known one of the configuration."""
         if state:
             try:
                 return self.registry.restore_state(state.registry)
@@ -158,7 +149,7 @@
         return self.config.known_endpoints
 
     def _take_over(self, state: HandoverState) -> bool:
-        """Serve in place of the process before; False where its state can't be restored."""
+        """Take the previous process's place; return False where its state can't be restored."""
         if state.channel.closed or not self.driver.restore_state(state.state):
             state.channel.close("its state can not be restored")
             state.listener.close()
@@ -169,7 +160,7 @@
         return True
 
     async def _start_alone(self) -> None:
-        """Listen without a process before; ready with discovery's list, or after a while without it."""
+        """Listen without a previous process; ready with discovery's list, or after a while without it."""
         self.detachments.repeat()
         await listen(self.clients, self.config.listen)
         asyncio.get_running_loop().call_later(FIRST_UPDATE_TIMEOUT_S, self._set_ready)
@@ -188,24 +179,9 @@
             self.clients.is_ready = True
 
     def _on_discovery_unavailable(self) -> None:
-        """A known list is all there is for now: serve by it at once."""
+        """Serve by the known endpoint list at once, if there is one."""
         self.clients.is_ready = self.clients.is_ready or bool(self.registry.rows)
 
-    async def _reload_on_request(self) -> None:
-        while True:
-            await self._reload_requested.wait()
-            self._reload_requested.clear()
-            await self._reload()
-
-    async def _reload(self) -> None:
-        """Read the configuration; one that is being written, or can't be read for a moment, is read again."""
-        loop = asyncio.get_running_loop()
-        give_up_at = loop.time() + RELOAD_TIMEOUT_S
-        while not reload_discovery_address(self.config.path, self.discovery):
-            if self._reload_requested.is_set() or loop.time() > give_up_at:
-                return
-            await asyncio.sleep(RELOAD_RETRY_S)
-
     def _close(self) -> None:
         """Close all parts, also where the start has failed.
 
@@ -213,14 +189,52 @@
         comes late would kill the process.
         """
         signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
-        if self._reload_task:
-            self._reload_task.cancel()
+        self._reloader.cancel()
         self.handover.close()
         self.admin.close()
         self.discovery.end()
         self.upstream.close()
 
 
+class ConfigurationReloader:
+    """Reads discovery's address from the configuration file again whenever that is requested."""
+
+    def __init__(self, path: Path, discovery: DiscoveryClient) -> None:
+        self._path = path
+        self._discovery = discovery
+        self._requested = asyncio.Event()
+        self._task: asyncio.Task[None] | None = None
+
+    def request(self) -> None:
+        """Read the file, again from the beginning if it is just being read."""
+        self._requested.set()
+
+    def start(self) -> None:
+        """Serve requests, the one that came before the start too."""
+        self._task = asyncio.create_task(self._run(), name="reload-configuration")
+        self._task.add_done_callback(_log_failure)
+
+    def cancel(self) -> None:
+        """Serve no more requests."""
+        if self._task:
+            self._task.cancel()
+
+    async def _run(self) -> None:
+        while True:
+            await self._requested.wait()
+            self._requested.clear()
+            await self.reload()
+
+    async def reload(self) -> None:
+        """Read the file; one that is being written, or can't be read for a moment, is read again."""
+        loop = asyncio.get_running_loop()
+        give_up_at = loop.time() + RELOAD_TIMEOUT_S
+        while not reload_discovery_address(self._path, self._discovery):
+            if self._requested.is_set() or loop.time() > give_up_at:
+                return
+            await asyncio.sleep(RELOAD_RETRY_S)
+
+
 def _log_failure(task: asyncio.Task[None]) -> None:
     if not task.cancelled() and task.exception():
         log.error("task failed task=%s", task.get_name(), exc_info=task.exception())
@@ -259,31 +273,3 @@
             if error.errno not in BIND_ERRORS or loop.time() > give_up_at:
                 raise
         await asyncio.sleep(LISTEN_RETRY_S)
-
-
-async def shut_down_gracefully(
-    settings: model.Settings, driver: Driver, clients: ClientListener, handover: Handover
-) -> None:
-    """Accept for a stated period more, answer all that was accepted, close; all before SIGKILL comes.
-
-    Where another process has taken over, connections are passed on to it in place of being closed.
-    """
-    loop = asyncio.get_running_loop()
-    longest_deadline_s = max(request_class.deadline_ms for request_class in settings.classes) / 1000.0
-    timeout_s = min(MAX_DEADLINE_S, longest_deadline_s) + KILL_GRACE_S - ANSWERED_BEFORE_KILL_S
-    end = loop.time() + timeout_s
-    log.info("shutdown started timeout_s=%.3f connections=%d", timeout_s, len(clients.connections))
-    driver.post(model.ShutdownStarted(timeout_s * 1000.0))
-    await asyncio.sleep(ACCEPT_PERIOD_S)
-    clients.stop_listening()
-    handover.refuse()
-    await _wait_while(lambda: clients.is_busy() or handover.busy(), until=end)
-    clients.finish()
-    await _wait_while(clients.is_busy, until=end + FLUSH_TIMEOUT_S)
-    clients.abort()
-
-
-async def _wait_while(is_busy: Callable[[], bool], until: float) -> None:
-    loop = asyncio.get_running_loop()
-    while is_busy() and loop.time() < until:  # noqa: ASYNC110 - an event for it would cost each request
-        await asyncio.sleep(SHUTDOWN_CHECK_S)
--- a/soak/planted.py
+++ b/soak/planted.py
@@ -11,7 +11,7 @@
 from quota_gateway import __main__ as gateway_main
 from quota_gateway import server as gateway_server
 from quota_gateway.model import AttemptStatus, EndpointLifecycle
-from quota_gateway.net import request_guard
+from quota_gateway.net import graceful_shutdown, request_guard
 from quota_gateway.net.clients.connection import ClientConnection
 from quota_gateway.net.clients.listener import ClientListener
 from quota_gateway.net.driver import Driver
@@ -132,7 +132,7 @@
         for connection in list(self.connections):
             connection.flush()
 
-    module: Any = gateway_server
+    module: Any = graceful_shutdown
     module.ACCEPT_PERIOD_S = 0.0
     ClientListener.stop_listening = stop_listening  # type: ignore[method-assign]
 
--- a/tests/net/handover/test_handover_faults.py
+++ b/tests/net/handover/test_handover_faults.py
@@ -7,11 +7,11 @@
 
 from quota_gateway.net.clients import command_intake, idle_connections
 from quota_gateway.net.clients import connection as client_connection
+from quota_gateway.net.graceful_shutdown import shut_down_gracefully
 from quota_gateway.net.handover import rendezvous
 from quota_gateway.net.handover import sender as handover_sender
 from quota_gateway.net.handover.handover import request_handover
 from quota_gateway.net.handover.states import SenderState
-from quota_gateway.server import shut_down_gracefully
 from tests.support.gateway_node import SETTINGS, run_gateway, wait_until
 from tests.support.resp_encoding import encode_call, encode_command
 
--- a/tests/net/test_transient_faults.py
+++ b/tests/net/test_transient_faults.py
@@ -119,13 +119,8 @@
         def watch(self, address):
             watched.set_result(address)
 
-    class Server(server_module.GatewayServer):
-        def __init__(self):
-            self.config = type("Config", (), {"path": path})
-            self.discovery = Discovery()
-            self._reload_requested = asyncio.Event()
-
-    reload = asyncio.create_task(Server()._reload())
+    reloader = server_module.ConfigurationReloader(path, Discovery())
+    reload = asyncio.create_task(reloader.reload())
     await asyncio.sleep(0)
     assert not watched.done()
     path.write_text(json.dumps({"discovery": "127.0.0.1:8500"}))
--- a/tests/process/test_process.py
+++ b/tests/process/test_process.py
@@ -14,6 +14,7 @@
 from quota_gateway import log_rate_limiter
 from quota_gateway import server as server_module
 from quota_gateway.errors import ConfigError
+from quota_gateway.net import graceful_shutdown
 from quota_gateway.net.clients.command_intake import MAX_PIPELINED_COMMANDS
 from tests.support import gateway_process
 from tests.support.fake_client import FakeClient
@@ -79,7 +80,7 @@
 
 
 async def test_shutdown_accepts_for_a_period_and_then_closes_between_requests(monkeypatch):
-    monkeypatch.setattr(server_module, "ACCEPT_PERIOD_S", 2.0)
+    monkeypatch.setattr(graceful_shutdown, "ACCEPT_PERIOD_S", 2.0)
 
     async with run_gateway(FakeUpstream()) as gateway:
         shutdown = start_shutdown(gateway)
@@ -94,7 +95,7 @@
 def start_shutdown(gateway: GatewayNode) -> asyncio.Task[None]:
     """Begin the graceful shutdown of a gateway."""
     return asyncio.create_task(
-        server_module.shut_down_gracefully(
+        graceful_shutdown.shut_down_gracefully(
             SETTINGS, gateway.driver, gateway.client_listener, gateway.handover
         )
     )
@@ -103,10 +104,10 @@
 @pytest.fixture
 def short_shutdown(monkeypatch):
     """The end comes soon, and what is on its way then has long enough."""
-    monkeypatch.setattr(server_module, "ACCEPT_PERIOD_S", 0.05)
-    monkeypatch.setattr(server_module, "MAX_DEADLINE_S", 0.1)
-    monkeypatch.setattr(server_module, "KILL_GRACE_S", server_module.ANSWERED_BEFORE_KILL_S + 0.1)
-    monkeypatch.setattr(server_module, "FLUSH_TIMEOUT_S", 30.0)
+    monkeypatch.setattr(graceful_shutdown, "ACCEPT_PERIOD_S", 0.05)
+    monkeypatch.setattr(graceful_shutdown, "MAX_DEADLINE_S", 0.1)
+    monkeypatch.setattr(graceful_shutdown, "KILL_GRACE_S", graceful_shutdown.ANSWERED_BEFORE_KILL_S + 0.1)
+    monkeypatch.setattr(graceful_shutdown, "FLUSH_TIMEOUT_S", 30.0)
 
 
 @pytest.mark.usefixtures("short_shutdown")
--- a/tests/unit/test_config.py
+++ b/tests/unit/test_config.py
@@ -11,8 +11,8 @@
 
 from quota_gateway import DiscoveryMode, Idempotency, IdempotencyScope
 from quota_gateway.config import load_config, read_discovery_address
-from quota_gateway.errors import ConfigError
-from quota_gateway.json_document import MAX_SHOWN_CHARACTERS, invalid_field
+from quota_gateway.errors import MAX_SHOWN_CHARACTERS, ConfigError, InvalidFieldError, MissingFieldError
+from quota_gateway.json_document import invalid_field
 from quota_gateway.resources import MEGABYTE
 from tests.support.settings_document import SETTINGS_DOCUMENT
 
@@ -248,3 +248,17 @@
     monkeypatch.setattr("quota_gateway.config.time", None)  # nothing waits
     with pytest.raises(ConfigError, match="can not be read"):
         load_config({"EDGE_CONFIG": str(tmp_path / "missing.json")})
+
+
+def test_error_carries_the_key_of_the_operator_its_value_and_what_is_allowed(tmp_path):
+    malformed = MalformedField(("limits", "sockets"), "many", ())
+    with pytest.raises(InvalidFieldError) as caught:
+        load_config(write(tmp_path, malformed.document()))
+    error = caught.value
+    assert (error.field, error.value, error.reason) == ("config.limits.sockets", "many", "is not a number")
+
+
+def test_error_carries_the_key_that_is_missing(tmp_path):
+    with pytest.raises(MissingFieldError) as caught:
+        load_config(write(tmp_path, missing("limits", "memory_mb").document()))
+    assert caught.value.field == "config.limits.memory_mb"
