--- a/quota_gateway/net/discovery/client.py
+++ b/quota_gateway/net/discovery/client.py
@@ -1,4 +1,4 @@
-"""Which address of discovery is watched: the one that was named last and has sent an update."""
+"""Follows discovery's endpoint list at the address that was named last."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class DiscoveryClient:
-    """Follows the endpoint list at the address named last, and at the one before until that has spoken.
+    """Watches at the address named last, and at the previous one until the last one has sent an update.
 
     Attributes:
         registry: Reads the updates.
@@ -55,7 +55,7 @@
         self._metrics = metrics or Metrics()
 
     def load_known(self, document: Any) -> None:
-        """Read the complete list that the configuration or the process before has; it may be old."""
+        """Read the complete snapshot of the configuration or of the previous process; it may be old."""
         try:
             change = self.registry.read(document, is_cached=True)
         except DiscoveryError as error:
@@ -66,7 +66,7 @@
     def watch(self, address: Address) -> None:
         """Watch at this address from now on.
 
-        The watch before serves until this one has spoken: docs/decisions/discovery-address-change.md.
+        The previous watch counts until this one has an update: docs/decisions/discovery-address-change.md.
         """
         if self.candidate:
             self.candidate.end()
@@ -81,7 +81,7 @@
                 watcher.end()
 
     def _on_change(self, watcher: DiscoveryWatcher, change: RegistryChange) -> None:
-        """Pass on an update; the first one of a new watcher ends the watcher before."""
+        """Deliver an update; the first one of a new watcher ends the previous watcher."""
         if watcher is self.candidate:
             if self.active:
                 self.active.end()
--- a/quota_gateway/net/discovery/endpoint_registry.py
+++ b/quota_gateway/net/discovery/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""Discovery's endpoint list: which endpoints it names, and rows and numbers of those worked with."""
+"""Discovery's endpoint list: the names that it lists, and rows and numbers of the nearest endpoints."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 class EndpointRegistry(EndpointTable):
     """Reads updates of the endpoint list, and carries the list from one process to the next.
 
-    A list of any length is read: an endpoint that is none of the nearest to this gateway costs its name
-    alone. Long documents are read by ``StreamingSnapshotReader``.
+    An endpoint that is none of the nearest to this gateway costs the memory of its name alone. Long documents
+    are read by ``StreamingSnapshotReader``.
     """
 
     def read(self, document: Any, is_cached: bool = False) -> RegistryChange:
         """Read one update at once.
 
         Args:
-            document: The update as discovery sent it, or a complete list that was known before.
-            is_cached: Whether it is such a list, which may be old.
+            document: The update as discovery sent it, or a complete snapshot that was known before.
+            is_cached: Whether it is such a snapshot, which may be old.
 
         Raises:
-            DiscoveryError: The document is malformed, or no row of a complete list can be read.
+            DiscoveryError: The document is malformed, or no row of a complete snapshot can be read.
         """
         try:
             is_complete = is_cached or bool(document["reset"])
@@ -41,21 +41,21 @@
             reader.add_row(row)
         endpoints = reader.read_rows()
         if is_complete:
-            reader.replace_list()
+            reader.replace_endpoints()
         return reader.change(_update_kind(is_complete, is_cached), endpoints, generation)
 
     def export_state(self) -> dict[str, Any]:
-        """What a process that takes over has to know, as an object of JSON."""
+        """Return the state for a process that takes over, as an object of JSON."""
         return RegistryState(list(self.rows.values()), self.numbers, self.absent, self.detached).to_json()
 
     def restore_state(self, document: Any) -> dict[str, Any]:
-        """Take over numbers and detached endpoints from what the process before has exported.
+        """Restore numbers and detached endpoints from the state that the previous process has exported.
 
         Returns:
-            Its endpoint list, to be read as a cached one: each of its endpoints gets its number back.
+            Its endpoint list, to be read as a cached snapshot: each endpoint gets its number back.
 
         Raises:
-            StateError: The document is malformed; nothing is taken over.
+            StateError: The document is malformed; nothing is restored.
         """
         state = RegistryState.from_json(document)
         numbers = state.all_numbers()
--- a/quota_gateway/net/discovery/endpoint_row.py
+++ b/quota_gateway/net/discovery/endpoint_row.py
@@ -11,15 +11,15 @@
 from quota_gateway.errors import DiscoveryError
 from quota_gateway.net.address import Address
 
-MAX_NAME_LENGTH = 256  # characters: names are kept for each listed endpoint, also where no row is
+MAX_NAME_CHARACTERS = 256  # names of all listed endpoints are held, rows of the nearest only
 PORT_LIMIT = 1 << 16  # the first number that is no TCP port
-LIFECYCLE_GONE = "Gone"  # discovery's word for an endpoint that is listed no more
-LIFECYCLES = {  # by discovery's words
+LIFECYCLE_GONE = "Gone"  # discovery's word for an endpoint that is not listed any more
+LIFECYCLES = {  # by the words that discovery uses
     "Ready": api.EndpointLifecycle.READY,
     "Terminating": api.EndpointLifecycle.DRAINING,
     LIFECYCLE_GONE: api.EndpointLifecycle.GONE,
 }
-NO_ADDRESS: Address = ("", 0)  # of an endpoint that is gone: nothing connects to it any more
+NO_ADDRESS: Address = ("", 0)  # of an endpoint that is gone
 
 EndpointRow = dict[str, Any]  # a row as discovery gave it
 
@@ -27,7 +27,7 @@
 class AddressedEndpoint(NamedTuple):
     """An endpoint as the policy engine knows it, and where it is reached.
 
-    A named tuple, which is made faster than a frozen dataclass: there is one for each row.
+    A named tuple, as each row makes one.
     """
 
     endpoint: api.Endpoint
@@ -35,11 +35,11 @@
 
 
 class RegistryChange(NamedTuple):
-    """What an update of the endpoint list tells.
+    """The changes of one update of the endpoint list, or a part of them.
 
     Attributes:
-        update: What the policy engine is told.
-        addresses: By its number, where each endpoint of the update is reached.
+        update: For the policy engine.
+        addresses: Of the endpoints in the update, by number.
     """
 
     update: api.EndpointUpdate
@@ -47,28 +47,28 @@
 
 
 def name_in(row: object) -> str | None:
-    """The name that a row gives its endpoint; None if it has none that can be used."""
+    """Return the name in a row; None if it has none that is valid."""
     if not isinstance(row, dict):
         return None
     name = row.get("instanceId")
-    return name if isinstance(name, str) and 0 < len(name) <= MAX_NAME_LENGTH else None
+    return name if isinstance(name, str) and 0 < len(name) <= MAX_NAME_CHARACTERS else None
 
 
-def _as_told(_name: str, reported_ms: float) -> float:
+def _as_reported(_name: str, reported_ms: float) -> float:
     return reported_ms
 
 
 def parse_row(
     row: EndpointRow,
     number_for: Callable[[str], int],
-    started_for: Callable[[str, float], float] = _as_told,
+    started_for: Callable[[str, float], float] = _as_reported,
 ) -> AddressedEndpoint:
     """Read one row.
 
     Args:
         row: The row as discovery gave it.
-        number_for: Gives an endpoint its number by its name; called once everything else is checked.
-        started_for: Gives the start of an endpoint by the gateway's clock, from its name and what it is told.
+        number_for: Returns the number for a name; called once everything else is checked.
+        started_for: Returns the start by the gateway's clock, from the name and the reported one, in ms.
 
     Raises:
         DiscoveryError: A field is missing, of another type, or out of range.
--- a/quota_gateway/net/discovery/endpoint_table.py
+++ b/quota_gateway/net/discovery/endpoint_table.py
@@ -10,8 +10,7 @@
 from quota_gateway.net.discovery.start_times import StartTimes
 from quota_gateway.policy.subset import Subset
 
-# Numbers of endpoints without a row that are remembered: one that returns soon is known by its old number.
-MAX_ABSENT = 256
+MAX_ABSENT_NUMBERS = 256  # of endpoints without a row: one that returns soon gets its number back
 
 
 class EndpointTable:
@@ -21,7 +20,7 @@
 
     Attributes:
         subset: Ranks endpoints by their names.
-        start_times: Translates the starts of endpoints.
+        start_times: Translates the start times of endpoints.
         nearest: The names of ``rows``, ranked.
         other_names: The names of all other endpoints that are listed.
         numbers: By name, the numbers of endpoints with a row, as the policy engine knows them.
@@ -42,37 +41,37 @@
         self._unused_numbers = count(1)
 
     def find(self, name: str) -> int | None:
-        """The number of an endpoint that has a row, or had one as far as is remembered."""
+        """Return the number of an endpoint that has a row, or had one lately."""
         return self.numbers.get(name, self.absent.get(name))
 
     def is_known(self, name: str) -> bool:
-        """Whether an endpoint is listed, or was, as far as is remembered."""
+        """Whether an endpoint is listed, or was lately."""
         return name in self.other_names or self.find(name) is not None
 
     def number_of(self, name: str) -> int:
-        """The number of an endpoint that is listed or known to the peer process; a new one if it has none."""
+        """Return the number of an endpoint that either process knows; a new one if it has none."""
         number = self.find(name)
         if number is None:
             number = self.absent[name] = next(self._unused_numbers)
         return number
 
     def number_for_row(self, name: str) -> int:
-        """The number of an endpoint that has a row from now on."""
+        """Return the number of an endpoint that has a row from now on."""
         number = self.numbers.get(name)
         if number is None:
             number = self.absent.pop(name, 0) or next(self._unused_numbers)
             self.numbers[name] = number
         return number
 
-    def needs_complete_list(self) -> bool:
-        """Whether so many of the nearest are gone that only the complete list tells which come next."""
+    def needs_complete_snapshot(self) -> bool:
+        """Whether so many of the nearest are gone that only a complete snapshot says which come next."""
         return self.nearest.certain_count() < self.subset.size(self.nearest.listed)
 
     def forget(self, name: str) -> AddressedEndpoint | None:
-        """Drop the row of an endpoint that is gone, or that others are nearer than.
+        """Drop the row of an endpoint that is gone, or displaced by nearer ones.
 
         Returns:
-            What the policy engine is told of it; None if it had no row.
+            The gone endpoint for the policy engine; None if it had no row.
         """
         row = self.rows.pop(name, None)
         self.start_times.forget(name)
@@ -85,8 +84,8 @@
         return AddressedEndpoint(gone, NO_ADDRESS)
 
     def _bound_absent(self, latest: str) -> None:
-        """Forget the oldest number that operators don't hold, if there are too many."""
-        if len(self.absent) <= MAX_ABSENT:
+        """Forget the oldest number of an endpoint that is not detached, if there are too many."""
+        if len(self.absent) <= MAX_ABSENT_NUMBERS:
             return
         oldest = next((name for name in self.absent if name not in self.detached), None)
         self.absent.pop(oldest or latest)
--- a/quota_gateway/net/discovery/snapshot_document.py
+++ b/quota_gateway/net/discovery/snapshot_document.py
@@ -7,7 +7,7 @@
 
 from quota_gateway.errors import DiscoveryError
 
-MAX_ROW_BYTES = 64 * 1024  # of the document in which no row ends
+MAX_ROW_BYTES = 64 * 1024  # of the document without the end of a row
 
 # Brackets that are open at each part of the document: {"reset": …, "instances": [{"instanceId": …}, …]}
 OUTSIDE_DEPTH = 0
@@ -16,15 +16,15 @@
 ROW_DEPTH = 3
 DEPTHS_WITH_FIELDS = frozenset((DOCUMENT_DEPTH, ROW_DEPTH))
 ROWS_FIELD = "instances"
-OPENING_EVENTS = frozenset(("start_map", "start_array"))  # in ijson's words
+OPENING_EVENTS = frozenset(("start_map", "start_array"))  # of ijson
 CLOSING_EVENTS = frozenset(("end_map", "end_array"))
 
 
 class SnapshotDocumentParser:
-    """Parses one document of any length; only the row that is being read is held.
+    """Parses one document of any length; holds one row at a time.
 
     Attributes:
-        fields: The document's fields beside its rows, as far as they have come.
+        fields: The document's fields beside its rows, as far as they were received.
         row_count: Rows that have ended.
     """
 
@@ -53,15 +53,15 @@
         """Parse the next bytes.
 
         Returns:
-            What came behind the end of the document; None while the end has not come.
+            What followed the end of the document; None before its end.
 
         Raises:
-            DiscoveryError: The document is malformed, or a row goes on without end.
+            DiscoveryError: The document is malformed, or a row is longer than ``MAX_ROW_BYTES``.
         """
         while data:
             line, line_end, data = data.partition(b"\n")
             self._is_line_blank = self._is_line_blank and not line.strip()
-            if line_end and self._is_line_blank:  # a heartbeat, which comes between documents alone
+            if line_end and self._is_line_blank:  # a heartbeat, which only comes between documents
                 raise DiscoveryError("an endpoint list breaks off")
             self._is_line_blank = self._is_line_blank or bool(line_end)
             self._parse(line, line_end)
@@ -84,7 +84,7 @@
             raise DiscoveryError(f"no row ends within {MAX_ROW_BYTES} bytes")
 
     def _on_event(self, event: str, value: Any) -> None:
-        # Keys and values of rows, nearly all of a document, are dealt with here: a call costs more than they.
+        # Keys and values of rows, nearly all of a document, are handled inline: calls would cost more.
         if event == "map_key":
             if self._depth in DEPTHS_WITH_FIELDS:
                 self._key = value
--- a/quota_gateway/net/discovery/start_times.py
+++ b/quota_gateway/net/discovery/start_times.py
@@ -1,4 +1,4 @@
-"""When servers started, by the gateway's clock: docs/decisions/wall-clock.md."""
+"""Start times of servers by the gateway's clock: docs/decisions/wall-clock.md."""
 
 from __future__ import annotations
 
@@ -8,27 +8,26 @@
 
 from quota_gateway.net.clock import MS_PER_S
 
-AGREEMENT_MS = 1000.0  # between two clocks that were not set: machines' clocks are no nearer to each other
+MAX_CLOCK_SKEW_MS = 1000.0  # between clocks of machines that were not set
 
 
 def unix_time_ms() -> float:
-    """The wall clock, which may be set at any time."""
+    """Return the wall clock's time, which may be set at any time."""
     return time.time() * MS_PER_S
 
 
 class KnownStart(NamedTuple):
-    """A start as discovery told it, and when that was by the gateway's clock."""
+    """A start as discovery reported it, and the same by the gateway's clock."""
 
     reported_ms: float
     started_ms: float
 
 
 class StartTimes:
-    """Translates starts of servers, told in Unix time, to the gateway's clock, which is never set.
+    """Translates start times of servers from Unix time to the gateway's clock, which is never set.
 
-    Where the wall clock has been set since the gateway's clock was, it is not known which of both the start
-    was stamped by: the later of the starts that lie in the past is taken. A server then warms up for too long
-    at worst.
+    Where the wall clock has been set since the gateway's clock was read, the reported start may be by either
+    of them: the later one that is in the past is taken. A server then warms up for too long at worst.
 
     Args:
         clock: The gateway's clock, in milliseconds.
@@ -39,11 +38,11 @@
         self._known: dict[str, KnownStart] = {}
 
     def by_gateway_clock(self, name: str, reported_ms: float) -> float:
-        """When a server started; the same for as long as discovery tells the same start.
+        """Return when a server started; the same for as long as discovery reports the same start.
 
         Args:
             name: The server's name.
-            reported_ms: Its start in Unix time, 0 where that is long ago.
+            reported_ms: Its start in Unix time, 0 if it was long ago.
         """
         if reported_ms <= 0.0:
             return reported_ms
@@ -58,8 +57,8 @@
 
     def _translate(self, reported_ms: float) -> float:
         now_ms = self._clock()
-        set_by_ms = unix_time_ms() - now_ms
-        if abs(set_by_ms) <= AGREEMENT_MS:
-            return reported_ms if reported_ms <= now_ms + AGREEMENT_MS else now_ms
-        candidates = (reported_ms, reported_ms - set_by_ms)
-        return max((start for start in candidates if start <= now_ms + AGREEMENT_MS), default=now_ms)
+        wall_clock_ahead_ms = unix_time_ms() - now_ms
+        if abs(wall_clock_ahead_ms) <= MAX_CLOCK_SKEW_MS:
+            return reported_ms if reported_ms <= now_ms + MAX_CLOCK_SKEW_MS else now_ms
+        candidates = (reported_ms, reported_ms - wall_clock_ahead_ms)
+        return max((start for start in candidates if start <= now_ms + MAX_CLOCK_SKEW_MS), default=now_ms)
--- a/quota_gateway/net/discovery/watch.py
+++ b/quota_gateway/net/discovery/watch.py
@@ -19,7 +19,7 @@
 
 log = logging.getLogger(__name__)
 
-CONNECT_TIMEOUT_S = 1.6  # some connections take a second and a half to come up
+CONNECT_TIMEOUT_S = 1.6  # some connections need 1.5 s to be established
 WATCH_TARGET = "/discovery/hosts?watch=1"
 
 
@@ -29,7 +29,7 @@
     Attributes:
         address: Where discovery is watched.
         registry: Reads the updates.
-        generation: The generation read last; None where the complete list is asked for.
+        generation: The generation read last; None where the next watch asks for the complete snapshot.
         was_rejected: Whether discovery rejected the last watch.
     """
 
@@ -47,7 +47,7 @@
         Args:
             address: Where discovery is watched.
             registry: Reads the updates.
-            on_change: Called with what each update tells, or with a part of that.
+            on_change: Called with the changes of each update, or with a part of them.
             on_unavailable: Called when a watch ends and no update has been read yet.
             jitter_source: For the waits between watches.
             metrics: Of the process.
@@ -66,7 +66,7 @@
         self._task = asyncio.get_running_loop().create_task(self._run(), name="discovery watch")
 
     def read_document(self, document: Any, connection: WatchConnection) -> bool:
-        """Read one update at once; whether its watch goes on."""
+        """Read one update at once; return whether its watch goes on."""
         if self._has_ended or connection is not self._connection:
             return False
         try:
@@ -74,31 +74,33 @@
         except DiscoveryError as error:
             self.reject_document(error, connection)
             return False
-        self.pass_on(change)
-        is_complete_list = change.update.kind is api.UpdateKind.SNAPSHOT
-        return self.on_document_read(change.update.version, is_complete_list, connection)
+        self.deliver(change)
+        is_complete_snapshot = change.update.kind is api.UpdateKind.SNAPSHOT
+        return self.on_document_read(change.update.version, is_complete_snapshot, connection)
 
-    def pass_on(self, change: RegistryChange) -> None:
-        """Hand on what an update tells, or a part of that."""
+    def deliver(self, change: RegistryChange) -> None:
+        """Deliver the changes of an update, or a part of them."""
         self._on_change(self, change)
 
-    def on_document_read(self, generation: int, is_complete_list: bool, connection: WatchConnection) -> bool:
-        """An update has been read to its end; whether its watch goes on.
+    def on_document_read(
+        self, generation: int, is_complete_snapshot: bool, connection: WatchConnection
+    ) -> bool:
+        """Take note that an update was read to its end; return whether its watch goes on.
 
-        Where too many of the nearest endpoints are gone, the complete list is asked for: it alone tells
+        Where too many of the nearest endpoints are gone, the complete snapshot is asked for: it alone says
         which come next.
         """
         self._backoff.reset()
         self.generation = generation
         self._has_read_update = True
-        if is_complete_list or not self.registry.needs_complete_list():
+        if is_complete_snapshot or not self.registry.needs_complete_snapshot():
             return True
         self.generation = None
         connection.close(WatchEndReason.NEAREST_ENDPOINTS_GONE)
         return False
 
     def reject_document(self, error: DiscoveryError, connection: WatchConnection) -> None:
-        """Log what can't be read, keep what is known, and ask for the complete list."""
+        """Log the error, keep what is known, and have the next watch ask for the complete snapshot."""
         log.error("malformed discovery document error=%s", error)
         self.generation = None
         connection.close(WatchEndReason.MALFORMED_DOCUMENT)
@@ -128,7 +130,7 @@
         except (OSError, TimeoutError) as error:
             host, port = self.address
             log.warning("discovery not reachable host=%s port=%d error=%r", host, port, error)
-            if self._connection:  # the one before, or one that came up just as its time was over
+            if self._connection:  # the previous one, or one that was established just after the timeout
                 self._connection.close(WatchEndReason.REPLACED)
 
     def _new_connection(self) -> WatchConnection:
--- a/quota_gateway/net/discovery/watch_connection.py
+++ b/quota_gateway/net/discovery/watch_connection.py
@@ -1,4 +1,4 @@
-"""One watch on discovery: an HTTP exchange whose response goes on and on, an update or a heartbeat a line.
+"""One watch on discovery: an HTTP exchange with an endless response, an update or a heartbeat a line.
 
 How the timeouts follow from the time after which an update counts as notified:
 docs/decisions/discovery-timeouts.md. How long documents are read: docs/decisions/discovery-long-lists.md.
@@ -8,7 +8,6 @@
 
 import asyncio
 import logging
-from collections.abc import Callable
 from enum import Enum
 from functools import partial
 from typing import Any, Protocol, cast
@@ -20,19 +19,16 @@
 from quota_gateway.net.discovery.endpoint_registry import EndpointRegistry
 from quota_gateway.net.discovery.endpoint_row import RegistryChange
 from quota_gateway.net.discovery.json_lines import HEARTBEAT, JsonLineReader
-from quota_gateway.net.discovery.snapshot_reader import StreamingSnapshotReader
+from quota_gateway.net.discovery.liveness_timer import LivenessTimer
+from quota_gateway.net.discovery.streaming_snapshot_reader import StreamingSnapshotReader
 from quota_gateway.telemetry import Metric, Metrics
 
 log = logging.getLogger(__name__)
 
-# Discovery sends a heartbeat every 2 s: two are missing. It is no longer, so that the next watch is in time.
-HEARTBEAT_TIMEOUT_S = 4.2
-# For the first line of a watch, which comes at once or when it is its turn: where a second watch in a row is
-# silent, a third one is opened before attempts to draining endpoints must have ended.
-FIRST_LINE_TIMEOUT_S = 2.5
-READ_GRACE_S = 0.1  # of either timeout, to read what came while this process was busy
-STREAMING_THRESHOLD_BYTES = 64 * 1024  # from which on a document is read in pieces
-PIECE_BYTES = 16 * 1024  # of a long document that are read in one turn of the loop: some hundred rows
+HEARTBEAT_TIMEOUT_S = 4.2  # two heartbeats, which discovery sends every 2 s, are missing
+FIRST_LINE_TIMEOUT_S = 2.5  # of a watch; after two silent ones a third still opens before draining ends
+STREAMING_THRESHOLD_BYTES = 64 * 1024  # a longer document is read in pieces
+PIECE_BYTES = 16 * 1024  # of a long document, read in one turn of the loop
 STATUS_OK = 200
 
 
@@ -49,31 +45,8 @@
     STOPPED = "stopped"
 
 
-class LivenessTimer:
-    """Falls due when a watch has given no sign of life for too long."""
-
-    def __init__(self, on_timeout: Callable[[], None]) -> None:
-        self._on_timeout = on_timeout
-        self._handle: asyncio.TimerHandle | None = None
-
-    def restart(self, timeout_s: float) -> None:
-        """Count from now on."""
-        self.cancel()
-        loop = asyncio.get_running_loop()
-        self._handle = loop.call_later(timeout_s - READ_GRACE_S, self._on_grace_begun)
-
-    def cancel(self) -> None:
-        """Count no more."""
-        if self._handle:
-            self._handle.cancel()
-
-    def _on_grace_begun(self) -> None:
-        """Let a busy process read what has come meanwhile: its timers fall due before that is read."""
-        self._handle = asyncio.get_running_loop().call_later(READ_GRACE_S, self._on_timeout)
-
-
 class UpdateReader(Protocol):
-    """What a watch needs of the watcher that opened it."""
+    """The watcher that opened a watch, as far as the watch needs it."""
 
     address: Address
     registry: EndpointRegistry
@@ -81,16 +54,18 @@
     metrics: Metrics
 
     def read_document(self, document: Any, connection: WatchConnection) -> bool:
-        """Read one update at once; whether its watch goes on."""
+        """Read one update at once; return whether its watch goes on."""
 
-    def pass_on(self, change: RegistryChange) -> None:
-        """Hand on what an update tells, or a part of that."""
+    def deliver(self, change: RegistryChange) -> None:
+        """Deliver the changes of an update, or a part of them."""
 
-    def on_document_read(self, generation: int, is_complete_list: bool, connection: WatchConnection) -> bool:
-        """An update has been read to its end; whether its watch goes on."""
+    def on_document_read(
+        self, generation: int, is_complete_snapshot: bool, connection: WatchConnection
+    ) -> bool:
+        """Take note that an update was read to its end; return whether its watch goes on."""
 
     def reject_document(self, error: DiscoveryError, connection: WatchConnection) -> None:
-        """Log what can't be read, keep what is known, and ask for the complete list."""
+        """Log the error, keep what is known, and have the next watch ask for the complete snapshot."""
 
 
 class WatchConnection(asyncio.Protocol):
@@ -117,7 +92,7 @@
         self._is_connection_lost = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Ask for the list."""
+        """Send the request for the endpoint list."""
         # uvloop's transports are not asyncio.Transport by class: no isinstance here
         self._transport = cast(asyncio.Transport, transport)
         if self._is_ended:
@@ -130,7 +105,7 @@
         self._liveness.restart(FIRST_LINE_TIMEOUT_S)
 
     def close(self, reason: WatchEndReason, detail: object = "none") -> None:
-        """End the exchange; what still comes on it counts no more."""
+        """End the exchange; what is still received on it is ignored."""
         if self._is_ended:
             return
         self._is_ended = True
@@ -174,7 +149,7 @@
             self.close(WatchEndReason.RESPONSE_COMPLETE)
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - asyncio.Protocol has it
-        """Tell that the connection is gone, once all that came has been read."""
+        """Report the end of the connection, once all that was received has been read."""
         self._is_connection_lost = True
         if self._reading:
             return  # which calls this again at its end
@@ -196,7 +171,7 @@
             self._read_in_pieces(b"\n".join([incomplete, rest]) if incomplete else rest)
 
     def _read_line(self, line: bytes) -> bool:
-        """Read one line; whether the watch goes on.
+        """Read one line; return whether the watch goes on.
 
         A document or a heartbeat is a sign of life. Bytes alone are not, as none may ever come of them.
         """
@@ -211,14 +186,14 @@
         return document is HEARTBEAT or self._watcher.read_document(document, self)
 
     def _read_in_pieces(self, beginning: bytes) -> None:
-        """Read a long document, of which this much has come, without one long stall of all requests."""
+        """Read a long document, which begins with these bytes, without one long stall of all requests."""
         self._incomplete_line.clear()
         self._backlog = bytearray(beginning)
         self._long_document = StreamingSnapshotReader(self._watcher.registry)
         self._ensure_reading()
 
     def _ensure_reading(self) -> None:
-        """Read the backlog, and take no more meanwhile: bytes may come faster than they are read."""
+        """Read the backlog, and receive no more meanwhile: bytes may come faster than they are read."""
         if self._reading is None:
             if self._transport:
                 self._transport.pause_reading()
@@ -245,7 +220,7 @@
             self._transport.resume_reading()
 
     async def _read_piece(self, document: StreamingSnapshotReader) -> None:
-        """Read one piece; behind the last one, pass on what the document tells, some at a time."""
+        """Read one piece; after the last one, deliver the changes of the document, some at a time."""
         piece = bytes(self._backlog[:PIECE_BYTES])
         del self._backlog[:PIECE_BYTES]
         row_count_before = document.row_count
@@ -258,11 +233,11 @@
         for change in document.changes():
             if self._is_ended:
                 return
-            self._watcher.pass_on(change)
+            self._watcher.deliver(change)
             self._liveness.restart(HEARTBEAT_TIMEOUT_S)
             await asyncio.sleep(0)
         rest = behind + bytes(self._backlog)
         self._long_document = None
         self._backlog.clear()
-        if self._watcher.on_document_read(document.generation, document.is_complete_list, self):
+        if self._watcher.on_document_read(document.generation, document.is_complete_snapshot, self):
             self._read_lines(rest)
--- a/tests/net/discovery/test_discovery_client.py
+++ b/tests/net/discovery/test_discovery_client.py
@@ -275,7 +275,7 @@
     waits_of_gateways = [[backoff.next_wait_s(was_rejected=True) for _ in range(12)] for backoff in backoffs]
     first_waits = [waits[0] for waits in waits_of_gateways]
     last_waits = [waits[-1] for waits in waits_of_gateways]
-    first_backoff_s = reconnect_backoff.FIRST_BACKOFF_S
+    first_backoff_s = reconnect_backoff.INITIAL_BACKOFF_S
     assert all(0.5 * first_backoff_s <= wait <= first_backoff_s for wait in first_waits)
     # after many rejections, forty gateways open ten to twenty watches a second
     assert 10.0 <= sum(1.0 / wait for wait in last_waits) <= 20.0
--- a/tests/net/discovery/test_endpoint_row.py
+++ b/tests/net/discovery/test_endpoint_row.py
@@ -4,7 +4,7 @@
 
 from quota_gateway import Endpoint, EndpointLifecycle
 from quota_gateway.errors import DiscoveryError
-from quota_gateway.net.discovery.endpoint_row import MAX_NAME_LENGTH, name_in, parse_row
+from quota_gateway.net.discovery.endpoint_row import MAX_NAME_CHARACTERS, name_in, parse_row
 
 ROW = {
     "instanceId": "s-1",
@@ -53,6 +53,6 @@
     assert numbered == []
 
 
-@pytest.mark.parametrize("row", [None, [], "s-1", {}, {"instanceId": "n" * (MAX_NAME_LENGTH + 1)}])
+@pytest.mark.parametrize("row", [None, [], "s-1", {}, {"instanceId": "n" * (MAX_NAME_CHARACTERS + 1)}])
 def test_row_without_a_usable_name_has_none(row):
     assert name_in(row) is None
--- a/tests/net/discovery/test_large_endpoint_lists.py
+++ b/tests/net/discovery/test_large_endpoint_lists.py
@@ -24,7 +24,7 @@
 from quota_gateway.net.discovery import snapshot_reader, watch_connection
 from quota_gateway.net.discovery.client import DiscoveryClient
 from quota_gateway.net.discovery.endpoint_registry import EndpointRegistry
-from quota_gateway.net.discovery.snapshot_reader import StreamingSnapshotReader
+from quota_gateway.net.discovery.streaming_snapshot_reader import StreamingSnapshotReader
 from quota_gateway.policy.subset import Subset
 from tests.support.engine_harness import SETTINGS, EngineHarness
 from tests.support.fake_discovery import FakeDiscovery, encode_chunk, encode_update, make_instance
@@ -175,7 +175,7 @@
 
 
 def test_endless_list_is_rejected_within_a_bound_on_memory(monkeypatch):
-    monkeypatch.setattr(snapshot_reader, "MAX_LISTED", 2000)
+    monkeypatch.setattr(snapshot_reader, "MAX_LISTED_ENDPOINTS", 2000)
     reader = StreamingSnapshotReader(EndpointRegistry(SMALL_SUBSET))
     instances = [json.dumps(instance).encode() for instance in make_instances(*range(3000))]
     endless = b'{"generation":2,"reset":true,"instances":[' + b",".join(instances)
@@ -247,7 +247,7 @@
         present = {name for name, state in known.items() if state is not EndpointLifecycle.GONE}
         assert present == set(in_pieces.rows) == set(in_pieces.numbers)
     listed_names = at_once.other_names | set(at_once.rows)
-    if not at_once.needs_complete_list():
+    if not at_once.needs_complete_snapshot():
         size = SMALL_SUBSET.size(len(listed_names))
         assert set(list(at_once.nearest)[:size]) == nearest_names(SMALL_SUBSET, listed_names, size)
 
@@ -264,7 +264,7 @@
         await wait_until_read(discovery, 2)
         size = SMALL_SUBSET.size(len(remaining))
         assert nearest_names(SMALL_SUBSET, instance_names(remaining), size) <= set(known)
-        assert not discovery.registry.needs_complete_list()
+        assert not discovery.registry.needs_complete_snapshot()
 
 
 def test_endpoint_beyond_the_reserve_is_known_and_keeps_its_number_when_it_becomes_one_of_the_nearest():
--- a/tests/net/test_transient_faults.py
+++ b/tests/net/test_transient_faults.py
@@ -14,7 +14,7 @@
 from quota_gateway.net.clients.buffer_budget import BufferBudget, BufferUsage
 from quota_gateway.net.discovery.endpoint_registry import EndpointRegistry
 from quota_gateway.net.discovery.json_lines import JsonLineReader
-from quota_gateway.net.discovery.snapshot_reader import StreamingSnapshotReader
+from quota_gateway.net.discovery.streaming_snapshot_reader import StreamingSnapshotReader
 from quota_gateway.net.handover import rendezvous
 from quota_gateway.net.handover import sender as handover_sender
 from quota_gateway.net.timer_queue import TimerQueue
