--- a/quota_gateway/log_rate_limiter.py
+++ b/quota_gateway/log_rate_limiter.py
@@ -1,4 +1,4 @@
-"""A bound on the lines of the log."""
+"""A limit on the rate of log lines."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from math import inf
 
 LOG_PERIOD_S = 10.0
-MAX_LINES_PER_PERIOD = 50  # enough to see what is wrong; see docs/decisions/resource-limits.md
+MAX_LINES_PER_PERIOD = 50
 
 
 class LogRateLimiter(logging.Filter):
     """Lets a limited number of records through in each period and reports how many it suppressed.
 
-    The first record of the next period ends with ``suppressed_lines=N``. A peer that sends garbage at full
-    speed would fill the log otherwise: docs/decisions/resource-limits.md.
+    The first record of the next period ends with ``suppressed_lines=N``. A peer that sends malformed data at
+    full speed would fill the log otherwise: docs/decisions/resource-limits.md.
     """
 
     def __init__(self) -> None:
--- /dev/null
+++ b/quota_gateway/net/admin/calls.py
@@ -0,0 +1,111 @@
+"""The operators' calls, without sockets; ``docs/on-call.md`` lists them."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Awaitable, Callable
+from http import HTTPStatus
+from typing import NamedTuple
+
+from quota_gateway.telemetry import Metrics
+
+log = logging.getLogger(__name__)
+
+MAX_SERVER_NAME_CHARACTERS = 256
+
+READY_TARGET = b"/_ready"
+DETACH_TARGET = b"/_servers/detach"
+ATTACH_TARGET = b"/_servers/attach"
+METRICS_TARGET = b"/_metrics"
+
+# RFC 9110's phrase: the standard library of Python 3.11 still has the older one
+REASON_PHRASES = {HTTPStatus.REQUEST_ENTITY_TOO_LARGE: "Content Too Large"}
+
+SetDetached = Callable[[str, bool], Awaitable[bool]]
+"""Detaches (True) or attaches (False) the server of this name; returns whether it is known."""
+
+
+class AdminResponse(NamedTuple):
+    """The response to one call.
+
+    Attributes:
+        status: Of HTTP.
+        text: One line for a person, or the metrics for a scraper.
+    """
+
+    status: HTTPStatus
+    text: str
+
+    def encode(self) -> bytes:
+        """Return the response as bytes of HTTP."""
+        body = f"{self.text}\n".encode()
+        phrase = REASON_PHRASES.get(self.status, self.status.phrase)
+        return (
+            b"HTTP/1.1 %d %b\r\nContent-Type: text/plain; charset=utf-8\r\nContent-Length: %d\r\n"
+            b"Connection: close\r\n\r\n%b" % (self.status, phrase.encode(), len(body), body)
+        )
+
+
+class AdminCalls:
+    """Carries out the operators' calls.
+
+    Args:
+        is_ready: Whether the gateway is ready to serve clients.
+        set_detached: Detaches or attaches a server.
+        metrics: Of the process.
+    """
+
+    __slots__ = ("is_ready", "metrics", "set_detached")
+
+    def __init__(self, is_ready: Callable[[], bool], set_detached: SetDetached, metrics: Metrics) -> None:
+        self.is_ready = is_ready
+        self.set_detached = set_detached
+        self.metrics = metrics
+
+    async def carry_out(self, method: bytes, path: bytes, body: bytes) -> AdminResponse:
+        """Carry out one call.
+
+        Args:
+            method: Of the HTTP request.
+            path: Of the HTTP request, without a query.
+            body: The name of a server, for the calls that need one.
+        """
+        if path == READY_TARGET:
+            return self._readiness(method)
+        if path == METRICS_TARGET:
+            return self._render_metrics(method)
+        if path not in (DETACH_TARGET, ATTACH_TARGET):
+            return AdminResponse(HTTPStatus.NOT_FOUND, "no such call")
+        if method != b"POST":
+            return AdminResponse(HTTPStatus.METHOD_NOT_ALLOWED, "POST only")
+        name = _server_name(body)
+        if name is None:
+            return AdminResponse(HTTPStatus.BAD_REQUEST, "the body is no id")
+        return await self._detach_or_attach(name, detached=path == DETACH_TARGET)
+
+    def _readiness(self, method: bytes) -> AdminResponse:
+        if method != b"GET":
+            return AdminResponse(HTTPStatus.METHOD_NOT_ALLOWED, "GET only")
+        if self.is_ready():
+            return AdminResponse(HTTPStatus.OK, "ready")
+        return AdminResponse(HTTPStatus.SERVICE_UNAVAILABLE, "not ready")
+
+    def _render_metrics(self, method: bytes) -> AdminResponse:
+        if method != b"GET":
+            return AdminResponse(HTTPStatus.METHOD_NOT_ALLOWED, "GET only")
+        return AdminResponse(HTTPStatus.OK, self.metrics.render())
+
+    async def _detach_or_attach(self, name: str, detached: bool) -> AdminResponse:
+        if not await self.set_detached(name, detached):
+            return AdminResponse(HTTPStatus.NOT_FOUND, "no such server")
+        log.info("admin call carried out operation=%s server=%s", "detach" if detached else "attach", name)
+        return AdminResponse(HTTPStatus.OK, f"{name} is {'detached' if detached else 'attached'}")
+
+
+def _server_name(body: bytes) -> str | None:
+    """Return the name in the body of a call; None if there is none that is valid."""
+    try:
+        name = body.decode().strip()
+    except UnicodeDecodeError:
+        return None
+    return name if 0 < len(name) <= MAX_SERVER_NAME_CHARACTERS else None
--- a/quota_gateway/net/clock.py
+++ b/quota_gateway/net/clock.py
@@ -18,7 +18,7 @@
         self.offset_ms = (time.time() - time.monotonic()) * MS_PER_S
 
     def adopt(self, offset_ms: float) -> None:
-        """Go by the clock of another process of this machine; before the first time was read by anybody.
+        """Go by the clock of the previous process on this machine; call it before any time is read.
 
         Args:
             offset_ms: That process's ``offset_ms``.
--- a/quota_gateway/net/transient_errors.py
+++ b/quota_gateway/net/transient_errors.py
@@ -1,4 +1,4 @@
-"""Errors of system calls that pass: the same call may succeed a moment later."""
+"""Transient errors of system calls: the same call may succeed a moment later."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
         errno.ETIMEDOUT,
     )
 )
-# Where an address or a name is taken: another socket, or a full or failing folder, is in the way for a while.
+# Of a bind: the address or the name is in use, or the folder is full or failing, for a while.
 BIND_ERRORS = SHORTAGE_ERRORS | {errno.EADDRINUSE, errno.EDQUOT, errno.EIO, errno.ENOSPC}
 
 READ_ERRORS = SHORTAGE_ERRORS | {errno.EIO}  # of a file that is there
 
 
 def errno_name(error: OSError) -> str:
-    """The name of an error's number, for metrics."""
+    """Return the name of an error's number, for metrics."""
     return errno.errorcode.get(error.errno or 0, "unknown")
--- a/quota_gateway/resources.py
+++ b/quota_gateway/resources.py
@@ -1,7 +1,7 @@
-"""How the descriptors and the memory that a gateway may use are divided.
+"""Divides the descriptors and the memory of the process among the parts of a gateway.
 
-The reasons for the figures are in docs/decisions/resource-limits.md. The results are named tuples, as
-making the class of a frozen dataclass costs each start 1.2 ms in place of 0.1 ms.
+The reasons for the figures are in docs/decisions/resource-limits.md. The results are named tuples, as these
+are cheaper to define at each start than dataclasses.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 STANDARD_STREAMS = 3  # standard input, output and error, which is the log
 # epoll and its ring, the wake-up, two pipes and a socket pair for signals, one spare
 EVENT_LOOP_DESCRIPTORS = 10
-DISCOVERY_DESCRIPTORS = 4  # watches at discovery's old and new address, and as many that are closing
-LISTENER_DESCRIPTORS = 2  # for clients, and for a process that takes over
+DISCOVERY_DESCRIPTORS = 4  # watches at discovery's previous and new address, and as many that are closing
+LISTENER_DESCRIPTORS = 2  # for clients, and for the next process
 # channels to both peers; queued connections; the listener handed over
 HANDOVER_DESCRIPTORS = 2 + MAX_QUEUED_PACKETS + 1
-FILE_DESCRIPTORS = 2  # open for a moment: the configuration at SIGHUP, a folder
+FILE_DESCRIPTORS = 2  # open for a moment: the configuration at SIGHUP, a folder, a module
 SPARE_DESCRIPTORS = 8
 OTHER_DESCRIPTORS = (
     EVENT_LOOP_DESCRIPTORS
@@ -30,14 +30,14 @@
     + FILE_DESCRIPTORS
     + SPARE_DESCRIPTORS
 )
-# one that makes room is closed a little later; the listener
+# an evicted connection is closed a little later; the listener
 ADMIN_DESCRIPTORS = 2 * MAX_ADMIN_CONNECTIONS + 1
-UPSTREAM_SHARE = 0.25  # of the rest; clients need more, most of them without a request in flight
+UPSTREAM_CONNECTION_SHARE = 0.25  # of the rest: most client connections have no request in flight
 MIN_CONNECTIONS = 2  # of both sides together, however low the limit is
 
 MEGABYTE = 1 << 20
-PROGRAM_BYTES = 20 * MEGABYTE  # 14 measured, and what an endpoint list and its customers take
-BUFFER_SHARE = 0.4  # of the rest of the memory, for clients' commands; as much again for upstream replies
+PROGRAM_BYTES = 20 * MEGABYTE  # with an endpoint list and the state of its customers
+BUFFER_MEMORY_SHARE = 0.4  # of the rest, for clients' commands; as much again for upstream replies
 MIN_BUFFERED_BYTES = 2 * MEGABYTE
 
 
@@ -49,10 +49,13 @@
 
 
 class ResourceLimits(NamedTuple):
-    """What the parts of a gateway may use.
+    """The limits of the parts of a gateway.
 
-    ``max_buffered_bytes`` holds for clients and for upstream replies, each. ``handover_spare_bytes`` is what
-    both give up while a process that was taken over from still runs beside this one.
+    Attributes:
+        max_client_connections: At a time.
+        max_upstream_connections: At a time.
+        max_buffered_bytes: Of clients' commands, and as many of upstream replies.
+        handover_spare_bytes: By how much both buffer limits are lower while the previous process still runs.
     """
 
     max_client_connections: int
@@ -62,7 +65,7 @@
 
 
 def count_open_descriptors() -> int:
-    """How many descriptors the process holds now; the standard streams alone where that can't be told."""
+    """Count the descriptors that the process holds; the standard streams alone where that is not known."""
     try:
         listed = len(list(OWN_DESCRIPTORS.iterdir()))
     except OSError:
@@ -73,7 +76,7 @@
 def divide_descriptors(limit: int, inherited: int, has_admin: bool) -> DescriptorBudget:
     """Split the descriptors that the process does not need otherwise between clients and upstream.
 
-    Idle clients can so never take the descriptors of the discovery watch, of upstream or of operators.
+    So idle clients never take the descriptors of the discovery watch, of upstream or of operators.
 
     Args:
         limit: Of the whole process.
@@ -82,24 +85,24 @@
     """
     reserved = inherited + OTHER_DESCRIPTORS + (ADMIN_DESCRIPTORS if has_admin else 0)
     available = max(MIN_CONNECTIONS, limit - reserved)
-    upstream = int(available * UPSTREAM_SHARE)
+    upstream = int(available * UPSTREAM_CONNECTION_SHARE)
     return DescriptorBudget(clients=available - upstream, upstream=upstream)
 
 
 def divide_memory(limit_bytes: int) -> int:
-    """The bytes that clients' commands, and as many that upstream replies, may take while they wait."""
-    return max(MIN_BUFFERED_BYTES, int((limit_bytes - PROGRAM_BYTES) * BUFFER_SHARE))
+    """Return the bytes that may be buffered of clients' commands, and as many of upstream replies."""
+    return max(MIN_BUFFERED_BYTES, int((limit_bytes - PROGRAM_BYTES) * BUFFER_MEMORY_SHARE))
 
 
 def handover_spare_bytes(max_buffered_bytes: int) -> int:
-    """The buffered bytes given up while two processes run: room for the program of the other one."""
-    return max(0, min(int(PROGRAM_BYTES * BUFFER_SHARE), max_buffered_bytes - MIN_BUFFERED_BYTES))
+    """Return by how much both buffer limits are lower while the peer process takes memory too."""
+    return max(0, min(int(PROGRAM_BYTES * BUFFER_MEMORY_SHARE), max_buffered_bytes - MIN_BUFFERED_BYTES))
 
 
 def divide_resources(
     descriptors: int, inherited_descriptors: int, memory_bytes: int, has_admin: bool
 ) -> ResourceLimits:
-    """Divide what the whole process may use among its parts.
+    """Divide the limits of the whole process among its parts.
 
     Args:
         descriptors: Limit of open descriptors.
--- a/quota_gateway/telemetry/__init__.py
+++ b/quota_gateway/telemetry/__init__.py
@@ -1,4 +1,4 @@
-"""What a gateway tells of itself: counters, the trace of its last events, violations of its invariants."""
+"""Telemetry of one process: counters, a trace of its last events, violations of its invariants."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Telemetry:
-    """The counters, the trace and the invariants of one process; its parts share one."""
+    """The counters, the trace and the invariants of one process, shared by all its parts."""
 
     __slots__ = ("invariants", "metrics", "trace")
 
--- a/quota_gateway/telemetry/event_trace.py
+++ b/quota_gateway/telemetry/event_trace.py
@@ -6,21 +6,29 @@
 from collections import deque
 from typing import NamedTuple
 
-MAX_EVENTS = 4096  # some seconds of a busy gateway, in half a megabyte
-MAX_SHOWN_EVENTS = 12  # of one request in a line of the log
+MS_PER_S = 1000.0
+MAX_EVENTS = 4096  # some seconds of a busy gateway
+MAX_SHOWN_EVENTS = 12  # of one subject in a line of the log
 
 
 class TracedEvent(NamedTuple):
-    """One event: when it was, which request or connection it is of, and what happened."""
+    """One event.
 
-    at_s: float  # monotonic
+    Attributes:
+        at_s: When it happened, monotonic.
+        subject: The request or connection that it is of.
+        what: What happened.
+        detail: What else is known.
+    """
+
+    at_s: float
     subject: str
     what: str
     detail: object
 
 
 class EventTrace:
-    """A ring of the last events."""
+    """A ring buffer of the last events."""
 
     __slots__ = ("_events",)
 
@@ -28,18 +36,18 @@
         self._events: deque[TracedEvent] = deque(maxlen=MAX_EVENTS)
 
     def add(self, subject: str, what: str, detail: object = "") -> None:
-        """Note an event."""
+        """Append an event."""
         self._events.append(TracedEvent(time.monotonic(), subject, what, detail))
 
     def of(self, subject: str) -> list[TracedEvent]:
-        """The events of one request or connection that are still held, the oldest first."""
+        """Return the events of one request or connection that are still held, the oldest first."""
         return [event for event in self._events if event.subject == subject]
 
     def describe(self, subject: str) -> str:
-        """The last events of one subject in a line: milliseconds before now, what happened, its detail."""
+        """Return the last events of one subject in a line: milliseconds before now, what, and its detail."""
         now_s = time.monotonic()
         shown = self.of(subject)[-MAX_SHOWN_EVENTS:]
         return " ".join(
-            f"{(event.at_s - now_s) * 1000.0:.1f}:{event.what}{f'({event.detail})' if event.detail else ''}"
+            f"{(event.at_s - now_s) * MS_PER_S:.1f}:{event.what}{f'({event.detail})' if event.detail else ''}"
             for event in shown
         )
--- a/quota_gateway/telemetry/invariants.py
+++ b/quota_gateway/telemetry/invariants.py
@@ -1,4 +1,4 @@
-"""The rules as properties that hold at every moment, and the count of what broke them: docs/invariants.md."""
+"""Properties that hold at every moment, and the count of their violations: docs/invariants.md."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
             detail: What else is known, for the log.
 
         Returns:
-            ``holds``, so that a guard may refuse by it.
+            ``holds``, for a guard to refuse by.
         """
         if not holds:
             self._metrics.count(Metric.INVARIANT_VIOLATIONS, invariant.value)
--- a/quota_gateway/telemetry/metrics.py
+++ b/quota_gateway/telemetry/metrics.py
@@ -25,7 +25,7 @@
 
 
 class Metrics:
-    """Counts by metric and by the value of its label."""
+    """Counters by metric and by the value of its label."""
 
     __slots__ = ("_counts",)
 
@@ -33,19 +33,19 @@
         self._counts: Counter[tuple[Metric, str]] = Counter()
 
     def count(self, metric: Metric, label: str) -> None:
-        """Count one."""
+        """Add one to the counter of this label."""
         self._counts[metric, label] += 1
 
     def value(self, metric: Metric, label: str) -> int:
-        """The count of one label."""
+        """Return the count of one label."""
         return self._counts[metric, label]
 
     def total(self, metric: Metric) -> int:
-        """The counts of all labels of a metric together."""
+        """Return the sum over all labels of a metric."""
         return sum(number for (counted, _), number in self._counts.items() if counted is metric)
 
     def render(self) -> str:
-        """The text exposition format of Prometheus, the metrics in the order of ``Metric``."""
+        """Return the text exposition format of Prometheus, the metrics in the order of ``Metric``."""
         lines = []
         for metric in Metric:
             name, label_name = metric.value
--- a/tests/net/admin/test_detachments.py
+++ b/tests/net/admin/test_detachments.py
@@ -8,8 +8,11 @@
 import pytest
 
 from quota_gateway import AttachServer, AttemptStatus, DetachServer, EndpointLifecycle, UpdateKind
+from quota_gateway.net.admin import calls as admin_calls
+from quota_gateway.net.admin import connection as admin_connection
 from quota_gateway.net.admin import server as admin
-from quota_gateway.net.admin.server import AdminResponse, AdminServer
+from quota_gateway.net.admin.calls import AdminResponse
+from quota_gateway.net.admin.server import AdminServer
 from quota_gateway.net.discovery.client import EndpointRegistry
 from quota_gateway.net.upstream.pool import Attempt, UpstreamReply
 from quota_gateway.telemetry import Metric
@@ -175,7 +178,7 @@
 
 async def test_admin_call_for_metrics_gives_every_counter():
     async with run_admin_server() as (port, _, server):
-        server.metrics.count(Metric.ANSWERS, "served")
+        server.calls.metrics.count(Metric.ANSWERS, "served")
         response = await send_admin_call(port, b"GET /_metrics HTTP/1.1\r\n\r\n")
         assert b'quota_gateway_answers_total{reason="served"} 1\n' in response
         assert response.count(b"# TYPE quota_gateway_") == len(Metric)
@@ -262,8 +265,9 @@
         for operation in ("detach", "attach"):
             await send_admin_call(port, encode_post(f"/_servers/{operation}", b"s-1"))
         await send_admin_call(port, encode_post("/_servers/detach", FAILING_SERVER.encode()))
-        AdminServer(lambda: True, server.set_detached).listen(("127.0.0.1", port))
-    messages = [record.getMessage() for record in caplog.records if record.name == admin.__name__]
+        AdminServer(lambda: True, server.calls.set_detached).listen(("127.0.0.1", port))
+    names = {module.__name__ for module in (admin, admin_calls, admin_connection)}
+    messages = [record.getMessage() for record in caplog.records if record.name in names]
     assert messages[:3] == [
         "admin call carried out operation=detach server=s-1",
         "admin call carried out operation=attach server=s-1",
