--- a/quota_gateway/net/graceful_shutdown.py
+++ b/quota_gateway/net/graceful_shutdown.py
@@ -41,7 +41,7 @@
     await asyncio.sleep(ACCEPT_PERIOD_S)
     clients.stop_listening()
     handover.refuse()
-    await _wait_while(lambda: clients.is_busy() or handover.busy(), until=end)
+    await _wait_while(lambda: clients.is_busy() or handover.is_sending(), until=end)
     clients.finish()
     await _wait_while(clients.is_busy, until=end + FLUSH_TIMEOUT_S)
     clients.abort()
--- a/quota_gateway/net/handover/handover.py
+++ b/quota_gateway/net/handover/handover.py
@@ -36,26 +36,26 @@
         path: Path | None,
         driver: Driver,
         clients: ClientListener,
-        servers: UpstreamPool,
+        upstream_pool: UpstreamPool,
         registry: EndpointRegistry,
         detachments: Detachments,
         peers: PeerProcesses,
     ) -> None:
         self.peers = peers
         requests = PeerRequestHandler(driver, detachments, peers)
-        self.receiver = HandoverReceiver(driver, clients, servers, peers, requests)
-        self.sender = HandoverSender(path, driver, clients, servers, registry, peers, requests)
+        self.receiver = HandoverReceiver(driver, clients, upstream_pool, peers, requests)
+        self.sender = HandoverSender(path, driver, clients, upstream_pool, registry, peers, requests)
 
     @property
     def path(self) -> Path | None:
         """The rendezvous path of this gateway's processes."""
         return self.sender.path
 
-    def took_over(self, state: HandoverState, spare_bytes: int) -> None:
+    def take_over(self, state: HandoverState, spare_bytes: int) -> None:
         """Take the previous process's place, with both buffer limits lower by so many bytes until it ends."""
-        self.receiver.took_over(state, spare_bytes)
+        self.receiver.take_over(state, spare_bytes)
 
-    def wait(self) -> None:
+    def listen(self) -> None:
         """Listen for a process that takes over."""
         self.sender.listen()
 
@@ -63,7 +63,7 @@
         """Let no further process take over."""
         self.sender.refuse()
 
-    def busy(self) -> bool:
+    def is_sending(self) -> bool:
         """Whether something is still to be sent to a peer process."""
         return any(channel.queued_packets for channel in self.peers.channels())
 
--- a/quota_gateway/net/handover/receiver.py
+++ b/quota_gateway/net/handover/receiver.py
@@ -132,7 +132,7 @@
         self.requests = requests
         self._spare_bytes = 0  # of either buffer limit, left to the previous process until it ends
 
-    def took_over(self, handover_state: HandoverState, spare_bytes: int) -> None:
+    def take_over(self, handover_state: HandoverState, spare_bytes: int) -> None:
         """Take the previous process's place: this process serves now.
 
         Args:
--- a/quota_gateway/server.py
+++ b/quota_gateway/server.py
@@ -135,7 +135,7 @@
         self._reloader.start()
         if not (state and self._take_over(state)):
             await self._start_alone()
-        self.handover.wait()
+        self.handover.listen()
         self.telemetry.metrics.count(Metric.STATE_TRANSITIONS, "listening")
         log.info("listening host=%s port=%d", *self.config.listen)
 
@@ -156,7 +156,7 @@
             return False
         self.clients.adopt(state.listener, waited_s=OFFER_TIMEOUT_S)
         self.clients.is_ready = True
-        self.handover.took_over(state, self.limits.handover_spare_bytes)
+        self.handover.take_over(state, self.limits.handover_spare_bytes)
         return True
 
     async def _start_alone(self) -> None:
--- a/tests/net/handover/test_handover_faults.py
+++ b/tests/net/handover/test_handover_faults.py
@@ -36,7 +36,7 @@
 async def test_process_that_can_not_hand_over_its_listener_serves_on(tmp_path, monkeypatch):
     async with run_gateway() as old:
         old.handover.sender.path = tmp_path / "rendezvous"
-        old.handover.wait()
+        old.handover.listen()
         monkeypatch.setattr(handover_sender, "os", FailingDup(1_000_000))
         assert await request_handover(old.handover.path) is None
         assert not old.client_listener.is_suspended
@@ -53,13 +53,13 @@
 async def test_connection_is_handed_over_once_descriptors_are_left(tmp_path, monkeypatch):
     async with run_gateway() as old, run_gateway() as new:
         old.handover.sender.path = new.handover.sender.path = tmp_path / "rendezvous"
-        old.handover.wait()
+        old.handover.listen()
         clients = [await old.connect_client() for _ in range(3)]
         for client in clients:
             assert await client.request(encode_command("PING")) == b"PONG"
         handover_state = await request_handover(new.handover.path)
         monkeypatch.setattr(client_connection, "os", FailingDup(2))
-        new.handover.took_over(handover_state, 0)
+        new.handover.take_over(handover_state, 0)
         await wait_until(lambda: len(new.client_listener.connections) == 3)
         assert not old.client_listener.connections
         for client in clients:
@@ -72,7 +72,7 @@
 async def test_process_that_has_stopped_listening_is_not_asked_again(tmp_path):
     async with run_gateway() as old:
         old.handover.sender.path = tmp_path / "rendezvous"
-        old.handover.wait()
+        old.handover.listen()
         shutdown = asyncio.create_task(
             shut_down_gracefully(SETTINGS, old.driver, old.client_listener, old.handover)
         )
--- a/tests/net/test_accept_faults.py
+++ b/tests/net/test_accept_faults.py
@@ -60,7 +60,7 @@
 async def test_queue_is_kept_through_a_shutdown_while_another_process_takes_over(tmp_path):
     async with run_gateway(FakeUpstream()) as gateway:
         gateway.handover.sender.path = tmp_path / "rendezvous"
-        gateway.handover.wait()
+        gateway.handover.listen()
         handover_state = await request_handover(gateway.handover.path)
         waiting = await gateway.connect_client()
         waiting.send(encode_call(1))
--- a/tests/net/test_transient_faults.py
+++ b/tests/net/test_transient_faults.py
@@ -100,7 +100,7 @@
     )
     async with run_gateway() as gateway:
         gateway.handover.sender.path = tmp_path / "rendezvous"
-        gateway.handover.wait()
+        gateway.handover.listen()
         assert gateway.handover.sender.listener is None
         await wait_until(lambda: gateway.handover.sender.listener)
         gateway.handover.close()
--- a/tests/process/test_recorded_conversation.py
+++ b/tests/process/test_recorded_conversation.py
@@ -81,7 +81,7 @@
         assert state is not None
         gateway.handover.sender.registry.restore_state(state.registry)
         assert gateway.driver.restore_state(state.state)
-        gateway.handover.took_over(state, 0)
+        gateway.handover.take_over(state, 0)
         await previous.send_all()
         await wait_until(lambda: len(gateway.client_listener.connections) == len(previous.clients))
         yield gateway, previous, state
--- a/tests/process/test_upgrade.py
+++ b/tests/process/test_upgrade.py
@@ -88,12 +88,12 @@
     caplog.set_level(logging.INFO)
     async with run_gateway() as old, run_gateway() as new:
         old.handover.sender.path = new.handover.sender.path = tmp_path / "rendezvous"
-        old.handover.wait()
+        old.handover.listen()
         client = await old.connect_client()
         assert await client.request(encode_command("PING")) == b"PONG"
         handover_state = await request_handover(new.handover.path)
         assert old.handover.sender.state is SenderState.STATE_SENT
-        new.handover.took_over(handover_state, 0)
+        new.handover.take_over(handover_state, 0)
         assert new.handover.receiver.state is ReceiverState.SERVING
         await wait_until(lambda: old.handover.sender.state is SenderState.HANDING_OVER_CONNECTIONS)
         await wait_until(lambda: new.client_listener.connections)
@@ -114,7 +114,7 @@
     caplog.set_level(logging.INFO)
     async with run_gateway() as old:
         old.handover.sender.path = tmp_path / "rendezvous"
-        old.handover.wait()
+        old.handover.listen()
         handover_state = await request_handover(old.handover.path)
         received = []
         handover_state.channel.set_receiver(received.append)
@@ -127,7 +127,7 @@
         assert await request_handover(old.handover.path) is None  # the name is left, and nobody listens
         assert await request_handover(tmp_path / "nothing") is None
         old.handover.sender.path = tmp_path / "missing" / "rendezvous"
-        old.handover.wait()
+        old.handover.listen()
     refused, failed = handover_log(caplog)[-2:]
     assert handover_log(caplog)[:-2] == [
         "handover requested",
@@ -147,7 +147,7 @@
     server = FakeUpstream(silent_on_7)
     async with run_gateway(server) as old, run_gateway(server) as new:
         old.handover.sender.path = new.handover.sender.path = tmp_path / "rendezvous"
-        old.handover.wait()
+        old.handover.listen()
         half, busy = await old.connect_client(), await old.connect_client()
         command = encode_call(1, "post", body=b"x" * 100_000)
         half.send(command[:70_000])
@@ -162,7 +162,7 @@
         new.client_listener.stop_listening()
         new.client_listener.is_stopping = False
         new.client_listener.adopt(handover_state.listener)
-        new.handover.took_over(handover_state, 0)
+        new.handover.take_over(handover_state, 0)
         half.send(command[70_000:])
         assert await half.read_reply() == b"0000000000000001"
         assert old.client_listener.connections
@@ -429,7 +429,7 @@
             patch.setattr(socket, "socket", refusing)
             assert await request_handover(tmp_path / "handover") is None
             gateway.handover.sender.path = tmp_path / "handover"
-            gateway.handover.wait()
+            gateway.handover.listen()
         assert gateway.handover.sender.listener is None
         assert not list(tmp_path.iterdir())
         assert open_descriptors() == open_before
