--- a/quota_gateway/net/discovery/json_lines.py
+++ b/quota_gateway/net/discovery/json_lines.py
@@ -63,7 +63,7 @@
         return self._parse(self.take_incomplete())
 
     def take_incomplete(self) -> bytes:
-        """Hand over the document so far, to be read elsewhere, and begin anew."""
+        """Return the document so far, to be read elsewhere, and begin the next one."""
         text = b"\n".join(self._lines)
         self._lines = []
         self._open_brackets = 0
--- a/quota_gateway/net/discovery/registry_state.py
+++ b/quota_gateway/net/discovery/registry_state.py
@@ -41,7 +41,7 @@
 
     @classmethod
     def from_json(cls, document: Any) -> RegistryState:
-        """Read the state from JSON of another process.
+        """Read the state that the previous process has exported.
 
         Raises:
             StateError: A key is missing, a value has the wrong type, or the values contradict each other.
--- a/quota_gateway/net/discovery/streaming_snapshot_reader.py
+++ b/quota_gateway/net/discovery/streaming_snapshot_reader.py
@@ -26,7 +26,7 @@
         self.table = table
         self.reader: snapshot_reader.SnapshotReader | None = None
         self._document = SnapshotDocumentParser(self._on_row)
-        self._early_rows: list[Any] = []  # that came before the field ``reset``
+        self._early_rows: list[Any] = []  # received before the field ``reset``
         self.generation = 0
         self.is_complete_snapshot = False
 
--- a/quota_gateway/net/discovery/watch_connection.py
+++ b/quota_gateway/net/discovery/watch_connection.py
@@ -72,7 +72,7 @@
     """One HTTP exchange: a chunked response with a JSON object a line, which may be indented.
 
     Attributes:
-        closed: Done once the connection is gone and all that came on it has been read.
+        closed: Done once the connection has ended and all that was received has been read.
     """
 
     def __init__(self, watcher: UpdateReader, target: str) -> None:
@@ -85,7 +85,7 @@
         self._incomplete_line = bytearray()
         self._lines = JsonLineReader()
         self._long_document: StreamingSnapshotReader | None = None  # while one is read in pieces
-        self._backlog = bytearray()  # that has come meanwhile
+        self._backlog = bytearray()  # of the long document, not read yet
         self._reading: asyncio.Task[None] | None = None
         self._is_ended = False
         self._is_response_complete = False
@@ -143,7 +143,7 @@
             self._read_lines(body)
 
     def on_message_complete(self) -> None:
-        """End the exchange, once all that came has been read."""
+        """End the exchange, once all that was received has been read."""
         self._is_response_complete = True
         if self._reading is None:
             self.close(WatchEndReason.RESPONSE_COMPLETE)
@@ -173,7 +173,7 @@
     def _read_line(self, line: bytes) -> bool:
         """Read one line; return whether the watch goes on.
 
-        A document or a heartbeat is a sign of life. Bytes alone are not, as none may ever come of them.
+        A document or a heartbeat is a sign of life. Bytes alone are not, as they may never become a document.
         """
         try:
             document = self._lines.add_line(line)
--- a/quota_gateway/net/handover/receiver.py
+++ b/quota_gateway/net/handover/receiver.py
@@ -79,7 +79,7 @@
 
     Raises:
         OSError: The system is short of something.
-        ChannelEndedError: No state came.
+        ChannelEndedError: The channel ended without a state.
     """
     sock = rendezvous.connect(path)
     if sock is None:
--- a/quota_gateway/net/upstream/attempt.py
+++ b/quota_gateway/net/upstream/attempt.py
@@ -39,7 +39,7 @@
 
     @property
     def is_established(self) -> bool:
-        """Whether the connection has come up."""
+        """Whether the connection is established."""
 
     def pause(self, pause: bool) -> None:
         """Read no more for now, or go on."""
@@ -76,7 +76,7 @@
         on_done: Called once, with the outcome.
         on_body_started: Called with the length of a large value as its first bytes come; returns the
             consumer of its pieces. Such a value is not buffered, the outcome's value is empty then.
-        encode_again: Encodes the command anew for a connection that took a while to come up.
+        encode_again: Encodes the command again for a new connection, as the remaining timeout has changed.
         refusal_to_send: Asked before the first and the last bytes go: None, or how the attempt ends instead.
         on_sent: Called when the last byte has gone to the kernel.
     """
--- a/quota_gateway/net/upstream/command_writer.py
+++ b/quota_gateway/net/upstream/command_writer.py
@@ -57,7 +57,7 @@
         return not self._transport.is_closing()
 
     def _on_written(self) -> None:
-        """Write what was withheld, if the client still waits, or note that the command has gone whole."""
+        """Write what was withheld, if the client still waits, or note that the command is fully sent."""
         withheld = self._withheld
         self._withheld = b""
         if not withheld:
--- a/quota_gateway/net/upstream/connection.py
+++ b/quota_gateway/net/upstream/connection.py
@@ -1,7 +1,7 @@
 """One connection to a server, with at most one attempt on it at a time.
 
 The outcome of an attempt follows PROTOCOL's table: an attempt whose last byte was not handed to the kernel
-never ran, one whose last byte was may have run, whatever became of it.
+never ran, one whose last byte was may have run, however it ended.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 log = logging.getLogger(__name__)
 
 RECEIVE_BUFFER_BYTES = 32 * 1024  # of the kernel, about: what is read at once of a large value
-LOGGED_BYTES = 60  # of a malformed reply: enough to tell what wrote it
+LOGGED_REPLY_BYTES = 60  # of a malformed reply
 
 
 class ConnectionOwner(Protocol):
@@ -69,7 +69,7 @@
 
     @property
     def is_established(self) -> bool:
-        """Whether the connection has come up."""
+        """Whether the connection is established, or was."""
         return self.transport is not None
 
     @property
@@ -175,7 +175,7 @@
         try:
             reply = self._receiver.feed(data, attempt)
         except ProtocolError as error:
-            log.warning("upstream reply malformed data=%.60r reason=%s", data[:LOGGED_BYTES], error)
+            log.warning("upstream reply malformed data=%.60r reason=%s", data[:LOGGED_REPLY_BYTES], error)
             self.close(AttemptStatus.ERROR)  # it may have run
             return
         if reply:
@@ -215,7 +215,7 @@
     def is_alive(self) -> bool:
         """Whether the server has neither closed it nor written out of turn while it was idle.
 
-        The kernel is asked, as the loop may not have come to the end yet; see
+        The kernel is asked, as the loop may not have read the end yet; see
         docs/decisions/upstream-connections.md.
         """
         assert self.socket is not None
@@ -234,7 +234,7 @@
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 (asyncio's signature)
         """Close: the connection has ended, and the loop closes its descriptor as this returns.
 
-        The socket lets go of its descriptor so that it is not closed twice; see
+        The socket detaches its descriptor so that it is not closed twice; see
         docs/decisions/upstream-connections.md.
         """
         if self.socket:
--- a/quota_gateway/net/upstream/reply_receiver.py
+++ b/quota_gateway/net/upstream/reply_receiver.py
@@ -1,4 +1,4 @@
-"""Receives the reply to an attempt: small values whole, large ones piece by piece."""
+"""Receives the reply to an attempt: buffers a small value, streams a large one."""
 
 from __future__ import annotations
 
@@ -67,7 +67,7 @@
         return self._parser.parse(answer)
 
     def _stream_body(self, attempt: Attempt, bytes_left: int) -> None:
-        """Hand on what was received of a large value, which is never buffered as a whole."""
+        """Stream the bytes of a large value, which is never buffered completely."""
         piece = self._reader.take_piece()
         if not piece:
             return  # a header alone commits nobody: other attempts may still be quicker
--- a/quota_gateway/server.py
+++ b/quota_gateway/server.py
@@ -134,7 +134,7 @@
             self.admin.listen(self.config.admin)
         self._reloader.start()
         if not (state and self._take_over(state)):
-            await self._start_alone()
+            await self._start_without_previous()
         self.handover.listen()
         self.telemetry.metrics.count(Metric.STATE_TRANSITIONS, "listening")
         log.info("listening host=%s port=%d", *self.config.listen)
@@ -159,7 +159,7 @@
         self.handover.take_over(state, self.limits.handover_spare_bytes)
         return True
 
-    async def _start_alone(self) -> None:
+    async def _start_without_previous(self) -> None:
         """Listen without a previous process; ready with discovery's list, or after a while without it."""
         self.detachments.repeat()
         await listen(self.clients, self.config.listen)
@@ -210,7 +210,7 @@
         self._requested.set()
 
     def start(self) -> None:
-        """Serve requests, the one that came before the start too."""
+        """Serve requests, also one that was made before the start."""
         self._task = asyncio.create_task(self._run(), name="reload-configuration")
         self._task.add_done_callback(_log_failure)
 
