--- a/tests/net/handover/test_handover_faults.py
+++ b/tests/net/handover/test_handover_faults.py
@@ -7,11 +7,11 @@
 
 from quota_gateway.net.clients import command_intake, idle_connections
 from quota_gateway.net.clients import connection as client_connection
+from quota_gateway.net.graceful_shutdown import shut_down_gracefully
 from quota_gateway.net.handover import rendezvous
 from quota_gateway.net.handover import sender as handover_sender
 from quota_gateway.net.handover.handover import request_handover
-from quota_gateway.net.handover.sender import SenderState
-from quota_gateway.server import shut_down_gracefully
+from quota_gateway.net.handover.states import SenderState
 from tests.support.gateway_node import SETTINGS, run_gateway, wait_until
 from tests.support.resp_encoding import encode_call, encode_command
 
@@ -36,7 +36,7 @@
 async def test_process_that_can_not_hand_over_its_listener_serves_on(tmp_path, monkeypatch):
     async with run_gateway() as old:
         old.handover.sender.path = tmp_path / "rendezvous"
-        old.handover.wait()
+        old.handover.listen()
         monkeypatch.setattr(handover_sender, "os", FailingDup(1_000_000))
         assert await request_handover(old.handover.path) is None
         assert not old.client_listener.is_suspended
@@ -50,16 +50,16 @@
         await wait_until(lambda: old.handover.sender.state is SenderState.LISTENING)
 
 
-async def test_connection_is_passed_on_once_descriptors_are_left(tmp_path, monkeypatch):
+async def test_connection_is_handed_over_once_descriptors_are_left(tmp_path, monkeypatch):
     async with run_gateway() as old, run_gateway() as new:
         old.handover.sender.path = new.handover.sender.path = tmp_path / "rendezvous"
-        old.handover.wait()
+        old.handover.listen()
         clients = [await old.connect_client() for _ in range(3)]
         for client in clients:
             assert await client.request(encode_command("PING")) == b"PONG"
         handover_state = await request_handover(new.handover.path)
         monkeypatch.setattr(client_connection, "os", FailingDup(2))
-        new.handover.took_over(handover_state, 0)
+        new.handover.take_over(handover_state, 0)
         await wait_until(lambda: len(new.client_listener.connections) == 3)
         assert not old.client_listener.connections
         for client in clients:
@@ -72,7 +72,7 @@
 async def test_process_that_has_stopped_listening_is_not_asked_again(tmp_path):
     async with run_gateway() as old:
         old.handover.sender.path = tmp_path / "rendezvous"
-        old.handover.wait()
+        old.handover.listen()
         shutdown = asyncio.create_task(
             shut_down_gracefully(SETTINGS, old.driver, old.client_listener, old.handover)
         )
@@ -86,7 +86,7 @@
         await shutdown
 
 
-async def test_half_a_body_is_overdue_in_its_time_however_often_its_connection_is_passed_on(monkeypatch):
+async def test_half_a_body_is_overdue_in_its_time_however_often_its_connection_is_handed_over(monkeypatch):
     monkeypatch.setattr(idle_connections, "COMMAND_TIMEOUT_S", 0.3)
     monkeypatch.setattr(command_intake, "BODY_GAP_TIMEOUT_S", 3600.0)  # it counts as arriving for long
     async with run_gateway() as gateway:
--- a/tests/net/test_transient_faults.py
+++ b/tests/net/test_transient_faults.py
@@ -14,7 +14,7 @@
 from quota_gateway.net.clients.buffer_budget import BufferBudget, BufferUsage
 from quota_gateway.net.discovery.endpoint_registry import EndpointRegistry
 from quota_gateway.net.discovery.json_lines import JsonLineReader
-from quota_gateway.net.discovery.snapshot_reader import StreamingSnapshotReader
+from quota_gateway.net.discovery.streaming_snapshot_reader import StreamingSnapshotReader
 from quota_gateway.net.handover import rendezvous
 from quota_gateway.net.handover import sender as handover_sender
 from quota_gateway.net.timer_queue import TimerQueue
@@ -100,7 +100,7 @@
     )
     async with run_gateway() as gateway:
         gateway.handover.sender.path = tmp_path / "rendezvous"
-        gateway.handover.wait()
+        gateway.handover.listen()
         assert gateway.handover.sender.listener is None
         await wait_until(lambda: gateway.handover.sender.listener)
         gateway.handover.close()
@@ -119,13 +119,8 @@
         def watch(self, address):
             watched.set_result(address)
 
-    class Server(server_module.GatewayServer):
-        def __init__(self):
-            self.config = type("Config", (), {"path": path})
-            self.discovery = Discovery()
-            self._reload_requested = asyncio.Event()
-
-    reload = asyncio.create_task(Server()._reload())
+    reloader = server_module.ConfigurationReloader(path, Discovery())
+    reload = asyncio.create_task(reloader.reload())
     await asyncio.sleep(0)
     assert not watched.done()
     path.write_text(json.dumps({"discovery": "127.0.0.1:8500"}))
--- a/tests/unit/test_config.py
+++ b/tests/unit/test_config.py
@@ -259,3 +259,17 @@
     monkeypatch.setattr("quota_gateway.config.time", None)  # nothing waits
     with pytest.raises(ConfigError, match="can not be read"):
         load_config({"EDGE_CONFIG": str(tmp_path / "missing.json")})
+
+
+def test_error_carries_the_key_of_the_operator_its_value_and_what_is_allowed(tmp_path):
+    malformed = MalformedField(("limits", "sockets"), "many", ())
+    with pytest.raises(InvalidFieldError) as caught:
+        load_config(write(tmp_path, malformed.document()))
+    error = caught.value
+    assert (error.field, error.value, error.reason) == ("config.limits.sockets", "many", "is not a number")
+
+
+def test_error_carries_the_key_that_is_missing(tmp_path):
+    with pytest.raises(MissingFieldError) as caught:
+        load_config(write(tmp_path, missing("limits", "memory_mb").document()))
+    assert caught.value.field == "config.limits.memory_mb"
