--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -14,11 +14,13 @@
 
 import structlog
 
-from soak.oracle import Oracle
+from soak.oracle import find_violations
 from soak.planted import PLANTED_FAULTS
-from soak.play import SoakPlay, save
-from soak.records import SoakRecords, Violation
+from soak.play import SoakPlay
+from soak.records import SoakRecords
+from soak.records_file import write_records
 from soak.settings import SoakConfig
+from soak.violation import Violation
 
 SHOWN_PER_CHECK = 3
 RECORDS_FILE = "records.json"
@@ -29,23 +31,23 @@
     shutil.rmtree(folder, ignore_errors=True)  # of an earlier play
     folder.mkdir(parents=True)
     records = asyncio.run(SoakPlay(config, folder).run())
-    save(records, folder / RECORDS_FILE)
-    return records, Oracle(records).violations()
+    write_records(records, folder / RECORDS_FILE)
+    return records, find_violations(records)
 
 
 def describe(records: SoakRecords, violations: list[Violation]) -> str:
     """One line on a play, then some of each kind of violation."""
     ends = Counter(request.end for request in records.requests)
     replies = Counter(request.reply.split(" ")[0] for request in records.requests if request.reply)
-    checks = Counter(violation.check for violation in violations)
+    rules = Counter(violation.rule for violation in violations)
     lines = [
         f"{len(records.requests)} requests {dict(ends)} {dict(replies)}, {len(records.commands)} attempts, "
-        f"{len(records.troubles)} troubles, {len(records.processes)} gateway processes: "
-        f"{dict(checks) or 'no violation'}"
+        f"{len(records.faults)} faults, {len(records.processes)} gateway processes: "
+        f"{dict(rules) or 'no violation'}"
     ]
-    for check in checks:
-        some = [violation for violation in violations if violation.check == check][:SHOWN_PER_CHECK]
-        lines += [f"  {check}: {violation.subject}: {violation.detail}" for violation in some]
+    for rule in rules:
+        some = [violation for violation in violations if violation.rule == rule][:SHOWN_PER_CHECK]
+        lines += [f"  {rule}: {violation.subject}: {violation.detail}" for violation in some]
     return "\n".join(lines)
 
 
@@ -73,13 +75,13 @@
                 arguments.seconds,
                 troubles_per_s=arguments.troubles,
                 planted=name,
-                kinds=fault.kinds,
+                kinds=fault.injected,
             )
             _, violations = play(config, arguments.out / f"{name}-{seed}")
-            counts = Counter(violation.check for violation in violations)
-            is_met = counts[fault.check] > 0
+            counts = Counter(violation.rule for violation in violations)
+            is_met = counts[fault.rule] > 0
             print(
-                f"{name}: seed {seed}, {fault.check} {'met' if is_met else 'NOT met'}: {dict(counts)}",
+                f"{name}: seed {seed}, {fault.rule} {'met' if is_met else 'NOT met'}: {dict(counts)}",
                 flush=True,
             )
             if is_met:
--- a/soak/clients.py
+++ b/soak/clients.py
@@ -12,10 +12,14 @@
 import hiredis
 
 from soak.loop_lag import LoopLag
-from soak.records import RequestRecord
-
-JUNK = "junk"
-"""The class under which the record of a peer stands that sends no proper request."""
+from soak.records import (
+    VALUE_REPLY,
+    WRONG_VALUE_PREFIX,
+    ClientBehaviour,
+    RequestClass,
+    RequestEnd,
+    RequestRecord,
+)
 
 PEER_GRACE_S = 3.0
 """TERMS: such a peer is owed an error line or a close within this time."""
@@ -177,8 +181,8 @@
         connection.close(with_reset=self._random.random() < 0.5)
         waiting.cancel()
         for record in records:
-            if record.end == "silent":
-                record.end = "left"
+            if record.end == RequestEnd.UNANSWERED:
+                record.end = RequestEnd.CLIENT_DISCONNECTED
                 record.ended_s = time.monotonic()
 
     async def _behave_leave_early(self, connection: SoakConnection) -> None:
@@ -188,7 +192,7 @@
         self._sent(connection, [record])
         connection.close(with_reset=self._random.random() < 0.5)
         record.ended_s = time.monotonic()
-        record.end = "left"
+        record.end = RequestEnd.CLIENT_DISCONNECTED
 
     async def _behave_slow_writer(self, connection: SoakConnection) -> None:
         data, record = self._make_command(connection)
@@ -222,15 +226,15 @@
     async def _send_junk(self, connection: SoakConnection, data: bytes) -> None:
         """Send what is no request, and stay: an error line or a close is owed."""
         connection.writer.write(data)
-        record = self._record(connection, JUNK, PEER_GRACE_S)
+        record = self._record(connection, RequestClass.MALFORMED, PEER_GRACE_S)
         self._sent(connection, [record])
         try:
             await asyncio.wait_for(connection.read_reply(), PEER_GRACE_S + EXTRA_WAIT_S)
-            record.end = "answered"
+            record.end = RequestEnd.ANSWERED
         except TimeoutError:
-            record.end = "silent"
+            record.end = RequestEnd.UNANSWERED
         except (EOFError, OSError, hiredis.ProtocolError):
-            record.end = "closed"
+            record.end = RequestEnd.GATEWAY_DISCONNECTED
         self._note_end(record)
 
     # ---- Requests
@@ -246,8 +250,8 @@
         self._next_id += 1
         record = RequestRecord(
             f"{self._next_id:016x}",
-            class_name,
-            connection.behaviour,
+            RequestClass(class_name),
+            ClientBehaviour(connection.behaviour),
             connection.gateway,
             connection.connected_s,
             0.0,
@@ -277,7 +281,7 @@
         now_s = time.monotonic()
         for record in records:
             record.sent_s = now_s
-            record.end = "silent"
+            record.end = RequestEnd.UNANSWERED
         connection.request_count += len(records)
         return records
 
@@ -292,13 +296,13 @@
             except TimeoutError:
                 self._note_end(record)
                 for unread in records[position + 1 :]:
-                    unread.end = "left"
+                    unread.end = RequestEnd.CLIENT_DISCONNECTED
                     self._note_end(unread)
                 raise
             except (EOFError, OSError, hiredis.ProtocolError):
                 self._note_closed(connection, records[position:])
                 raise EOFError from None
-            record.end = "answered"
+            record.end = RequestEnd.ANSWERED
             record.reply = _describe(reply, record.request_id)
             self._note_end(record)
             before_s = record.ended_s
@@ -307,11 +311,11 @@
     def _note_closed(self, connection: SoakConnection, unanswered: list[RequestRecord]) -> None:
         """Note requests whose connection has ended, unless the client ended it itself."""
         for record in unanswered:
-            if record.end == "silent":
-                record.end = "closed"
+            if record.end == RequestEnd.UNANSWERED:
+                record.end = RequestEnd.GATEWAY_DISCONNECTED
                 self._note_end(record)
-        if connection.has_partial_reply and unanswered[0].end == "closed":
-            unanswered[0].end = "truncated"
+        if connection.has_partial_reply and unanswered[0].end == RequestEnd.GATEWAY_DISCONNECTED:
+            unanswered[0].end = RequestEnd.TRUNCATED
 
     def _note_end(self, record: RequestRecord) -> None:
         record.ended_s = time.monotonic()
@@ -324,4 +328,4 @@
     value = reply[0] if isinstance(reply, list) and reply else reply
     expected = request_id.encode()
     is_right = isinstance(value, bytes) and value and value == expected * (len(value) // len(expected))
-    return "value" if is_right else f"wrong {value!r:.40}"
+    return VALUE_REPLY if is_right else f"{WRONG_VALUE_PREFIX} {value!r:.40}"
--- a/soak/gateways.py
+++ b/soak/gateways.py
@@ -17,9 +17,10 @@
 from scale.child_process import ChildProcess
 from scale.fleet.gateways import gateway_command
 from scale.supervisor import Supervisor
-from soak.records import Interval, ProcessEnd, Violation
+from soak.records import Detachment, GatewayOutage, GatewayShutdown, OutageKind, ProcessEnd
 from soak.settings import DEADLINE_S, KILL_GRACE_S
 from soak.shim import ShimControl
+from soak.violation import Rule, Violation
 
 READY_TIMEOUT_S = 10.0
 READY_INTERVAL_S = 0.03
@@ -112,9 +113,9 @@
         self.lock = asyncio.Lock()  # one change of its processes at a time
         self.control = ShimControl(folder / f"soak-control-{index}")
         self.processes: list[GatewayProcess] = []
-        self.outages: list[Interval] = []  # it was killed, or is overdue: requests may be lost
-        self.stops: list[Interval] = []  # from SIGTERM to the end
-        self.detachments: list[Interval] = []
+        self.outages: list[GatewayOutage] = []  # it was killed, or is overdue: requests may be lost
+        self.shutdowns: list[GatewayShutdown] = []  # from SIGTERM to the end
+        self.detachments: list[Detachment] = []
         self.start_violations: list[Violation] = []
         self._detached: dict[str, float] = {}
         self._supervisor = supervisor
@@ -173,7 +174,7 @@
                 return True
             await asyncio.sleep(READY_INTERVAL_S)
         if not process.was_killed:
-            self.start_violations.append(Violation("start", process.child.name, "not ready within 10 s"))
+            self.start_violations.append(Violation(Rule.START, process.child.name, "not ready within 10 s"))
         return False
 
     async def _end(self, process: GatewayProcess, timeout_s: float) -> None:
@@ -184,7 +185,7 @@
             process.is_overdue = True
             process.kill()
             await process.wait_for_end(timeout_s)
-        self.stops.append(Interval("stop", str(self.index), start_s, time.monotonic()))
+        self.shutdowns.append(GatewayShutdown(gateway=self.index, start_s=start_s, end_s=time.monotonic()))
 
     def _forget_detachments(self) -> None:
         """A process that starts from nothing knows of none."""
@@ -203,7 +204,9 @@
         start_s = time.monotonic()
         self.current.kill()
         await self.current.wait_for_end(1.0)
-        self.outages.append(Interval("crash", str(self.index), start_s, time.monotonic()))
+        self.outages.append(
+            GatewayOutage(kind=OutageKind.CRASH, gateway=self.index, start_s=start_s, end_s=time.monotonic())
+        )
         await self.wait_until_ready(await self.start())
 
     async def upgrade(self) -> None:
@@ -236,14 +239,21 @@
             await asyncio.sleep(READY_INTERVAL_S)
         if not await old.is_ready():
             detail = "does not serve on after the new version died"
-            self.start_violations.append(Violation("start", old.child.name, detail))
+            self.start_violations.append(Violation(Rule.START, old.child.name, detail))
 
     async def _kill_new(self, old: GatewayProcess, new: GatewayProcess) -> None:
         """Kill a new version; the old one is the current process again."""
         start_s = time.monotonic()
         new.kill()
         await new.wait_for_end(1.0)
-        self.outages.append(Interval("new dies", str(self.index), start_s, time.monotonic()))
+        self.outages.append(
+            GatewayOutage(
+                kind=OutageKind.NEW_VERSION_KILLED,
+                gateway=self.index,
+                start_s=start_s,
+                end_s=time.monotonic(),
+            )
+        )
         self.processes.remove(new)
         self.processes.insert(self.processes.index(old), new)
 
@@ -254,7 +264,14 @@
             start_s = time.monotonic()
             old.kill()
             await old.wait_for_end(1.0)
-            self.outages.append(Interval("old dies", str(self.index), start_s, time.monotonic()))
+            self.outages.append(
+                GatewayOutage(
+                    kind=OutageKind.OLD_VERSION_KILLED,
+                    gateway=self.index,
+                    start_s=start_s,
+                    end_s=time.monotonic(),
+                )
+            )
 
     async def pause(self, seconds: float) -> None:
         """It is held up for a moment."""
@@ -285,7 +302,9 @@
     def _note_attached(self, server: str) -> None:
         since_s = self._detached.pop(server, None)
         if since_s is not None:
-            self.detachments.append(Interval(server, str(self.index), since_s, time.monotonic()))
+            self.detachments.append(
+                Detachment(server=server, gateway=self.index, start_s=since_s, end_s=time.monotonic())
+            )
 
     # ---- The end of the play
 
--- /dev/null
+++ b/soak/oracle/record_index.py
@@ -0,0 +1,46 @@
+"""The records of a play, indexed for the rules."""
+
+from __future__ import annotations
+
+from collections import defaultdict
+from collections.abc import Iterator
+
+from soak.records import CommandRecord, RequestRecord, SoakRecords
+
+
+class RecordIndex:
+    """The records of a play, with each request's attempts.
+
+    Attributes:
+        records: The records.
+        commands_by_request: The attempts by the id of their request, in the order of receipt.
+    """
+
+    def __init__(self, records: SoakRecords) -> None:
+        self.records = records
+        self.commands_by_request: dict[str, list[CommandRecord]] = defaultdict(list)
+        self._requests = {request.request_id: request for request in records.requests}
+        for command in sorted(records.commands, key=lambda command: command.received_s):
+            self.commands_by_request[command.request_id].append(command)
+
+    def request(self, request_id: str) -> RequestRecord | None:
+        """Return a request; none if no client recorded it."""
+        return self._requests.get(request_id)
+
+    def attempts(self) -> Iterator[tuple[RequestRecord, CommandRecord]]:
+        """Yield each attempt with its request."""
+        for request_id, commands in self.commands_by_request.items():
+            request = self.request(request_id)
+            if request:
+                yield from ((request, command) for command in commands)
+
+    def gateway_of(self, command: CommandRecord) -> int | None:
+        """Return the index of the gateway that sent an attempt; none if no client recorded its request."""
+        request = self.request(command.request_id)
+        return request.gateway if request else None
+
+    def received_by(self, server: str, start_s: float, end_s: float) -> Iterator[CommandRecord]:
+        """Yield the attempts that a server received between two times."""
+        for command in self.records.commands:
+            if command.server == server and start_s < command.earliest_received_s < end_s:
+                yield command
--- a/soak/planted.py
+++ b/soak/planted.py
@@ -19,6 +19,8 @@
 from quota_gateway.policy import engine, retries
 from quota_gateway.policy.endpoints import EndpointTable
 from quota_gateway.policy.slow_start import SlowStart
+from soak.fault_kinds import FaultKind
+from soak.violation import Rule
 
 RARE_SHARE = 0.01
 DROPPED_SHARE = 0.05
@@ -162,26 +164,50 @@
 
 
 class PlantedFault(NamedTuple):
-    """A fault, the oracle's check that is due to meet it, and troubles without which it does not show."""
+    """A fault of the program.
+
+    Attributes:
+        plant: Patches the program of this process.
+        rule: The rule that the oracle must find broken.
+        injected: The faults without whose injection it does not show.
+    """
 
     plant: Callable[[], None]
-    check: str
-    kinds: tuple[str, ...] = ()
+    rule: Rule
+    injected: tuple[FaultKind, ...] = ()
 
 
 PLANTED_FAULTS: dict[str, PlantedFault] = {
-    "extend_deadline": PlantedFault(_extend_deadline, "deadline"),
-    "repeat_unsafe": PlantedFault(_repeat_unsafe, "repeat", ("reset_under", "fail")),
-    "ignore_client_end": PlantedFault(_ignore_client_end, "client_gone", ("slow", "busy", "busy", "hang")),
-    "drop_answers": PlantedFault(_drop_answers, "answered"),
-    "ignore_drain": PlantedFault(_ignore_drain, "drain", ("drain", "drain")),
-    "ignore_detach": PlantedFault(_ignore_detach, "detached", ("detach", "detach")),
-    "reject_after_run": PlantedFault(_reject_after_run, "reject", ("fail", "reset_under")),
-    "mix_values": PlantedFault(_mix_values, "value"),
-    "close_queue_unread": PlantedFault(_close_queue_unread, "answered", ("restart", "restart", "tcp_calls")),
-    "crash_on_reload": PlantedFault(_crash_on_reload, "process", ("reload",)),
-    "ignore_slow_start": PlantedFault(_ignore_slow_start, "slow_start", ("replace", "replace", "replace")),
-    "close_while_owed": PlantedFault(_close_while_owed, "process"),
+    "extend_deadline": PlantedFault(_extend_deadline, Rule.DEADLINE),
+    "repeat_unsafe": PlantedFault(
+        _repeat_unsafe, Rule.REPEAT, (FaultKind.RESET_DURING_REQUEST, FaultKind.ERROR_REPLY)
+    ),
+    "ignore_client_end": PlantedFault(
+        _ignore_client_end,
+        Rule.CLIENT_GONE,
+        (FaultKind.SLOW, FaultKind.OVERLOADED, FaultKind.OVERLOADED, FaultKind.HANG),
+    ),
+    "drop_answers": PlantedFault(_drop_answers, Rule.ANSWERED),
+    "ignore_drain": PlantedFault(_ignore_drain, Rule.DRAIN, (FaultKind.SERVER_DRAIN, FaultKind.SERVER_DRAIN)),
+    "ignore_detach": PlantedFault(
+        _ignore_detach, Rule.DETACHED, (FaultKind.SERVER_DETACHMENT, FaultKind.SERVER_DETACHMENT)
+    ),
+    "reject_after_run": PlantedFault(
+        _reject_after_run, Rule.REJECT, (FaultKind.ERROR_REPLY, FaultKind.RESET_DURING_REQUEST)
+    ),
+    "mix_values": PlantedFault(_mix_values, Rule.VALUE),
+    "close_queue_unread": PlantedFault(
+        _close_queue_unread,
+        Rule.ANSWERED,
+        (FaultKind.GATEWAY_RESTART, FaultKind.GATEWAY_RESTART, FaultKind.TCP_CALLS_FAIL),
+    ),
+    "crash_on_reload": PlantedFault(_crash_on_reload, Rule.PROCESS, (FaultKind.DISCOVERY_MOVE,)),
+    "ignore_slow_start": PlantedFault(
+        _ignore_slow_start,
+        Rule.SLOW_START,
+        (FaultKind.SERVER_REPLACEMENT, FaultKind.SERVER_REPLACEMENT, FaultKind.SERVER_REPLACEMENT),
+    ),
+    "close_while_owed": PlantedFault(_close_while_owed, Rule.PROCESS),
 }
 """The planted faults by name."""
 
--- a/soak/play.py
+++ b/soak/play.py
@@ -9,11 +9,11 @@
 from pathlib import Path
 from typing import Any
 
-import msgspec
 import structlog
 
 from scale.child_process import RoleProcess
 from scale.supervisor import Supervisor
+from soak.fault_kinds import FaultKind
 from soak.gateways import SoakGateway
 from soak.plan import (
     LINK_TROUBLES,
@@ -23,12 +23,17 @@
     Trouble,
     draw_plan,
 )
-from soak.records import CommandRecord, EndpointChange, Interval, RequestRecord, SoakRecords
-from soak.settings import CLASSES, SoakConfig, gateway_settings
+from soak.records import (
+    CommandRecord,
+    EndpointChange,
+    FaultRecord,
+    RequestRecord,
+    ServerColdStart,
+    SoakRecords,
+)
+from soak.settings import CLASSES, MEAN_SERVICE_S, SERVER_CAPACITY, SoakConfig, gateway_settings
 from soak.shim import build_shim
 
-SERVER_CAPACITY = 4
-MEAN_SERVICE_S = 0.045
 DRAIN_S = 11.0
 GONE_S = 1.0
 MAX_PAUSE_S = 0.12
@@ -123,12 +128,13 @@
             records.requests += await child.call("records", list[RequestRecord])
         for child in set(self._servers.values()):
             records.commands += await child.call("records", list[CommandRecord])
-        records.changes = await self._discovery.call("records", list[EndpointChange])
+        records.endpoint_changes = await self._discovery.call("records", list[EndpointChange])
         for gateway in self._gateways:
             records.processes += await gateway.finish()
             records.detachments += gateway.detachments
-            records.troubles += gateway.outages + gateway.stops
-            records.starts += gateway.start_violations
+            records.outages += gateway.outages
+            records.shutdowns += gateway.shutdowns
+            records.start_violations += gateway.start_violations
 
     # ---- Troubles
 
@@ -141,8 +147,14 @@
             await self._play_at(self._proxy, trouble)
         else:
             await getattr(self, f"_play_{trouble.kind}")(trouble)
-        target = f"{trouble.server} n{trouble.gateway}"
-        self._records.troubles.append(Interval(trouble.kind, target, begin_s, time.monotonic()))
+        record = FaultRecord(
+            kind=FaultKind(trouble.kind),
+            server=trouble.server,
+            gateway=trouble.gateway,
+            start_s=begin_s,
+            end_s=time.monotonic(),
+        )
+        self._records.faults.append(record)
 
     async def _play_at(self, child: RoleProcess, trouble: Trouble) -> None:
         async with self._reserved(trouble.server) as is_free:
@@ -198,7 +210,7 @@
         await asyncio.sleep(GONE_S)
         await child.command("end_trouble", server=server)
         started_at_ms = int(time.time() * 1000.0)
-        self._records.troubles.append(Interval("cold", server, time.monotonic(), time.monotonic()))
+        self._records.cold_starts.append(ServerColdStart(server, time.monotonic()))
         await self._discovery.command(
             "publish", server=server, lifecycle="Ready", started_at_ms=started_at_ms
         )
@@ -296,8 +308,3 @@
         "weight": 1.0,
         "startedAtMs": 0,
     }
-
-
-def save(records: SoakRecords, path: Path) -> None:
-    """Keep what was recorded."""
-    path.write_bytes(msgspec.json.encode(records))
--- a/soak/settings.py
+++ b/soak/settings.py
@@ -8,7 +8,7 @@
 
 from scale.fleet.gateway_settings import settings_document
 
-KEYED_WINDOW_S = 1.0
+IDEMPOTENCY_WINDOW_S = 1.0
 DEADLINE_S = 1.5
 DRAIN_GRACE_S = 1.0
 KILL_GRACE_S = 0.7
@@ -16,6 +16,10 @@
 WARM_UP_S = 5.0
 OVERLOAD_FACTOR = 2.0
 OVERLOAD_WINDOW_S = 2.0
+SERVER_CAPACITY = 4
+"""Requests that a server works on at a time without getting slower."""
+
+MEAN_SERVICE_S = 0.045
 CLASSES = {"read": "safe", "keyed": "keyed", "order": "unsafe"}
 """The classes by name, and whether they may be repeated, in the words of the settings."""
 
@@ -71,7 +75,7 @@
             "effect": effect,
             "slo_ms": 600.0,
             "hard_limit_ms": 1000.0 * DEADLINE_S,
-            "memory_span_ms": 1000.0 * KEYED_WINDOW_S,
+            "memory_span_ms": 1000.0 * IDEMPOTENCY_WINDOW_S,
         }
         for name, effect in CLASSES.items()
     ]
--- a/tests/soak/test_oracle.py
+++ b/tests/soak/test_oracle.py
@@ -4,17 +4,26 @@
 
 import pytest
 
-from soak.oracle import Oracle
+from soak.fault_kinds import FaultKind
+from soak.oracle import find_violations
 from soak.planted import PLANTED_FAULTS
 from soak.records import (
+    ClientBehaviour,
     CommandRecord,
+    Detachment,
     EndpointChange,
-    Interval,
+    FaultRecord,
+    GatewayOutage,
+    GatewayShutdown,
+    OutageKind,
     ProcessEnd,
+    RequestClass,
+    RequestEnd,
     RequestRecord,
+    ServerColdStart,
     SoakRecords,
-    Violation,
 )
+from soak.violation import Rule, Violation
 
 SENT_S = 100.0
 TIMEOUT_S = 1.0
@@ -25,19 +34,22 @@
     values = {
         "request_id": "r",
         "class_name": "order",
-        "behaviour": "steady",
+        "behaviour": ClientBehaviour.STEADY,
         "gateway": 1,
         "connected_s": SENT_S,
         "sent_s": SENT_S,
         "timeout_s": TIMEOUT_S,
         "is_first": True,
-        "rested_s": 0.0,
+        "idle_before_s": 0.0,
         "due_s": SENT_S + TIMEOUT_S + 0.5,
         "end": "answered",
         "ended_s": SENT_S + 0.1,
         "reply": "value",
     }
-    return RequestRecord(**{**values, **fields})
+    values |= fields
+    values["class_name"] = RequestClass(values["class_name"])
+    values["end"] = RequestEnd(values["end"])
+    return RequestRecord(**values)
 
 
 def command(after_s=0.01, **fields):
@@ -47,15 +59,35 @@
         "server": "s-1",
         "received_s": SENT_S + after_s,
         "lag_s": 0.0,
-        "told_s": TIMEOUT_S - after_s,
-        "has_run": True,
+        "remaining_timeout_s": TIMEOUT_S - after_s,
+        "was_executed": True,
     }
     return CommandRecord(**{**values, **fields})
 
 
-def interval(kind, start_s, end_s, target="1"):
+def span(start_s, end_s):
     """Something that began and ended so long after the request was sent."""
-    return Interval(kind, target, SENT_S + start_s, SENT_S + end_s)
+    return {"start_s": SENT_S + start_s, "end_s": SENT_S + end_s}
+
+
+def fault(kind, start_s, end_s, server="s-2", gateway=1):
+    """An injected fault."""
+    return FaultRecord(kind=FaultKind(kind), server=server, gateway=gateway, **span(start_s, end_s))
+
+
+def crash(start_s, end_s, gateway=1):
+    """A crash of a gateway."""
+    return GatewayOutage(kind=OutageKind.CRASH, gateway=gateway, **span(start_s, end_s))
+
+
+def shutdown(start_s, end_s):
+    """A shutdown of the request's gateway."""
+    return GatewayShutdown(gateway=1, **span(start_s, end_s))
+
+
+def detachment(start_s, end_s, gateway=1):
+    """A detachment of the command's server."""
+    return Detachment(server="s-1", gateway=gateway, **span(start_s, end_s))
 
 
 def process(**fields):
@@ -87,32 +119,32 @@
     "late": case("answered", requests=[request(ended_s=SENT_S + TIMEOUT_S + 0.6)]),
     "late as the client was held up": case(requests=[request(ended_s=SENT_S + 1.6, lag_s=0.1)]),
     "closed": case("answered", requests=[CLOSED]),
-    "closed in a crash": case(requests=[CLOSED], troubles=[interval("crash", 0.05, 0.2)]),
+    "closed in a crash": case(requests=[CLOSED], outages=[crash(0.05, 0.2)]),
     "closed in a crash of another": case(
-        "answered", requests=[CLOSED], troubles=[interval("crash", 0.05, 0.2, target="2")]
+        "answered", requests=[CLOSED], outages=[crash(0.05, 0.2, gateway=2)]
     ),
     "closed while it rested": case(
-        requests=[request(end="closed", reply="", is_first=False, rested_s=2.1)], commands=[]
+        requests=[request(end="closed", reply="", is_first=False, idle_before_s=2.1)], commands=[]
     ),
     "closed after it rested, but it was read": case(
-        "answered", requests=[request(end="closed", reply="", is_first=False, rested_s=2.1)]
+        "answered", requests=[request(end="closed", reply="", is_first=False, idle_before_s=2.1)]
     ),
     "first, closed in a shutdown": case(
-        "answered", requests=[CLOSED], commands=[], troubles=[interval("stop", -0.1, 0.4)]
-    ),
-    "first, after the last accept": case(
-        requests=[CLOSED], commands=[], troubles=[interval("stop", -0.45, 0.4)]
+        "answered", requests=[CLOSED], commands=[], shutdowns=[shutdown(-0.1, 0.4)]
     ),
+    "first, after the last accept": case(requests=[CLOSED], commands=[], shutdowns=[shutdown(-0.45, 0.4)]),
     "unsent": case(requests=[request(end="unsent", sent_s=0.0, reply="")], commands=[]),
     "bad peer without an end": case(
         "answered", requests=[request(class_name="junk", end="silent", reply="")], commands=[]
     ),
-    "told too much": case("deadline", commands=[command(0.5, told_s=0.7)]),
-    "told too much by a server that did not read": case(commands=[command(0.5, told_s=0.7, lag_s=1e9)]),
+    "told too much": case("deadline", commands=[command(0.5, remaining_timeout_s=0.7)]),
+    "told too much by a server that did not read": case(
+        commands=[command(0.5, remaining_timeout_s=0.7, lag_s=1e9)]
+    ),
     "after its client": case("client_gone", requests=[LEFT], commands=[command(0.4)]),
     "just after its client": case(requests=[LEFT], commands=[command(0.25)]),
     "order ran twice": case("repeat", commands=[command(), command(0.1)]),
-    "order turned away, then run": case(commands=[command(has_run=False), command(0.1)]),
+    "order turned away, then run": case(commands=[command(was_executed=False), command(0.1)]),
     "keyed after its window": case(
         "repeat", requests=[request(class_name="keyed", timeout_s=3.0)], commands=[command(), command(1.2)]
     ),
@@ -121,42 +153,43 @@
     "rejected before it ran": case(requests=[request(reply="BUSY")], commands=[]),
     "wrong value": case("value", requests=[request(reply="wrong b''")]),
     "to a draining server": case(
-        "drain", changes=[DRAINED], requests=[request(sent_s=SENT_S + 3.0)], commands=[command(3.0)]
+        "drain", endpoint_changes=[DRAINED], requests=[request(sent_s=SENT_S + 3.0)], commands=[command(3.0)]
     ),
-    "to a draining server in its grace": case(changes=[DRAINED], commands=[command(0.9)]),
+    "to a draining server in its grace": case(endpoint_changes=[DRAINED], commands=[command(0.9)]),
     "draining while discovery was silent": case(
-        changes=[DRAINED],
+        endpoint_changes=[DRAINED],
         requests=[request(sent_s=SENT_S + 3.0)],
         commands=[command(3.0)],
-        troubles=[interval("silent", -1.0, 2.0)],
+        faults=[fault("silent", -1.0, 2.0)],
     ),
-    "to a detached server": case("detached", detachments=[interval("s-1", -0.5, 1.0)]),
-    "detached at another gateway": case(detachments=[interval("s-1", -0.5, 1.0, target="2")]),
+    "to a detached server": case("detached", detachments=[detachment(-0.5, 1.0)]),
+    "detached at another gateway": case(detachments=[detachment(-0.5, 1.0, gateway=2)]),
     "cold server": case(
         "slow_start",
         requests=[],
         commands=[command(0.001 * number, request_id=f"{number}") for number in range(200)],
-        troubles=[interval("cold", 0.0, 0.0, target="s-1")],
+        cold_starts=[ServerColdStart("s-1", SENT_S)],
     ),
     "cold server, of whose start nobody was told": case(
         requests=[],
         commands=[command(0.001 * number, request_id=f"{number}") for number in range(200)],
-        troubles=[interval("cold", 0.0, 0.0, target="s-1"), interval("refuse", -1.0, 4.0, target="s-2 n1")],
+        cold_starts=[ServerColdStart("s-1", SENT_S)],
+        faults=[fault("refuse", -1.0, 4.0)],
     ),
     "crashed": case("process", processes=[process(exit_code=1)]),
     "killed": case(processes=[process(exit_code=-9, was_killed=True)]),
     "overdue": case("process", processes=[process(was_killed=True, is_overdue=True)]),
     "traceback": case("process", processes=[process(log="x\nTraceback (most recent call last):\n")]),
     "invariant": case("process", processes=[process(violations=2)]),
-    "not ready": case("start", starts=[Violation("start", "gateway-1-0", "not ready")]),
+    "not ready": case("start", start_violations=[Violation(Rule.START, "gateway-1-0", "not ready")]),
 }
 
 
 @pytest.mark.parametrize("name", CASES)
 def test_oracle_finds_what_is_broken_and_nothing_else(name):
-    assert tuple({found.check for found in Oracle(CASES[name].records).violations()}) == CASES[name].checks
+    assert tuple({found.rule for found in find_violations(CASES[name].records)}) == CASES[name].checks
 
 
 def test_each_planted_fault_is_due_to_be_met_by_a_check_that_is_tried_here():
     tried = {check for item in CASES.values() for check in item.checks}
-    assert {fault.check for fault in PLANTED_FAULTS.values()} <= tried
+    assert {fault.rule for fault in PLANTED_FAULTS.values()} <= tried
--- a/tests/soak/test_play.py
+++ b/tests/soak/test_play.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from soak.oracle import Oracle
+from soak.oracle import find_violations
 from soak.plan import KIND_WEIGHTS, draw_plan
 from soak.play import SoakPlay
 from soak.settings import SoakConfig
@@ -38,7 +38,7 @@
     )
     records = asyncio.run(SoakPlay(config, tmp_path).run())
     answered = Counter(request.end for request in records.requests)["answered"]
-    checks = Counter(violation.check for violation in Oracle(records).violations())
+    checks = Counter(violation.rule for violation in find_violations(records))
     assert ("answered" in checks) == bool(planted)
     if not planted:
         assert not checks
