--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized fault soak: real processes on loopback, overlapping troubles, the invariants as its oracle."""
+"""A randomized soak: real gateways on loopback under overlapping injected faults, judged by an oracle."""
--- a/soak/child.py
+++ b/soak/child.py
@@ -1,9 +1,9 @@
-"""A child of a soak: one of its roles, commanded as the children of a scale run are."""
+"""A child process of a soak: one of its roles, commanded as the children of a scale run are."""
 
 from __future__ import annotations
 
 from scale.child import run_child
-from soak.clients import SoakClients
+from soak.clients.role import SoakClients
 from soak.discovery import SoakDiscovery
 from soak.proxy import FaultProxy
 from soak.servers import SoakServers
--- /dev/null
+++ b/soak/clients/role.py
@@ -0,0 +1,76 @@
+"""The clients of one process, as a child's role."""
+
+from __future__ import annotations
+
+import asyncio
+import random
+from contextlib import suppress
+
+from soak.clients.behaviours import BEHAVIOUR_WEIGHTS, behave
+from soak.clients.commands import CommandSource
+from soak.clients.connection import ClientConnection
+from soak.clients.session import ClientContext, ClientSession
+from soak.loop_lag import LoopLag
+from soak.records import RequestClass, RequestRecord
+
+RECONNECT_INTERVAL_S = 0.05
+
+
+class SoakClients:
+    """Clients that connect to gateways at random, again and again.
+
+    Args:
+        gateway_ports: The port of each gateway.
+        class_names: The classes of their requests.
+        connections: Connections at a time.
+        seed: The seed of the play.
+        number: The number of this process.
+    """
+
+    def __init__(
+        self, gateway_ports: list[int], class_names: list[str], connections: int, seed: int, number: int
+    ) -> None:
+        self._gateway_ports = gateway_ports
+        self._connections = connections
+        self._random = random.Random(f"clients {seed} {number}")
+        self._commands = CommandSource(self._random, [RequestClass(name) for name in class_names], number)
+        self._is_stopping = False
+        self._tasks: list[asyncio.Task[None]] = []
+
+    async def start(self) -> None:
+        """Begin to send."""
+        context = ClientContext(self._random, self._commands, LoopLag(), lambda: self._is_stopping)
+        loop = asyncio.get_running_loop()
+        self._tasks = [loop.create_task(self._keep_connecting(context)) for _ in range(self._connections)]
+
+    async def stop(self) -> None:
+        """Begin nothing more, and wait for the answers that are owed."""
+        self._is_stopping = True
+        await asyncio.gather(*self._tasks)
+
+    async def records(self) -> list[RequestRecord]:
+        """Return the records of all requests."""
+        return self._commands.records
+
+    async def _keep_connecting(self, context: ClientContext) -> None:
+        """Use one connection after the other."""
+        while not self._is_stopping:
+            connection = await self._connect()
+            if connection is None:
+                await asyncio.sleep(RECONNECT_INTERVAL_S)
+                continue
+            # The event loop raises RuntimeError for a write on a connection that is closed.
+            with suppress(OSError, EOFError, TimeoutError, RuntimeError):
+                await behave(ClientSession(context, connection))
+            with suppress(RuntimeError):
+                connection.close()
+
+    async def _connect(self) -> ClientConnection | None:
+        """Connect to a gateway drawn at random; return none where it does not accept."""
+        gateway = self._random.randrange(len(self._gateway_ports))
+        try:
+            reader, writer = await asyncio.open_connection("127.0.0.1", self._gateway_ports[gateway])
+        except OSError:
+            return None
+        behaviour = self._random.choices(list(BEHAVIOUR_WEIGHTS), list(BEHAVIOUR_WEIGHTS.values()))[0]
+        return ClientConnection(reader, writer, gateway, behaviour)
--- /dev/null
+++ b/soak/clients/session.py
@@ -0,0 +1,159 @@
+"""Send requests on a connection, and record how they end."""
+
+from __future__ import annotations
+
+import asyncio
+import random
+import time
+from collections.abc import Callable, Sequence
+from dataclasses import dataclass
+
+import hiredis
+
+from soak.clients.commands import Command, CommandSource
+from soak.clients.connection import ClientConnection, ReplyError
+from soak.loop_lag import LoopLag
+from soak.records import VALUE_REPLY, WRONG_VALUE_PREFIX, RequestClass, RequestEnd, RequestRecord
+
+MALFORMED_GRACE_S = 3.0
+"""TERMS: within this time a client that sends no request is owed an error or a close."""
+
+ANSWER_GRACE_S = 0.5
+"""How long after its timeout a request's answer may come."""
+
+EXTRA_WAIT_S = 1.0
+"""How much longer a client waits, to tell a late answer from none."""
+
+MIN_WAIT_S = 0.01
+SHOWN_VALUE_CHARACTERS = 40
+CONNECTION_ENDS = (EOFError, OSError, hiredis.ProtocolError)
+"""What reading a reply raises where the gateway has closed, or sends what is no reply."""
+
+
+@dataclass(frozen=True, slots=True)
+class ClientContext:
+    """What the connections of one process share.
+
+    Attributes:
+        source: Of everything that is drawn.
+        commands: Makes the commands.
+        lag: How late the process notices.
+        is_stopping: Returns whether nothing more is to begin.
+    """
+
+    source: random.Random
+    commands: CommandSource
+    lag: LoopLag
+    is_stopping: Callable[[], bool]
+
+
+class ClientSession:
+    """The requests on one connection.
+
+    Attributes:
+        context: What all connections share.
+        connection: The connection.
+    """
+
+    def __init__(self, context: ClientContext, connection: ClientConnection) -> None:
+        self.context = context
+        self.connection = connection
+
+    async def request(self) -> None:
+        """Send one request and read its answer.
+
+        Raises:
+            EOFError: The connection has ended.
+            TimeoutError: No answer came.
+        """
+        if self.connection.reader.at_eof():
+            raise EOFError
+        command = self.context.commands.make(self.connection)
+        await self.read_answers(self.send([command]))
+
+    def send(self, commands: Sequence[Command]) -> list[RequestRecord]:
+        """Write commands; return their records."""
+        self.connection.writer.write(b"".join(command.data for command in commands))
+        records = [command.record for command in commands]
+        self.mark_sent(records)
+        return records
+
+    def mark_sent(self, records: Sequence[RequestRecord]) -> None:
+        """Record that the last byte of requests has been written."""
+        now_s = time.monotonic()
+        for record in records:
+            record.sent_s = now_s
+            record.end = RequestEnd.UNANSWERED
+        self.connection.request_count += len(records)
+
+    async def read_answers(self, records: Sequence[RequestRecord]) -> None:
+        """Read the answers in order; a request's time begins no earlier than the answer before it.
+
+        Raises:
+            EOFError: The connection has ended.
+            TimeoutError: An answer did not come.
+        """
+        previous_end_s = 0.0
+        for position, record in enumerate(records):
+            record.due_s = max(record.sent_s + record.timeout_s, previous_end_s) + ANSWER_GRACE_S
+            try:
+                reply = await self._read_reply(record)
+            except TimeoutError:
+                self._give_up(record, records[position + 1 :])
+                raise
+            except CONNECTION_ENDS:
+                self._record_closed(records[position:])
+                raise EOFError from None
+            record.reply = _describe_reply(reply, record.request_id)
+            self.record_end(record, RequestEnd.ANSWERED)
+            previous_end_s = record.ended_s
+        self.connection.idle_since_s = time.monotonic()
+
+    async def send_malformed(self, data: bytes) -> None:
+        """Send what is no request, and wait for the error or the close that is owed."""
+        self.connection.writer.write(data)
+        record = self.context.commands.add_record(self.connection, RequestClass.MALFORMED, MALFORMED_GRACE_S)
+        self.mark_sent([record])
+        try:
+            await asyncio.wait_for(self.connection.read_reply(), MALFORMED_GRACE_S + EXTRA_WAIT_S)
+            end = RequestEnd.ANSWERED
+        except TimeoutError:
+            end = RequestEnd.UNANSWERED
+        except CONNECTION_ENDS:
+            end = RequestEnd.GATEWAY_DISCONNECTED
+        self.record_end(record, end)
+
+    def record_end(self, record: RequestRecord, end: RequestEnd) -> None:
+        """Record that a request has ended now."""
+        record.end = end
+        record.ended_s = time.monotonic()
+        record.lag_s = self.context.lag.seconds()
+
+    async def _read_reply(self, record: RequestRecord) -> object:
+        wait_s = record.due_s + EXTRA_WAIT_S - time.monotonic()
+        return await asyncio.wait_for(self.connection.read_reply(), max(MIN_WAIT_S, wait_s))
+
+    def _give_up(self, unanswered: RequestRecord, unread: Sequence[RequestRecord]) -> None:
+        """Record a request without an answer; the client leaves those behind it."""
+        self.record_end(unanswered, RequestEnd.UNANSWERED)
+        for record in unread:
+            self.record_end(record, RequestEnd.CLIENT_DISCONNECTED)
+
+    def _record_closed(self, unanswered: Sequence[RequestRecord]) -> None:
+        """Record that the connection has ended, unless the client ended it itself."""
+        for record in unanswered:
+            if record.end is RequestEnd.UNANSWERED:
+                self.record_end(record, RequestEnd.GATEWAY_DISCONNECTED)
+        first = unanswered[0]
+        if self.connection.has_partial_reply and first.end is RequestEnd.GATEWAY_DISCONNECTED:
+            first.end = RequestEnd.TRUNCATED
+
+
+def _describe_reply(reply: object, request_id: str) -> str:
+    """Return the first word of an error, or whether the value is the request's id, once or repeated."""
+    if isinstance(reply, ReplyError):
+        return str(reply).split(" ")[0]
+    value = reply[0] if isinstance(reply, list) and reply else reply
+    expected = request_id.encode()
+    is_right = isinstance(value, bytes) and value and value == expected * (len(value) // len(expected))
+    return VALUE_REPLY if is_right else f"{WRONG_VALUE_PREFIX} {value!r:.{SHOWN_VALUE_CHARACTERS}}"
--- /dev/null
+++ b/soak/deployment.py
@@ -0,0 +1,172 @@
+"""Start the processes of a soak: servers, the fault proxy before them, discovery, gateways and clients."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from pathlib import Path
+
+import msgspec
+
+from scale.child_process import RoleProcess
+from scale.stubs.endpoint_catalog import ListedEndpoint
+from scale.supervisor import Supervisor
+from soak.gateways.config_file import GatewayConfigFile
+from soak.gateways.gateway import SoakGateway
+from soak.gateways.launcher import GatewayLauncher
+from soak.gateways.ports import draw_free_port
+from soak.records import ServerColdStart
+from soak.settings import (
+    IDEMPOTENCY_BY_CLASS,
+    MEAN_SERVICE_S,
+    SERVER_CAPACITY,
+    SoakConfig,
+    gateway_settings,
+)
+from soak.shim import ShimControl, build_shim
+
+GATEWAY_LIMITS = {"cores": 1.0, "memory_mb": 96, "sockets": 400}
+"""The resources that each gateway is configured with."""
+
+
+@dataclass(frozen=True)
+class Deployment:
+    """The running processes of a play.
+
+    Attributes:
+        server_roles: The process of each server, by the server's name.
+        proxy: The fault proxy on the links to all servers.
+        discovery: Discovery.
+        gateways: The gateways.
+        clients: The processes of clients.
+        cold_starts: The servers that were started anew during the play.
+    """
+
+    server_roles: dict[str, RoleProcess]
+    proxy: RoleProcess
+    discovery: RoleProcess
+    gateways: list[SoakGateway]
+    clients: list[RoleProcess]
+    cold_starts: list[ServerColdStart] = field(default_factory=list)
+
+
+class Deployer:
+    """Starts the processes of one play.
+
+    Args:
+        config: The sizes of the play.
+        supervisor: Starts the processes, and ends them after the play.
+        folder: Where configurations and temporary folders go.
+    """
+
+    def __init__(self, config: SoakConfig, supervisor: Supervisor, folder: Path) -> None:
+        self._config = config
+        self._supervisor = supervisor
+        self._folder = folder
+
+    async def start(self) -> Deployment:
+        """Start all processes; return once the gateways are ready and clients send.
+
+        Raises:
+            ChildError: A process has failed.
+            LimitError: The configuration allows fewer processes.
+        """
+        server_roles, server_ports = await self._start_servers()
+        proxy, link_ports = await self._supervisor.start_role(
+            "proxy", dict[str, int], server_ports=server_ports, seed=self._config.seed
+        )
+        endpoints = [_listed_endpoint(name, link_ports[name]) for name in server_ports]
+        discovery, discovery_port = await self._supervisor.start_role("discovery", int, endpoints=endpoints)
+        gateways = await self._start_gateways(endpoints, discovery_port)
+        clients = [
+            await self._start_clients(number, gateways)
+            for number in range(1, self._config.client_processes + 1)
+        ]
+        return Deployment(server_roles, proxy, discovery, gateways, clients)
+
+    async def _start_servers(self) -> tuple[dict[str, RoleProcess], dict[str, int]]:
+        """Start the servers; return the process and the port of each."""
+        roles: dict[str, RoleProcess] = {}
+        ports: dict[str, int] = {}
+        for names in self._config.server_names:
+            role, process_ports = await self._supervisor.start_role(
+                "servers",
+                dict[str, int],
+                names=names,
+                capacity=SERVER_CAPACITY,
+                mean_service_s=MEAN_SERVICE_S,
+                seed=self._config.seed,
+            )
+            ports |= process_ports
+            roles |= dict.fromkeys(names, role)
+        return roles, ports
+
+    async def _start_gateways(
+        self, endpoints: list[ListedEndpoint], discovery_port: int
+    ) -> list[SoakGateway]:
+        """Start the gateways side by side; return once each is ready, or late."""
+        library = build_shim(self._folder)
+        gateways = [
+            self._make_gateway(index, endpoints, discovery_port, library)
+            for index in range(self._config.gateways)
+        ]
+        started = [await gateway.start() for gateway in gateways]
+        for gateway, process in zip(gateways, started, strict=True):
+            await gateway.wait_until_ready(process)
+        return gateways
+
+    def _make_gateway(
+        self, index: int, endpoints: list[ListedEndpoint], discovery_port: int, library: Path
+    ) -> SoakGateway:
+        port = draw_free_port()
+        shim_control = ShimControl(self._folder / f"soak-control-{index}")
+        config_file = self._make_config_file(index, port, endpoints)
+        config_file.write(discovery_port)
+        temporary_folder = self._folder / f"tmp-{index}"
+        temporary_folder.mkdir()
+        launcher = GatewayLauncher(
+            self._supervisor,
+            index,
+            config_file.path,
+            shim_control.environment(library),
+            temporary_folder,
+            self._config.planted_fault,
+        )
+        return SoakGateway(index, port, config_file, launcher, shim_control)
+
+    def _make_config_file(self, index: int, port: int, endpoints: list[ListedEndpoint]) -> GatewayConfigFile:
+        config = self._config
+        document = {
+            "seed": f"{config.seed:08x}{index:08x}",
+            "limits": GATEWAY_LIMITS,
+            "known": {"generation": 1, "reset": True, "instances": msgspec.to_builtins(endpoints)},
+            "settings": gateway_settings(config, index, may_duplicate=config.seed % 2 == 0),
+            "listen": f"127.0.0.1:{port}",
+            "name": f"n{index}",
+        }
+        # The fault shim knows configurations by "soak-" in their path.
+        return GatewayConfigFile(self._folder / f"soak-config-{index}.json", document)
+
+    async def _start_clients(self, number: int, gateways: list[SoakGateway]) -> RoleProcess:
+        role, _ = await self._supervisor.start_role(
+            "clients",
+            type(None),
+            gateway_ports=[gateway.port for gateway in gateways],
+            class_names=list(IDEMPOTENCY_BY_CLASS),
+            connections=self._config.connections_per_process,
+            seed=self._config.seed,
+            number=number,
+        )
+        return role
+
+
+def _listed_endpoint(name: str, port: int) -> ListedEndpoint:
+    return ListedEndpoint(
+        instance_id=name,
+        host_port=f"127.0.0.1:{port}",
+        zone="a",
+        machine_type="m",
+        cell=0,
+        lifecycle="Ready",
+        weight=1.0,
+        started_at_ms=0,
+    )
--- a/soak/discovery.py
+++ b/soak/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery of a soak: a list whose changes are recorded, at an address that can move."""
+"""Discovery of a soak: an endpoint list whose changes are recorded, at an address that can move."""
 
 from __future__ import annotations
 
@@ -13,17 +13,24 @@
 from soak.records import EndpointChange
 
 OLD_ADDRESS_GRACE_S = 1.5
-"""TERMS: connections at the old address close so long after it has moved."""
+"""TERMS: how long after a move connections at the old address close."""
+
+UNCHANGED = -1
 
 
 class SoakDiscovery:
-    """Discovery as gateways see it; a child's role."""
+    """Discovery as gateways see it, as a child's role.
+
+    Args:
+        endpoints: The endpoint list at first, as discovery encodes it.
+    """
 
     def __init__(self, endpoints: list[dict[str, object]]) -> None:
         self._state = DiscoveryState(msgspec.convert(endpoints, list[ListedEndpoint]))
         self._listener: asyncio.Server | None = None
-        self._endpoints = dict(self._state.catalog.endpoints)  # as they were listed last
         self._changes: list[EndpointChange] = []
+        # Kept apart from the catalog, which forgets an endpoint that is gone.
+        self._endpoints = dict(self._state.catalog.endpoints)
 
     async def start(self) -> int:
         """Listen; return the port."""
@@ -33,7 +40,7 @@
         return int(self._listener.sockets[0].getsockname()[1])
 
     async def move(self) -> int:
-        """Listen at another port alone; return it. What is connected at the old one closes a little later."""
+        """Listen at another port only; return it. Connections at the old one close after a grace."""
         old_listener, old_connections = self._listener, tuple(self._state.connections)
         port = await self.start()
         if old_listener:
@@ -43,10 +50,10 @@
             loop.call_later(OLD_ADDRESS_GRACE_S, connection.abort)
         return port
 
-    async def publish(self, server: str, lifecycle: str, started_at_ms: int = -1) -> None:
-        """Publish a server's new lifecycle, and its start where that is given."""
+    async def publish(self, server: str, lifecycle: str, started_at_ms: int = UNCHANGED) -> None:
+        """Publish a server's new lifecycle, and its start in Unix time where that is given."""
         endpoint = self._endpoints[server]
-        if started_at_ms >= 0:
+        if started_at_ms != UNCHANGED:
             endpoint = msgspec.structs.replace(endpoint, started_at_ms=started_at_ms)
         endpoint = msgspec.convert({**msgspec.to_builtins(endpoint), "lifecycle": lifecycle}, ListedEndpoint)
         self._endpoints[server] = endpoint
@@ -54,14 +61,14 @@
         self._state.publish([endpoint])
 
     async def set_silent(self, silent: bool) -> None:
-        """Say nothing on any connection, or go on."""
+        """Write nothing on any connection, or resume."""
         if silent:
             self._state.is_silent = True
         else:
             self._state.end_silence()
 
     async def set_refusing(self, refusing: bool) -> None:
-        """Answer every call with 503 and end all watches, or go on."""
+        """Reject every call with 503 and end all watches, or resume."""
         self._state.is_refusing = refusing
         if refusing:
             self._state.drop_watches()
--- a/soak/loop_lag.py
+++ b/soak/loop_lag.py
@@ -1,30 +1,30 @@
-"""How late a role's event loop may have noticed something, as its process was held up."""
+"""How late a role's event loop may have noticed an event, because its process was held up."""
 
 from __future__ import annotations
 
 import asyncio
 import time
 
-TICK_S = 0.02
-NEGLIGIBLE_S = 0.01
+TICK_INTERVAL_S = 0.02
+NEGLIGIBLE_LAG_S = 0.01
 
 
 class LoopLag:
-    """Ticks on the loop; a tick that is late tells for how long nothing was noticed."""
+    """Ticks on the event loop: a late tick shows for how long nothing was noticed."""
 
     def __init__(self) -> None:
         self._last_tick_s = time.monotonic()
         self._previous_gap_s = 0.0
-        asyncio.get_running_loop().call_later(TICK_S, self._tick)
+        asyncio.get_running_loop().call_later(TICK_INTERVAL_S, self._tick)
 
     def _tick(self) -> None:
         now_s = time.monotonic()
-        self._previous_gap_s = now_s - self._last_tick_s - TICK_S
+        self._previous_gap_s = now_s - self._last_tick_s - TICK_INTERVAL_S
         self._last_tick_s = now_s
-        asyncio.get_running_loop().call_later(TICK_S, self._tick)
+        asyncio.get_running_loop().call_later(TICK_INTERVAL_S, self._tick)
 
     def seconds(self) -> float:
-        """By how much earlier than now something may have come that is noticed now."""
-        overdue_s = time.monotonic() - self._last_tick_s - TICK_S
+        """Return by how much earlier an event may have come that is noticed now; 0 if negligible."""
+        overdue_s = time.monotonic() - self._last_tick_s - TICK_INTERVAL_S
         lag_s = max(overdue_s, self._previous_gap_s, 0.0)
-        return lag_s if lag_s > NEGLIGIBLE_S else 0.0
+        return lag_s if lag_s > NEGLIGIBLE_LAG_S else 0.0
--- a/soak/plan.py
+++ b/soak/plan.py
@@ -1,4 +1,4 @@
-"""Which troubles a play has, drawn from its seed: what, when, for how long, and to whom. They overlap."""
+"""Draw from a seed which faults a play injects: what, when, for how long, and where. They overlap."""
 
 from __future__ import annotations
 
@@ -6,72 +6,70 @@
 
 import msgspec
 
+from soak.fault_kinds import (
+    DISCOVERY_FAULTS,
+    ENDPOINT_FAULTS,
+    LINK_FAULTS,
+    MOMENTARY_SERVER_FAULTS,
+    PROCESS_FAULTS,
+    SERVER_FAULTS,
+    SYSTEM_FAULTS,
+    FaultKind,
+)
 from soak.settings import SoakConfig
 
-QUIET_START_S = 2.0
-SERVER_TROUBLES = ("hang", "not_reading", "slow", "busy", "spoil", "fail", "twice", "reset_under", "down")
-MOMENTARY_SERVER_TROUBLES = ("reset_idle", "reset_all")
-LINK_TROUBLES = ("cut", "blackhole", "delay", "break", "fragment")
-DISCOVERY_TROUBLES = ("silent", "refuse", "drop_watches")
-PROCESS_TROUBLES = (
-    "restart",
-    "crash",
-    "upgrade",
-    "upgrade_early_term",
-    "upgrade_new_dies",
-    "upgrade_old_dies",
-    "reload",
-    "pause",
-)
-SYSTEM_TROUBLES = ("tcp_calls", "unix_calls", "file_calls", "wall_step")
-ENDPOINT_TROUBLES = ("drain", "replace", "detach")
-KIND_WEIGHTS = {
-    **dict.fromkeys(SERVER_TROUBLES, 1.0),
-    **dict.fromkeys(MOMENTARY_SERVER_TROUBLES, 1.0),
-    **dict.fromkeys(LINK_TROUBLES, 1.0),
-    **dict.fromkeys(DISCOVERY_TROUBLES, 1.0),
-    **dict.fromkeys(PROCESS_TROUBLES, 2.0),
-    **dict.fromkeys(SYSTEM_TROUBLES, 2.5),
-    **dict.fromkeys(ENDPOINT_TROUBLES, 2.0),
+FAULT_FREE_START_S = 2.0
+MIN_DURATION_S = 0.5
+DURATION_RANGE_S = 3.5
+
+FAULT_WEIGHTS: dict[FaultKind, float] = {
+    **dict.fromkeys(SERVER_FAULTS, 1.0),
+    **dict.fromkeys(MOMENTARY_SERVER_FAULTS, 1.0),
+    **dict.fromkeys(LINK_FAULTS, 1.0),
+    **dict.fromkeys(DISCOVERY_FAULTS, 1.0),
+    **dict.fromkeys(PROCESS_FAULTS, 2.0),
+    **dict.fromkeys(SYSTEM_FAULTS, 2.5),
+    **dict.fromkeys(ENDPOINT_FAULTS, 2.0),
 }
-WALL_STEPS_S = (3600.0, -3600.0, 7.0, -7.0)
+"""How often each kind is drawn, relative to the others. The order decides what a seed draws."""
 
 
-class Trouble(msgspec.Struct, frozen=True):
-    """One trouble.
+class PlannedFault(msgspec.Struct, frozen=True):
+    """One fault of a plan.
 
     Attributes:
         kind: What it is.
-        at_s: When it begins, from the start of the play.
-        for_s: How long it lasts, where it lasts.
-        server: The server that it is about, if it is about one.
-        gateway: The gateway that it is about, if it is about one.
-        amount: How strong it is, from 0 to 1.
+        start_s: When it begins, from the start of the play.
+        duration_s: How long it lasts; some faults scale it, momentary ones ignore it.
+        server: The server to which it is injected, if to one.
+        gateway: The index of the gateway to which it is injected, if to one.
+        strength: From 0 to 1; each fault says what it scales.
     """
 
-    kind: str
-    at_s: float
-    for_s: float
+    kind: FaultKind
+    start_s: float
+    duration_s: float
     server: str
     gateway: int
-    amount: float
+    strength: float
 
 
-def draw_plan(config: SoakConfig) -> list[Trouble]:
-    """Draw the troubles of a play, in the order of their times."""
+def draw_plan(config: SoakConfig) -> list[PlannedFault]:
+    """Draw the faults of a play, in the order of their times."""
     source = random.Random(f"plan {config.seed}")
     servers = [name for names in config.server_names for name in names]
-    number = round(config.seconds * config.troubles_per_s)
-    kinds = source.choices(list(KIND_WEIGHTS), list(KIND_WEIGHTS.values()), k=number)
-    troubles = [
-        Trouble(
+    number = round(config.duration_s * config.faults_per_s)
+    kinds = source.choices(list(FAULT_WEIGHTS), list(FAULT_WEIGHTS.values()), k=number)
+    # Each argument draws from the source: their order is part of what a seed means.
+    faults = [
+        PlannedFault(
             kind=kind,
-            at_s=QUIET_START_S + source.random() * (config.seconds - QUIET_START_S),
-            for_s=0.5 + 3.5 * source.random(),
+            start_s=FAULT_FREE_START_S + source.random() * (config.duration_s - FAULT_FREE_START_S),
+            duration_s=MIN_DURATION_S + DURATION_RANGE_S * source.random(),
             server=source.choice(servers),
             gateway=source.randrange(config.gateways),
-            amount=source.random(),
+            strength=source.random(),
         )
-        for kind in (*kinds, *config.kinds)
+        for kind in (*kinds, *config.added_faults)
     ]
-    return sorted(troubles, key=lambda trouble: trouble.at_s)
+    return sorted(faults, key=lambda fault: fault.start_s)
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -1,64 +1,80 @@
-"""A fault proxy before the servers: cuts, swallows, delays and breaks what goes through it."""
+"""A fault proxy on the links to the servers: it cuts, drops, delays, truncates or fragments what passes."""
 
 from __future__ import annotations
 
 import asyncio
 import random
-import socket
-import struct
-from contextlib import suppress
+
+from soak.fault_kinds import FaultKind
+from soak.tcp_reset import abort_with_reset
 
 READ_BYTES = 65_536
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 MAX_FRAGMENT_BYTES = 9
+MAX_FRAGMENTS = 100
+"""Data that would pass in more fragments passes in larger ones."""
+
 MAX_DELAY_S = 0.3
-BREAK_SHARE = 0.3
+TRUNCATED_SHARE = 0.3
 
 
 class ProxyLink:
-    """The way to one server, and its trouble."""
+    """The link to one server, and the fault that is on.
+
+    Attributes:
+        port: Its port, the same after each cut; 0 before it has listened.
+        fault: The fault that is on.
+    """
 
     def __init__(self, server_port: int, seed: str) -> None:
-        self.server_port = server_port
-        self.trouble = ""
-        self.random = random.Random(seed)
-        self.writers: set[asyncio.StreamWriter] = set()
-        self.listener: asyncio.Server | None = None
         self.port = 0
+        self.fault: FaultKind | None = None
+        self._server_port = server_port
+        self._random = random.Random(seed)
+        self._writers: set[asyncio.StreamWriter] = set()
+        self._listener: asyncio.Server | None = None
+
+    @property
+    def is_listening(self) -> bool:
+        """Whether it accepts connections."""
+        return self._listener is not None
 
     async def listen(self) -> None:
         """Listen, at the same port as before if there was one."""
-        self.listener = await asyncio.start_server(self._serve, "127.0.0.1", self.port)
-        self.port = self.listener.sockets[0].getsockname()[1]
+        self._listener = await asyncio.start_server(self._serve, "127.0.0.1", self.port)
+        self.port = self._listener.sockets[0].getsockname()[1]
 
     def cut(self) -> None:
         """Refuse connections, and reset those that are open."""
-        if self.listener:
-            self.listener.close()
-            self.listener = None
-        for writer in tuple(self.writers):
-            _reset(writer)
+        if self._listener:
+            self._listener.close()
+            self._listener = None
+        self.reset_connections()
+
+    def reset_connections(self) -> None:
+        """Reset the open connections."""
+        for writer in tuple(self._writers):
+            abort_with_reset(writer.transport)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
-            server_reader, server_writer = await asyncio.open_connection("127.0.0.1", self.server_port)
+            server_reader, server_writer = await asyncio.open_connection("127.0.0.1", self._server_port)
         except OSError:
-            _reset(writer)
+            abort_with_reset(writer.transport)
             return
-        self.writers |= {writer, server_writer}
+        self._writers |= {writer, server_writer}
         try:
             async with asyncio.TaskGroup() as group:
                 group.create_task(self._forward(reader, server_writer, is_reply=False))
                 group.create_task(self._forward(server_reader, writer, is_reply=True))
         finally:
-            self.writers -= {writer, server_writer}
+            self._writers -= {writer, server_writer}
 
     async def _forward(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, is_reply: bool
     ) -> None:
         try:
             while data := await reader.read(READ_BYTES):
-                if self.trouble == "blackhole":
+                if self.fault is FaultKind.BLACKHOLE:
                     continue
                 if is_reply:
                     await self._pass_reply(data, writer)
@@ -67,34 +83,39 @@
                     await writer.drain()
             writer.close()
         except OSError:
-            _reset(writer)
+            abort_with_reset(writer.transport)
 
     async def _pass_reply(self, data: bytes, writer: asyncio.StreamWriter) -> None:
-        if self.trouble == "delay":
-            await asyncio.sleep(MAX_DELAY_S * self.random.random())
-        if self.trouble == "break" and self.random.random() < BREAK_SHARE:
-            writer.write(data[: self.random.randrange(len(data))])
+        if self.fault is FaultKind.DELAYED_REPLY:
+            await asyncio.sleep(MAX_DELAY_S * self._random.random())
+        if self.fault is FaultKind.TRUNCATED_REPLY and self._random.random() < TRUNCATED_SHARE:
+            writer.write(data[: self._random.randrange(len(data))])
             await asyncio.sleep(0)
-            _reset(writer)
+            abort_with_reset(writer.transport)
             return
-        size = self.random.randint(1, MAX_FRAGMENT_BYTES) if self.trouble == "fragment" else len(data)
-        if len(data) > 100 * size:
-            size = len(data) // 100
-        for start in range(0, len(data), size):
-            writer.write(data[start : start + size])
+        fragment_bytes = self._fragment_bytes(len(data))
+        for start in range(0, len(data), fragment_bytes):
+            writer.write(data[start : start + fragment_bytes])
             await writer.drain()
             await asyncio.sleep(0)
 
-
-def _reset(writer: asyncio.StreamWriter) -> None:
-    with suppress(OSError):
-        sock = writer.get_extra_info("socket")
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
-    writer.transport.abort()
+    def _fragment_bytes(self, data_bytes: int) -> int:
+        """Return the size of the fragments in which data passes; all of it where no fault fragments it."""
+        if self.fault is not FaultKind.FRAGMENTED_REPLY:
+            return data_bytes
+        drawn_bytes = self._random.randint(1, MAX_FRAGMENT_BYTES)
+        if data_bytes > MAX_FRAGMENTS * drawn_bytes:
+            return data_bytes // MAX_FRAGMENTS
+        return drawn_bytes
 
 
 class FaultProxy:
-    """The links to all servers; a child's role."""
+    """The links to all servers, as a child's role.
+
+    Args:
+        server_ports: The port of each server.
+        seed: The seed of the play.
+    """
 
     def __init__(self, server_ports: dict[str, int], seed: int) -> None:
         self._links = {name: ProxyLink(port, f"{name} {seed}") for name, port in server_ports.items()}
@@ -105,19 +126,18 @@
             await link.listen()
         return {name: link.port for name, link in self._links.items()}
 
-    async def begin_trouble(self, server: str, kind: str) -> None:
-        """Begin a trouble on the way to one server."""
+    async def begin_fault(self, server: str, kind: str) -> None:
+        """Begin a fault on the link to one server."""
         link = self._links[server]
-        link.trouble = kind
-        if kind == "cut":
+        link.fault = FaultKind(kind)
+        if link.fault is FaultKind.LINK_CUT:
             link.cut()
 
-    async def end_trouble(self, server: str) -> None:
-        """End it."""
+    async def end_fault(self, server: str) -> None:
+        """End the fault on the link to one server."""
         link = self._links[server]
-        if link.listener is None:
+        if not link.is_listening:
             await link.listen()
-        if link.trouble == "blackhole":  # bytes are missing on what stayed open
-            for writer in tuple(link.writers):
-                _reset(writer)
-        link.trouble = ""
+        if link.fault is FaultKind.BLACKHOLE:
+            link.reset_connections()  # data was lost on those that stayed open
+        link.fault = None
--- a/soak/shim.py
+++ b/soak/shim.py
@@ -1,18 +1,33 @@
-"""The library that makes a gateway's system calls fail, and the page by which it is told how."""
+"""The library that makes a gateway's system calls fail, and the shared page that controls it."""
 
 from __future__ import annotations
 
 import mmap
 import struct
 import subprocess
+from enum import IntEnum
 from pathlib import Path
 
 SOURCE = Path(__file__).parent / "fault_shim.c"
-CONTROL_FORMAT = struct.Struct("4d")
+CONTROL_LAYOUT = struct.Struct("4d")
+"""The ``struct control`` of the source: the step of the wall clock, then a percentage for each category."""
+
+
+class CallCategory(IntEnum):
+    """The system calls that fail together, in the order of the control page."""
+
+    TCP = 0
+    """Calls on a TCP socket."""
+
+    UNIX = 1
+    """Calls on a Unix socket, and those that duplicate a descriptor."""
+
+    FILE = 2
+    """Calls that open, bind or rename a file."""
 
 
 def build_shim(folder: Path) -> Path:
-    """Compile the library into a folder.
+    """Compile the library into a folder; return its path.
 
     Raises:
         subprocess.CalledProcessError: The compiler has failed.
@@ -26,25 +41,32 @@
 class ShimControl:
     """The page that the library of one gateway reads at each call.
 
+    Args:
+        path: The file that is mapped; it is created.
+
     Attributes:
         path: The file that is mapped.
-        wall_step_s: What is added to the wall clock.
-        tcp_percent: Chance of a fault of a call on a TCP socket.
-        unix_percent: The same on a Unix socket, and where a descriptor is duplicated.
-        file_percent: The same where a file is opened, bound or renamed.
+        wall_step_s: What is added to the wall clock, once applied.
     """
 
     def __init__(self, path: Path) -> None:
-        self.path = path
-        path.write_bytes(bytes(CONTROL_FORMAT.size))
+        path.write_bytes(bytes(CONTROL_LAYOUT.size))
         with path.open("r+b") as file:
-            self._page = mmap.mmap(file.fileno(), CONTROL_FORMAT.size)
+            self._page = mmap.mmap(file.fileno(), CONTROL_LAYOUT.size)
+        self.path = path
         self.wall_step_s = 0.0
-        self.tcp_percent = 0.0
-        self.unix_percent = 0.0
-        self.file_percent = 0.0
+        self._failing_percent = dict.fromkeys(CallCategory, 0.0)
+
+    def environment(self, library: Path) -> dict[str, str]:
+        """Return the variables by which a process loads the library and finds the page."""
+        return {"LD_PRELOAD": str(library), "SOAK_SHIM_CONTROL": str(self.path)}
+
+    def set_failing(self, category: CallCategory, percent: float) -> None:
+        """Let so many percent of the calls of a category fail from now on."""
+        self._failing_percent[category] = percent
+        self.apply()
 
     def apply(self) -> None:
         """Let the library read what is set here from now on."""
-        values = (self.wall_step_s, self.tcp_percent, self.unix_percent, self.file_percent)
-        self._page[:] = CONTROL_FORMAT.pack(*values)
+        percentages = (self._failing_percent[category] for category in CallCategory)
+        self._page[:] = CONTROL_LAYOUT.pack(self.wall_step_s, *percentages)
--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the fault soak: its oracle, its plan, and plays without troubles."""
+"""Tests of the fault soak: its oracle, its plan, and plays without faults."""
--- a/tests/soak/test_play.py
+++ b/tests/soak/test_play.py
@@ -1,45 +1,51 @@
-"""The soak itself: the same seed draws the same plan, and a play without troubles breaks nothing."""
+"""The soak itself: the same seed draws the same plan, and a play without faults breaks nothing."""
 
 import asyncio
 from collections import Counter
 
+import msgspec
 import pytest
 
+from soak.deployment import Deployment
+from soak.fault_kinds import FaultKind
+from soak.faults import make_faults
 from soak.oracle import find_violations
-from soak.plan import KIND_WEIGHTS, draw_plan
-from soak.play import SoakPlay
+from soak.plan import FAULT_WEIGHTS, draw_plan
+from soak.play import play
 from soak.settings import SoakConfig
 
-QUIET = SoakConfig(
-    seed=1, seconds=3.0, gateways=2, server_processes=1, client_processes=1, connections=6, troubles_per_s=0.0
+WITHOUT_FAULTS = SoakConfig(
+    seed=1,
+    duration_s=3.0,
+    gateways=2,
+    server_processes=1,
+    client_processes=1,
+    connections_per_process=6,
+    faults_per_s=0.0,
 )
 
 
 def test_plan_is_drawn_from_its_seed_and_has_every_kind():
-    config = SoakConfig(seed=7, seconds=1000.0)
+    config = SoakConfig(seed=7, duration_s=1000.0)
     plan = draw_plan(config)
     assert plan == draw_plan(config)
-    assert plan != draw_plan(SoakConfig(seed=8, seconds=1000.0))
-    assert {trouble.kind for trouble in plan} == set(KIND_WEIGHTS)
-    assert all(0.0 < trouble.at_s < config.seconds for trouble in plan)
+    assert plan != draw_plan(SoakConfig(seed=8, duration_s=1000.0))
+    assert {planned.kind for planned in plan} == set(FAULT_WEIGHTS)
+    assert all(0.0 < planned.start_s < config.duration_s for planned in plan)
 
 
-def test_every_trouble_can_be_played():
-    played = {name.removeprefix("_play_") for name in dir(SoakPlay) if name.startswith("_play_")}
-    from_servers_and_links = {kind for kind in KIND_WEIGHTS if kind not in played}
-    assert played - set(KIND_WEIGHTS) == {"trouble", "at", "calls"}
-    assert from_servers_and_links  # played by one method
+def test_every_fault_that_is_drawn_can_be_injected():
+    idle_deployment = Deployment(server_roles={}, proxy=None, discovery=None, gateways=[], clients=[])
+    assert set(make_faults(idle_deployment)) == set(FaultKind) == set(FAULT_WEIGHTS)
 
 
 @pytest.mark.parametrize("planted", ["", "drop_answers"])
-def test_quiet_play_breaks_nothing_unless_a_fault_is_planted(tmp_path, planted):
-    config = SoakConfig(
-        **{name: getattr(QUIET, name) for name in QUIET.__struct_fields__} | {"planted": planted}
-    )
-    records = asyncio.run(SoakPlay(config, tmp_path).run())
+def test_play_without_faults_breaks_nothing_unless_a_fault_is_planted(tmp_path, planted):
+    config = msgspec.structs.replace(WITHOUT_FAULTS, planted_fault=planted)
+    records = asyncio.run(play(config, tmp_path))
     answered = Counter(request.end for request in records.requests)["answered"]
-    checks = Counter(violation.rule for violation in find_violations(records))
-    assert ("answered" in checks) == bool(planted)
+    rules = Counter(violation.rule for violation in find_violations(records))
+    assert ("answered" in rules) == bool(planted)
     if not planted:
-        assert not checks
+        assert not rules
         assert answered > 50
