--- a/soak/child.py
+++ b/soak/child.py
@@ -6,7 +6,7 @@
 from soak.clients.role import SoakClients
 from soak.discovery import SoakDiscovery
 from soak.proxy import FaultProxy
-from soak.servers import SoakServers
+from soak.servers.role import SoakServers
 
 if __name__ == "__main__":
     run_child(
--- a/soak/planted.py
+++ b/soak/planted.py
@@ -1,4 +1,4 @@
-"""A gateway with a planted fault, by which a soak shows that its oracle would meet one."""
+"""Run a gateway with a planted fault, to show that the oracle finds the rule that it breaks."""
 
 from __future__ import annotations
 
@@ -178,38 +178,50 @@
 
 
 PLANTED_FAULTS: dict[str, PlantedFault] = {
+    # Sends servers a longer remaining timeout than the client has left.
     "extend_deadline": PlantedFault(_extend_deadline, Rule.DEADLINE),
+    # Repeats non-idempotent requests that may have run.
     "repeat_unsafe": PlantedFault(
         _repeat_unsafe, Rule.REPEAT, (FaultKind.RESET_DURING_REQUEST, FaultKind.ERROR_REPLY)
     ),
+    # Does not notice that clients disconnect.
     "ignore_client_end": PlantedFault(
         _ignore_client_end,
         Rule.CLIENT_GONE,
         (FaultKind.SLOW, FaultKind.OVERLOADED, FaultKind.OVERLOADED, FaultKind.HANG),
     ),
+    # Never writes some answers.
     "drop_answers": PlantedFault(_drop_answers, Rule.ANSWERED),
+    # Sends requests to servers that drain.
     "ignore_drain": PlantedFault(_ignore_drain, Rule.DRAIN, (FaultKind.SERVER_DRAIN, FaultKind.SERVER_DRAIN)),
+    # Sends requests to detached servers.
     "ignore_detach": PlantedFault(
         _ignore_detach, Rule.DETACHED, (FaultKind.SERVER_DETACHMENT, FaultKind.SERVER_DETACHMENT)
     ),
+    # Rejects requests that may have run.
     "reject_after_run": PlantedFault(
         _reject_after_run, Rule.REJECT, (FaultKind.ERROR_REPLY, FaultKind.RESET_DURING_REQUEST)
     ),
+    # Replaces some values.
     "mix_values": PlantedFault(_mix_values, Rule.VALUE),
+    # Closes the listening socket before the connections in its queue are accepted.
     "close_queue_unread": PlantedFault(
         _close_queue_unread,
         Rule.ANSWERED,
         (FaultKind.GATEWAY_RESTART, FaultKind.GATEWAY_RESTART, FaultKind.TCP_CALLS_FAIL),
     ),
+    # Exits on SIGHUP.
     "crash_on_reload": PlantedFault(_crash_on_reload, Rule.PROCESS, (FaultKind.DISCOVERY_MOVE,)),
+    # Sends servers that warm up their full load.
     "ignore_slow_start": PlantedFault(
         _ignore_slow_start,
         Rule.SLOW_START,
         (FaultKind.SERVER_REPLACEMENT, FaultKind.SERVER_REPLACEMENT, FaultKind.SERVER_REPLACEMENT),
     ),
+    # Closes some connections on which an answer is owed.
     "close_while_owed": PlantedFault(_close_while_owed, Rule.PROCESS),
 }
-"""The planted faults by name."""
+"""The planted faults by the names that the command line has for them."""
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/soak/servers/connection.py
@@ -0,0 +1,100 @@
+"""A connection of a gateway to a server."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import cast
+
+import hiredis
+
+from soak.fault_kinds import FaultKind
+from soak.loop_lag import LoopLag
+from soak.servers.state import ReceivedCommand, ServerState
+from soak.tcp_reset import abort_with_reset
+
+BUSY_REPLY = b"-BUSY\r\n"
+
+
+class ServerConnection(asyncio.Protocol):
+    """A connection, from its accept to its end.
+
+    Args:
+        state: The server.
+        open_connections: The server's connections; this one is among them while it is open.
+        lag: How late the process notices.
+
+    Attributes:
+        commands_in_flight: The requests on it that the server works on.
+    """
+
+    def __init__(self, state: ServerState, open_connections: set[ServerConnection], lag: LoopLag) -> None:
+        self.commands_in_flight = 0
+        self._state = state
+        self._open_connections = open_connections
+        self._lag = lag
+        self._parser = hiredis.Reader()
+        self._transport: asyncio.Transport | None = None
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Take the connection, unless the server is not reading."""
+        self._transport = cast(asyncio.Transport, transport)
+        self._open_connections.add(self)
+        if self._state.fault is FaultKind.NOT_READING:
+            self._transport.pause_reading()
+
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - asyncio.Protocol's signature
+        """Forget the connection and its requests in flight."""
+        self._open_connections.discard(self)
+        self._state.in_flight -= self.commands_in_flight
+        self.commands_in_flight = 0
+        self._transport = None
+
+    def reset(self) -> None:
+        """Reset it."""
+        if self._transport:
+            abort_with_reset(self._transport)
+
+    def set_reading(self, reading: bool) -> None:
+        """Read, or leave what comes in the kernel."""
+        if self._transport and reading:
+            self._transport.resume_reading()
+        elif self._transport:
+            self._transport.pause_reading()
+
+    def data_received(self, data: bytes) -> None:
+        """Begin each command whose last byte has come."""
+        self._parser.feed(data)
+        while (words := self._parser.gets()) is not False:
+            self._begin(ReceivedCommand.parse(words))
+
+    def _begin(self, command: ReceivedCommand) -> None:
+        is_overloaded = self._state.is_overloaded
+        self._state.record(command, self._lag.seconds(), was_executed=not is_overloaded)
+        if is_overloaded:
+            self._write(BUSY_REPLY)
+            return
+        self.commands_in_flight += 1
+        self._state.in_flight += 1
+        self._schedule_end(command)
+
+    def _schedule_end(self, command: ReceivedCommand) -> None:
+        """Reply after the service time, or reset or hang where that fault is on."""
+        state = self._state
+        if state.fault is FaultKind.HANG:
+            return
+        loop = asyncio.get_running_loop()
+        if state.draws_reset():
+            loop.call_later(state.draw_service_s(), self.reset)
+        else:
+            loop.call_later(state.draw_service_s() * state.load(), self._finish, command)
+
+    def _finish(self, command: ReceivedCommand) -> None:
+        if self._transport is None:
+            return
+        self.commands_in_flight -= 1
+        self._state.in_flight -= 1
+        self._write(self._state.make_reply(command))
+
+    def _write(self, data: bytes) -> None:
+        if self._transport:
+            self._transport.write(data)
--- /dev/null
+++ b/soak/servers/role.py
@@ -0,0 +1,44 @@
+"""The servers of one process, as a child's role."""
+
+from __future__ import annotations
+
+from soak.fault_kinds import FaultKind
+from soak.loop_lag import LoopLag
+from soak.records import CommandRecord
+from soak.servers.server import SoakServer
+from soak.servers.state import ServerState
+
+
+class SoakServers:
+    """Some servers.
+
+    Args:
+        names: Their names.
+        capacity: Requests that each works on at a time without getting slower.
+        mean_service_s: The service time around which each is drawn.
+        seed: The seed of the play.
+    """
+
+    def __init__(self, names: list[str], capacity: int, mean_service_s: float, seed: int) -> None:
+        self._states = {name: ServerState(name, capacity, mean_service_s, seed) for name in names}
+        self._servers: dict[str, SoakServer] = {}
+
+    async def start(self) -> dict[str, int]:
+        """Listen; return the port of each server."""
+        lag = LoopLag()
+        self._servers = {name: SoakServer(state, lag) for name, state in self._states.items()}
+        for server in self._servers.values():
+            await server.listen()
+        return {name: server.port for name, server in self._servers.items()}
+
+    async def begin_fault(self, server: str, kind: str) -> None:
+        """Begin a fault of one server."""
+        self._servers[server].begin_fault(FaultKind(kind))
+
+    async def end_fault(self, server: str) -> None:
+        """End the fault of one server."""
+        await self._servers[server].end_fault()
+
+    async def records(self) -> list[CommandRecord]:
+        """Return the commands that all servers have received."""
+        return [record for server in self._servers.values() for record in server.state.records]
