--- a/soak/fault_shim.c
+++ b/soak/fault_shim.c
@@ -1,8 +1,8 @@
-/* Loaded into a gateway by LD_PRELOAD: makes its system calls fail as Linux documents, and steps its wall clock.
+/* A library for LD_PRELOAD that makes a gateway's system calls fail, and steps its wall clock.
  *
- * What it does is read at each call from a page that the soak has mapped too (SOAK_SHIM_CONTROL names the file):
- * the wall clock's step in seconds, then the chance in percent of a fault of TCP sockets, of Unix sockets, of files.
- * The monotonic clock is left alone. A descriptor is faulted only where it is of the kind that is asked for.
+ * Each call reads a page that the soak shares (the environment's SOAK_SHIM_CONTROL names the file): the step of the
+ * wall clock in seconds, then the percentage of failing calls on TCP sockets, on Unix sockets and on files. Calls
+ * fail with the errors that Linux documents for them. SOAK_SHIM_SEED seeds the draws. The monotonic clock is real.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -19,16 +19,19 @@
 #include <time.h>
 #include <unistd.h>
 
+/* The layout of CONTROL_LAYOUT in shim.py. */
 struct control { double wall_step_s, tcp_percent, unix_percent, file_percent; };
-static struct control none;
-static volatile struct control *control = &none;
+/* Used until the page is mapped: nothing fails. */
+static struct control no_faults;
+static volatile struct control *control = &no_faults;
 static unsigned long long random_state = 0x9e3779b97f4a7c15ull;
 
-#define REAL(name) \
+#define DECLARE_REAL(name) \
   static __typeof__(&name) real; \
   if (!real) real = (__typeof__(&name))dlsym(RTLD_NEXT, #name)
-#define COUNT(list) (int)(sizeof(list) / sizeof(list[0]))
-#define LOWER(a, b) ((a) < (b) ? (a) : (b))
+#define TRACKED_DESCRIPTORS 65536
+#define LENGTH(list) (int)(sizeof(list) / sizeof(list[0]))
+#define MIN(a, b) ((a) < (b) ? (a) : (b))
 
 __attribute__((constructor)) static void map_control(void) {
   const char *path = getenv("SOAK_SHIM_CONTROL"), *seed = getenv("SOAK_SHIM_SEED");
@@ -40,6 +43,7 @@
   close(descriptor);
 }
 
+/* Draws from 0 to 1 by xorshift64. */
 static double uniform(void) {
   random_state ^= random_state << 13;
   random_state ^= random_state >> 7;
@@ -47,26 +51,29 @@
   return (double)(random_state >> 11) / 9007199254740992.0;
 }
 
-static int chance(double percent) { return percent > 0 && uniform() * 100.0 < percent; }
+/* Draws whether a fault happens; draws nothing at 0. */
+static int happens(double percent) { return percent > 0 && uniform() * 100.0 < percent; }
 
-static int fail(const int *errors, int count) {
+/* Sets errno to one of the errors; returns -1. */
+static int fail_with_one_of(const int *errors, int count) {
   errno = errors[(int)(uniform() * count)];
   return -1;
 }
 
-/* The family of a stream or packet socket; -1 of anything else. */
-static int family(int descriptor) {
+/* Returns the address family of a socket, -1 for any other descriptor. Keeps errno. */
+static int socket_family(int descriptor) {
   int domain = 0;
   socklen_t size = sizeof domain;
-  int before = errno;
+  int saved_errno = errno;
   int result = getsockopt(descriptor, SOL_SOCKET, SO_DOMAIN, &domain, &size) ? -1 : domain;
-  errno = before;
+  errno = saved_errno;
   return result;
 }
 
-static double percent_of(int descriptor) {
+/* Returns the percentage of failing calls on a descriptor; 0 unless it is a TCP or Unix socket. */
+static double failing_percent(int descriptor) {
   if (control->tcp_percent <= 0 && control->unix_percent <= 0) return 0;
-  int domain = family(descriptor);
+  int domain = socket_family(descriptor);
   return domain == AF_INET ? control->tcp_percent : domain == AF_UNIX ? control->unix_percent : 0;
 }
 
@@ -76,40 +83,45 @@
 static const int BROKEN_ERRORS[] = {ETIMEDOUT, EHOSTUNREACH, ECONNRESET, EPIPE};
 static const int FILE_ERRORS[] = {EIO, ENFILE, EINTR, ENOMEM};
 static const int WRITE_FILE_ERRORS[] = {ENOSPC, EIO, EDQUOT};
-static const double ACCEPT_SCALE = 3, BREAK_SCALE = 0.03, INTERRUPT_SCALE = 0.5, SHORT_SCALE = 3;
-static const size_t SHORTEST_PIECES = 40;
+/* How often these faults happen, in terms of the percentage of their category. */
+static const double ACCEPT_FACTOR = 3, BREAK_FACTOR = 0.03, INTERRUPT_FACTOR = 0.5, SHORT_FACTOR = 3;
+static const size_t MAX_SHORT_BYTES = 40;
 
-/* Only connections that the gateway has opened itself break: a client's end is the client's to decide. */
-static unsigned char is_outgoing[65536];
-static int is_known(int descriptor) { return descriptor >= 0 && descriptor < 65536; }
+/* Only connections that the gateway has opened break: the soak's clients decide when theirs end. */
+static unsigned char is_outgoing[TRACKED_DESCRIPTORS];
+static int is_tracked(int descriptor) { return descriptor >= 0 && descriptor < TRACKED_DESCRIPTORS; }
 
-static int is_broken(int descriptor, double percent) {
-  if (!is_known(descriptor) || !is_outgoing[descriptor] || !chance(percent * BREAK_SCALE)) return 0;
+/* Draws whether a connection breaks; if so shuts it down and sets errno. */
+static int breaks_connection(int descriptor, double percent) {
+  if (!is_tracked(descriptor) || !is_outgoing[descriptor] || !happens(percent * BREAK_FACTOR)) return 0;
   shutdown(descriptor, SHUT_RDWR);
-  fail(BROKEN_ERRORS, COUNT(BROKEN_ERRORS));
+  fail_with_one_of(BROKEN_ERRORS, LENGTH(BROKEN_ERRORS));
   return 1;
 }
 
-static int is_failed(int descriptor, double percent) {
+/* Draws whether a read or write fails; if so sets errno. */
+static int fails(int descriptor, double percent) {
   if (percent <= 0) return 0;
-  if (chance(percent * INTERRUPT_SCALE)) {
+  if (happens(percent * INTERRUPT_FACTOR)) {
     errno = EINTR;
     return 1;
   }
-  return is_broken(descriptor, percent);
+  return breaks_connection(descriptor, percent);
 }
 
-static size_t shortened(size_t size, double percent) {
-  if (size < 2 || !chance(percent * SHORT_SCALE)) return size;
-  return 1 + (size_t)(uniform() * (double)LOWER(size - 1, SHORTEST_PIECES));
+/* Draws the size of a read or write that may be a short one. */
+static size_t shortened_size(size_t size, double percent) {
+  if (size < 2 || !happens(percent * SHORT_FACTOR)) return size;
+  return 1 + (size_t)(uniform() * (double)MIN(size - 1, MAX_SHORT_BYTES));
 }
 
 /* Clocks */
 
 int clock_gettime(clockid_t clock, struct timespec *now) {
-  REAL(clock_gettime);
+  DECLARE_REAL(clock_gettime);
   int result = real(clock, now);
-  if (!result && (clock == CLOCK_REALTIME || clock == CLOCK_REALTIME_COARSE)) now->tv_sec += (long)control->wall_step_s;
+  if (!result && (clock == CLOCK_REALTIME || clock == CLOCK_REALTIME_COARSE))
+    now->tv_sec += (long)control->wall_step_s;
   return result;
 }
 
@@ -132,10 +144,11 @@
 /* Sockets */
 
 int accept4(int listener, struct sockaddr *restrict address, socklen_t *restrict size, int flags) {
-  REAL(accept4);
-  if (chance(percent_of(listener) * ACCEPT_SCALE)) return fail(ACCEPT_ERRORS, COUNT(ACCEPT_ERRORS));
+  DECLARE_REAL(accept4);
+  if (happens(failing_percent(listener) * ACCEPT_FACTOR))
+    return fail_with_one_of(ACCEPT_ERRORS, LENGTH(ACCEPT_ERRORS));
   int descriptor = real(listener, address, size, flags);
-  if (is_known(descriptor)) is_outgoing[descriptor] = 0;
+  if (is_tracked(descriptor)) is_outgoing[descriptor] = 0;
   return descriptor;
 }
 
@@ -144,97 +157,98 @@
 }
 
 int socket(int domain, int type, int protocol) {
-  REAL(socket);
+  DECLARE_REAL(socket);
   double percent = domain == AF_INET ? control->tcp_percent : domain == AF_UNIX ? control->unix_percent : 0;
-  if (chance(percent)) return fail(SOCKET_ERRORS, COUNT(SOCKET_ERRORS));
+  if (happens(percent)) return fail_with_one_of(SOCKET_ERRORS, LENGTH(SOCKET_ERRORS));
   int descriptor = real(domain, type, protocol);
-  if (is_known(descriptor)) is_outgoing[descriptor] = 0;
+  if (is_tracked(descriptor)) is_outgoing[descriptor] = 0;
   return descriptor;
 }
 
 int connect(int descriptor, const struct sockaddr *address, socklen_t size) {
-  REAL(connect);
+  DECLARE_REAL(connect);
   if (address && address->sa_family == AF_INET) {
-    if (chance(control->tcp_percent)) return fail(CONNECT_ERRORS, COUNT(CONNECT_ERRORS));
-    if (is_known(descriptor)) is_outgoing[descriptor] = 1;
+    if (happens(control->tcp_percent)) return fail_with_one_of(CONNECT_ERRORS, LENGTH(CONNECT_ERRORS));
+    if (is_tracked(descriptor)) is_outgoing[descriptor] = 1;
   }
   return real(descriptor, address, size);
 }
 
 ssize_t read(int descriptor, void *buffer, size_t size) {
-  REAL(read);
-  double percent = percent_of(descriptor);
-  return is_failed(descriptor, percent) ? -1 : real(descriptor, buffer, shortened(size, percent));
+  DECLARE_REAL(read);
+  double percent = failing_percent(descriptor);
+  return fails(descriptor, percent) ? -1 : real(descriptor, buffer, shortened_size(size, percent));
 }
 
 ssize_t recv(int descriptor, void *buffer, size_t size, int flags) {
-  REAL(recv);
-  double percent = flags & MSG_PEEK ? 0 : percent_of(descriptor);
-  return is_failed(descriptor, percent) ? -1 : real(descriptor, buffer, shortened(size, percent), flags);
+  DECLARE_REAL(recv);
+  double percent = flags & MSG_PEEK ? 0 : failing_percent(descriptor);
+  return fails(descriptor, percent) ? -1 : real(descriptor, buffer, shortened_size(size, percent), flags);
 }
 
 ssize_t write(int descriptor, const void *buffer, size_t size) {
-  REAL(write);
-  double percent = percent_of(descriptor);
-  return is_failed(descriptor, percent) ? -1 : real(descriptor, buffer, shortened(size, percent));
+  DECLARE_REAL(write);
+  double percent = failing_percent(descriptor);
+  return fails(descriptor, percent) ? -1 : real(descriptor, buffer, shortened_size(size, percent));
 }
 
 ssize_t send(int descriptor, const void *buffer, size_t size, int flags) {
-  REAL(send);
-  double percent = percent_of(descriptor);
-  if (family(descriptor) == AF_UNIX) percent = 0; /* packets are whole */
-  return is_failed(descriptor, percent) ? -1 : real(descriptor, buffer, shortened(size, percent), flags);
+  DECLARE_REAL(send);
+  double percent = failing_percent(descriptor);
+  if (socket_family(descriptor) == AF_UNIX) percent = 0; /* packets are not cut */
+  return fails(descriptor, percent) ? -1 : real(descriptor, buffer, shortened_size(size, percent), flags);
 }
 
 ssize_t writev(int descriptor, const struct iovec *pieces, int count) {
-  REAL(writev);
-  double percent = percent_of(descriptor);
-  if (is_failed(descriptor, percent)) return -1;
-  if (count < 1 || !chance(percent * SHORT_SCALE)) return real(descriptor, pieces, count);
-  struct iovec first = {pieces[0].iov_base, shortened(pieces[0].iov_len, 100)};
+  DECLARE_REAL(writev);
+  double percent = failing_percent(descriptor);
+  if (fails(descriptor, percent)) return -1;
+  if (count < 1 || !happens(percent * SHORT_FACTOR)) return real(descriptor, pieces, count);
+  struct iovec first = {pieces[0].iov_base, shortened_size(pieces[0].iov_len, 100)};
   return real(descriptor, &first, 1);
 }
 
 ssize_t sendmsg(int descriptor, const struct msghdr *message, int flags) {
-  REAL(sendmsg);
+  DECLARE_REAL(sendmsg);
   static const int UNIX_ERRORS[] = {ENOBUFS, ENOMEM, EINTR, EAGAIN};
-  if (family(descriptor) == AF_UNIX && chance(control->unix_percent)) return fail(UNIX_ERRORS, COUNT(UNIX_ERRORS));
+  if (socket_family(descriptor) == AF_UNIX && happens(control->unix_percent))
+    return fail_with_one_of(UNIX_ERRORS, LENGTH(UNIX_ERRORS));
   return real(descriptor, message, flags);
 }
 
-/* Files: what is opened to be read or written, and what a folder is asked to take */
+/* Files and paths */
 
 int open64(const char *path, int flags, ...) {
-  REAL(open64);
+  DECLARE_REAL(open64);
   va_list arguments;
   va_start(arguments, flags);
   mode_t mode = flags & (O_CREAT | O_TMPFILE) ? va_arg(arguments, mode_t) : 0;
   va_end(arguments);
-  int is_config = strstr(path, "soak-") != 0;
-  if (is_config && chance(control->file_percent)) return fail(FILE_ERRORS, COUNT(FILE_ERRORS));
+  int is_config = strstr(path, "soak-") != 0; /* deployment.py names configurations so */
+  if (is_config && happens(control->file_percent)) return fail_with_one_of(FILE_ERRORS, LENGTH(FILE_ERRORS));
   return real(path, flags, mode);
 }
 
 int bind(int descriptor, const struct sockaddr *address, socklen_t size) {
-  REAL(bind);
-  if (address && address->sa_family == AF_UNIX && chance(control->file_percent))
-    return fail(WRITE_FILE_ERRORS, COUNT(WRITE_FILE_ERRORS));
+  DECLARE_REAL(bind);
+  if (address && address->sa_family == AF_UNIX && happens(control->file_percent))
+    return fail_with_one_of(WRITE_FILE_ERRORS, LENGTH(WRITE_FILE_ERRORS));
   return real(descriptor, address, size);
 }
 
 int rename(const char *from, const char *to) {
-  REAL(rename);
-  if (chance(control->file_percent)) return fail(WRITE_FILE_ERRORS, COUNT(WRITE_FILE_ERRORS));
+  DECLARE_REAL(rename);
+  if (happens(control->file_percent)) return fail_with_one_of(WRITE_FILE_ERRORS, LENGTH(WRITE_FILE_ERRORS));
   return real(from, to);
 }
 
 int fcntl64(int descriptor, int command, ...) {
-  REAL(fcntl64);
+  DECLARE_REAL(fcntl64);
   va_list arguments;
   va_start(arguments, command);
   long argument = va_arg(arguments, long);
   va_end(arguments);
-  if (command == F_DUPFD_CLOEXEC && chance(control->unix_percent)) {
+  if (command == F_DUPFD_CLOEXEC && happens(control->unix_percent)) {
     errno = EMFILE;
     return -1;
   }
