--- a/soak/oracle/answered.py
+++ b/soak/oracle/answered.py
@@ -4,7 +4,7 @@
 
     "each request that was read gets one final answer within its time"
     "a connection is not closed while an answer is owed on it, or while one is not written yet"
-    "what waits in the listening socket is accepted before that is closed"
+    "connections in the queue of the listening socket are accepted before it is closed"
 """
 
 from __future__ import annotations
--- a/soak/oracle/deadline.py
+++ b/soak/oracle/deadline.py
@@ -2,7 +2,7 @@
 
 Rule of docs/invariants.md:
 
-    "a server is told at most what the client has left"
+    "a server is sent at most the timeout that the client has left"
 """
 
 from __future__ import annotations
--- a/soak/oracle/detached.py
+++ b/soak/oracle/detached.py
@@ -2,7 +2,7 @@
 
 Rules of docs/invariants.md:
 
-    "nothing new goes to a server that drains, is gone or is detached"
+    "no new attempt goes to a server that drains, is gone or is detached"
     "a customer's bucket and the detachments outlive an upgrade"
 """
 
--- a/soak/oracle/drain.py
+++ b/soak/oracle/drain.py
@@ -2,7 +2,7 @@
 
 Rule of docs/invariants.md:
 
-    "nothing new goes to a server that drains, is gone or is detached"
+    "no new attempt goes to a server that drains, is gone or is detached"
 """
 
 from __future__ import annotations
--- a/soak/oracle/process.py
+++ b/soak/oracle/process.py
@@ -2,7 +2,7 @@
 
 Rule of docs/invariants.md:
 
-    "a start, an end, a signal or a failed system call is no crash"
+    "no start, shutdown, signal or failed system call crashes a process"
 """
 
 from __future__ import annotations
--- a/soak/oracle/reject.py
+++ b/soak/oracle/reject.py
@@ -2,7 +2,7 @@
 
 Rule of docs/invariants.md:
 
-    "a rejection promises that nothing was done"
+    "a request that was rejected has not been executed"
 """
 
 from __future__ import annotations
