--- a/tests/soak/test_oracle.py
+++ b/tests/soak/test_oracle.py
@@ -116,41 +116,47 @@
 CASES = {
     "in order": case(),
     "silent": case("answered", requests=[request(end="silent", ended_s=0.0, reply="")]),
-    "late": case("answered", requests=[request(ended_s=SENT_S + TIMEOUT_S + 0.6)]),
-    "late as the client was held up": case(requests=[request(ended_s=SENT_S + 1.6, lag_s=0.1)]),
+    "answered too late": case("answered", requests=[request(ended_s=SENT_S + TIMEOUT_S + 0.6)]),
+    "answered late, noticed by a client that was held up": case(
+        requests=[request(ended_s=SENT_S + 1.6, lag_s=0.1)]
+    ),
     "closed": case("answered", requests=[CLOSED]),
     "closed in a crash": case(requests=[CLOSED], outages=[crash(0.05, 0.2)]),
-    "closed in a crash of another": case(
+    "closed in a crash of another gateway": case(
         "answered", requests=[CLOSED], outages=[crash(0.05, 0.2, gateway=2)]
     ),
-    "closed while it rested": case(
+    "closed while the connection was idle": case(
         requests=[request(end="closed", reply="", is_first=False, idle_before_s=2.1)], commands=[]
     ),
-    "closed after it rested, but it was read": case(
+    "closed after the connection was idle, but the request was read": case(
         "answered", requests=[request(end="closed", reply="", is_first=False, idle_before_s=2.1)]
     ),
-    "first, closed in a shutdown": case(
+    "first request, closed in a shutdown": case(
         "answered", requests=[CLOSED], commands=[], shutdowns=[shutdown(-0.1, 0.4)]
     ),
-    "first, after the last accept": case(requests=[CLOSED], commands=[], shutdowns=[shutdown(-0.45, 0.4)]),
+    "first request, sent after the last accept of a shutdown": case(
+        requests=[CLOSED], commands=[], shutdowns=[shutdown(-0.45, 0.4)]
+    ),
     "unsent": case(requests=[request(end="unsent", sent_s=0.0, reply="")], commands=[]),
-    "bad peer without an end": case(
+    "malformed command without an error or a close": case(
         "answered", requests=[request(class_name="junk", end="silent", reply="")], commands=[]
     ),
-    "told too much": case("deadline", commands=[command(0.5, remaining_timeout_s=0.7)]),
-    "told too much by a server that did not read": case(
+    "longer timeout than the client has left": case(
+        "deadline", commands=[command(0.5, remaining_timeout_s=0.7)]
+    ),
+    "longer timeout, received by a server that did not read": case(
         commands=[command(0.5, remaining_timeout_s=0.7, lag_s=1e9)]
     ),
-    "after its client": case("client_gone", requests=[LEFT], commands=[command(0.4)]),
-    "just after its client": case(requests=[LEFT], commands=[command(0.25)]),
-    "order ran twice": case("repeat", commands=[command(), command(0.1)]),
-    "order turned away, then run": case(commands=[command(was_executed=False), command(0.1)]),
-    "keyed after its window": case(
+    "attempt after the client disconnected": case("client_gone", requests=[LEFT], commands=[command(0.4)]),
+    "attempt just after the client disconnected": case(requests=[LEFT], commands=[command(0.25)]),
+    "order executed twice": case("repeat", commands=[command(), command(0.1)]),
+    "order rejected by a server, then executed": case(commands=[command(was_executed=False), command(0.1)]),
+    "keyed request repeated after its window": case(
         "repeat", requests=[request(class_name="keyed", timeout_s=3.0)], commands=[command(), command(1.2)]
     ),
-    "read twice": case(requests=[request(class_name="read")], commands=[command(), command(0.3)]),
-    "rejected after it ran": case("reject", requests=[request(reply="BUSY")]),
-    "rejected before it ran": case(requests=[request(reply="BUSY")], commands=[]),
+    "read executed twice": case(requests=[request(class_name="read")], commands=[command(), command(0.3)]),
+    "rejected after it was executed": case("reject", requests=[request(reply="BUSY")]),
+    "rejected before it was executed": case(requests=[request(reply="BUSY")], commands=[]),
     "wrong value": case("value", requests=[request(reply="wrong b''")]),
     "to a draining server": case(
         "drain", endpoint_changes=[DRAINED], requests=[request(sent_s=SENT_S + 3.0)], commands=[command(3.0)]
@@ -164,13 +170,13 @@
     ),
     "to a detached server": case("detached", detachments=[detachment(-0.5, 1.0)]),
     "detached at another gateway": case(detachments=[detachment(-0.5, 1.0, gateway=2)]),
-    "cold server": case(
+    "overload of a server that warms up": case(
         "slow_start",
         requests=[],
         commands=[command(0.001 * number, request_id=f"{number}") for number in range(200)],
         cold_starts=[ServerColdStart("s-1", SENT_S)],
     ),
-    "cold server, of whose start nobody was told": case(
+    "overload of a server that warms up, of which no gateway was notified": case(
         requests=[],
         commands=[command(0.001 * number, request_id=f"{number}") for number in range(200)],
         cold_starts=[ServerColdStart("s-1", SENT_S)],
@@ -178,9 +184,9 @@
     ),
     "crashed": case("process", processes=[process(exit_code=1)]),
     "killed": case(processes=[process(exit_code=-9, was_killed=True)]),
-    "overdue": case("process", processes=[process(was_killed=True, is_overdue=True)]),
+    "killed as it was overdue": case("process", processes=[process(was_killed=True, is_overdue=True)]),
     "traceback": case("process", processes=[process(log="x\nTraceback (most recent call last):\n")]),
-    "invariant": case("process", processes=[process(violations=2)]),
+    "counted violations itself": case("process", processes=[process(violations=2)]),
     "not ready": case("start", start_violations=[Violation(Rule.START, "gateway-1-0", "not ready")]),
 }
 
--- a/tests/soak/test_play.py
+++ b/tests/soak/test_play.py
@@ -6,12 +6,14 @@
 import msgspec
 import pytest
 
+from soak.clients.behaviours import BEHAVIOUR_WEIGHTS
 from soak.deployment import Deployment
 from soak.fault_kinds import FaultKind
 from soak.faults import make_faults
 from soak.oracle import find_violations
-from soak.plan import FAULT_WEIGHTS, draw_plan
+from soak.plan import FAULT_WEIGHTS, PlannedFault, draw_plan
 from soak.play import play
+from soak.records import ClientBehaviour
 from soak.settings import SoakConfig
 
 WITHOUT_FAULTS = SoakConfig(
@@ -24,6 +26,11 @@
     faults_per_s=0.0,
 )
 
+KINDS_OF_SEED_1 = """
+fail refuse tcp_calls reset_idle tcp_calls wall_step crash slow drain unix_calls reload reset_under
+replace unix_calls cut hang unix_calls pause slow tcp_calls file_calls upgrade wall_step drain
+"""
+
 
 def test_plan_is_drawn_from_its_seed_and_has_every_kind():
     config = SoakConfig(seed=7, duration_s=1000.0)
@@ -34,6 +41,23 @@
     assert all(0.0 < planned.start_s < config.duration_s for planned in plan)
 
 
+def test_seed_draws_the_plan_that_it_always_drew():
+    plan = draw_plan(SoakConfig(seed=1))
+    assert [planned.kind for planned in plan] == KINDS_OF_SEED_1.split()
+    assert plan[0] == PlannedFault(
+        kind=FaultKind.ERROR_REPLY,
+        start_s=2.3719439132924425,
+        duration_s=3.1834267206133333,
+        server="s-00",
+        gateway=2,
+        strength=0.24404133197590727,
+    )
+
+
+def test_every_behaviour_of_clients_is_drawn():
+    assert set(BEHAVIOUR_WEIGHTS) == set(ClientBehaviour)
+
+
 def test_every_fault_that_is_drawn_can_be_injected():
     idle_deployment = Deployment(server_roles={}, proxy=None, discovery=None, gateways=[], clients=[])
     assert set(make_faults(idle_deployment)) == set(FaultKind) == set(FAULT_WEIGHTS)
