--- a/soak/discovery.py
+++ b/soak/discovery.py
@@ -10,13 +10,11 @@
 from scale.stubs.discovery_connection import DiscoveryConnection
 from scale.stubs.discovery_state import DiscoveryState
 from scale.stubs.endpoint_catalog import ListedEndpoint
-from soak.records import EndpointChange
+from soak.records import EndpointChange, EndpointLifecycle
 
 OLD_ADDRESS_GRACE_S = 1.5
 """TERMS: how long after a move connections at the old address close."""
 
-UNCHANGED = -1
-
 
 class SoakDiscovery:
     """Discovery as gateways see it, as a child's role.
@@ -50,14 +48,14 @@
             loop.call_later(OLD_ADDRESS_GRACE_S, connection.abort)
         return port
 
-    async def publish(self, server: str, lifecycle: str, started_at_ms: int = UNCHANGED) -> None:
+    async def publish(self, server: str, lifecycle: str, started_at_ms: int | None = None) -> None:
         """Publish a server's new lifecycle, and its start in Unix time where that is given."""
         endpoint = self._endpoints[server]
-        if started_at_ms != UNCHANGED:
+        if started_at_ms is not None:
             endpoint = msgspec.structs.replace(endpoint, started_at_ms=started_at_ms)
         endpoint = msgspec.convert({**msgspec.to_builtins(endpoint), "lifecycle": lifecycle}, ListedEndpoint)
         self._endpoints[server] = endpoint
-        self._changes.append(EndpointChange(server, lifecycle, time.monotonic()))
+        self._changes.append(EndpointChange(server, EndpointLifecycle(lifecycle), time.monotonic()))
         self._state.publish([endpoint])
 
     async def set_silent(self, silent: bool) -> None:
--- a/soak/faults/endpoints.py
+++ b/soak/faults/endpoints.py
@@ -12,7 +12,7 @@
 from soak.faults.reservations import ServerReservations
 from soak.gateways.gateway import SoakGateway
 from soak.plan import PlannedFault
-from soak.records import ServerColdStart
+from soak.records import EndpointLifecycle, ServerColdStart
 from soak.settings import MS_PER_S
 
 DRAIN_S = 11.0
@@ -30,13 +30,15 @@
         """Restart a server, and record its cold start."""
         role = self._deployment.server_roles[server]
         discovery = self._deployment.discovery
-        await discovery.command("publish", server=server, lifecycle="Gone")
+        await discovery.command("publish", server=server, lifecycle=EndpointLifecycle.GONE)
         await role.command("begin_fault", server=server, kind=FaultKind.DOWN)
         await asyncio.sleep(GONE_S)
         await role.command("end_fault", server=server)
         started_at_ms = int(time.time() * MS_PER_S)
         self._deployment.cold_starts.append(ServerColdStart(server, time.monotonic()))
-        await discovery.command("publish", server=server, lifecycle="Ready", started_at_ms=started_at_ms)
+        await discovery.command(
+            "publish", server=server, lifecycle=EndpointLifecycle.READY, started_at_ms=started_at_ms
+        )
 
 
 class ServerDrain:
@@ -53,7 +55,9 @@
         """Inject the fault, where the server is free."""
         with self._reservations.reserve(planned.server) as is_reserved:
             if is_reserved:
-                await self._discovery.command("publish", server=planned.server, lifecycle="Terminating")
+                await self._discovery.command(
+                    "publish", server=planned.server, lifecycle=EndpointLifecycle.TERMINATING
+                )
                 await asyncio.sleep(DRAIN_S)
                 await self._restarter.restart(planned.server)
 
--- a/soak/oracle/drain.py
+++ b/soak/oracle/drain.py
@@ -13,19 +13,17 @@
 from soak.oracle.notification import Notifications
 from soak.oracle.record_index import RecordIndex
 from soak.oracle.tolerances import DEADLINE_SLACK_S
-from soak.records import EndpointChange
+from soak.records import EndpointChange, EndpointLifecycle
 from soak.settings import DRAIN_GRACE_S
 from soak.violation import Rule, Violation
 
-READY = "Ready"
-
 
 def find_violations(index: RecordIndex) -> Iterator[Violation]:
     """Yield attempts at a server after its gateway must have known that it is not ready."""
     notifications = Notifications(index.records)
     changes = sorted(index.records.endpoint_changes, key=lambda change: change.at_s)
     for position, change in enumerate(changes):
-        if change.lifecycle == READY:
+        if change.lifecycle is EndpointLifecycle.READY:
             continue
         ready_again_s = _ready_again_s(change.server, changes[position + 1 :])
         for command in index.received_by(change.server, change.at_s, ready_again_s):
@@ -38,6 +36,8 @@
 
 def _ready_again_s(server: str, later_changes: list[EndpointChange]) -> float:
     returns = (
-        change.at_s for change in later_changes if change.server == server and change.lifecycle == READY
+        change.at_s
+        for change in later_changes
+        if change.server == server and change.lifecycle is EndpointLifecycle.READY
     )
     return next(returns, inf)
--- a/soak/oracle/notification.py
+++ b/soak/oracle/notification.py
@@ -12,7 +12,7 @@
 NOTIFICATION_AFTER_FAULT_S = 6.0
 """Time after discovery could be reached again, whatever else happens."""
 
-DISCOVERY_FAULTS = frozenset(
+FAULTS_DELAYING_ALL_GATEWAYS = frozenset(
     (
         FaultKind.DISCOVERY_SILENT,
         FaultKind.DISCOVERY_REFUSING,
@@ -22,7 +22,7 @@
 )
 """Faults that delay the notification of every gateway."""
 
-GATEWAY_FAULTS = frozenset(
+FAULTS_DELAYING_THEIR_GATEWAY = frozenset(
     (
         FaultKind.TCP_CALLS_FAIL,
         FaultKind.FILE_CALLS_FAIL,
@@ -32,10 +32,10 @@
 )
 """Faults that delay the notification of their gateway."""
 
-UNREACHABLE_FAULTS = frozenset(
+FAULTS_HIDING_DISCOVERY = frozenset(
     (FaultKind.DISCOVERY_SILENT, FaultKind.DISCOVERY_REFUSING, FaultKind.TCP_CALLS_FAIL)
 )
-"""Faults while which a gateway may not reach discovery."""
+"""Faults during which a gateway may not reach discovery."""
 
 
 class Notifications:
@@ -53,7 +53,7 @@
         if self.is_undisturbed(changed_s, gateway):
             return changed_s + NOTIFICATION_S
         faults = self._delaying_faults(changed_s, gateway)
-        reachable = [fault.end_s for fault in faults if fault.kind in UNREACHABLE_FAULTS]
+        reachable = [fault.end_s for fault in faults if fault.kind in FAULTS_HIDING_DISCOVERY]
         return max([changed_s, *reachable]) + NOTIFICATION_AFTER_FAULT_S
 
     def _delaying_faults(self, changed_s: float, gateway: int | None) -> list[FaultRecord]:
@@ -62,7 +62,8 @@
             for fault in self._records.faults
             if _is_near(fault, changed_s)
             and (
-                fault.kind in DISCOVERY_FAULTS or (fault.gateway == gateway and fault.kind in GATEWAY_FAULTS)
+                fault.kind in FAULTS_DELAYING_ALL_GATEWAYS
+                or (fault.gateway == gateway and fault.kind in FAULTS_DELAYING_THEIR_GATEWAY)
             )
         ]
 
--- a/soak/records.py
+++ b/soak/records.py
@@ -64,6 +64,14 @@
     """The gateway closed within a value, which may have broken off at its server."""
 
 
+class EndpointLifecycle(StrEnum):
+    """The state of a server on discovery's list."""
+
+    READY = "Ready"
+    TERMINATING = "Terminating"
+    GONE = "Gone"
+
+
 class OutageKind(StrEnum):
     """How a process of a gateway was killed."""
 
@@ -139,7 +147,7 @@
     """A change of the endpoint list: the server, its new lifecycle, and when discovery published it."""
 
     server: str
-    lifecycle: str
+    lifecycle: EndpointLifecycle
     at_s: float
 
 
--- a/tests/soak/test_oracle.py
+++ b/tests/soak/test_oracle.py
@@ -12,6 +12,7 @@
     CommandRecord,
     Detachment,
     EndpointChange,
+    EndpointLifecycle,
     FaultRecord,
     GatewayOutage,
     GatewayShutdown,
@@ -111,7 +112,7 @@
 
 LEFT = request(end="left", ended_s=SENT_S + 0.2, reply="")
 CLOSED = request(end="closed", reply="")
-DRAINED = EndpointChange("s-1", "Terminating", SENT_S)
+DRAINED = EndpointChange("s-1", EndpointLifecycle.TERMINATING, SENT_S)
 
 CASES = {
     "in order": case(),
