--- a/soak/deployment.py
+++ b/soak/deployment.py
@@ -49,6 +49,14 @@
     cold_starts: list[ServerColdStart] = field(default_factory=list)
 
 
+@dataclass(frozen=True)
+class StartedServers:
+    """The process and the port of each server, by the server's name."""
+
+    roles: dict[str, RoleProcess] = field(default_factory=dict)
+    ports: dict[str, int] = field(default_factory=dict)
+
+
 class Deployer:
     """Starts the processes of one play.
 
@@ -70,23 +78,21 @@
             ChildError: A process has failed.
             LimitError: The configuration allows fewer processes.
         """
-        server_roles, server_ports = await self._start_servers()
+        servers = await self._start_servers()
         proxy, link_ports = await self._supervisor.start_role(
-            "proxy", dict[str, int], server_ports=server_ports, seed=self._config.seed
+            "proxy", dict[str, int], server_ports=servers.ports, seed=self._config.seed
         )
-        endpoints = [_listed_endpoint(name, link_ports[name]) for name in server_ports]
+        endpoints = [_listed_endpoint(name, link_ports[name]) for name in servers.ports]
         discovery, discovery_port = await self._supervisor.start_role("discovery", int, endpoints=endpoints)
         gateways = await self._start_gateways(endpoints, discovery_port)
         clients = [
             await self._start_clients(number, gateways)
             for number in range(1, self._config.client_processes + 1)
         ]
-        return Deployment(server_roles, proxy, discovery, gateways, clients)
+        return Deployment(servers.roles, proxy, discovery, gateways, clients)
 
-    async def _start_servers(self) -> tuple[dict[str, RoleProcess], dict[str, int]]:
-        """Start the servers; return the process and the port of each."""
-        roles: dict[str, RoleProcess] = {}
-        ports: dict[str, int] = {}
+    async def _start_servers(self) -> StartedServers:
+        servers = StartedServers()
         for names in self._config.server_names:
             role, process_ports = await self._supervisor.start_role(
                 "servers",
@@ -96,9 +102,9 @@
                 mean_service_s=MEAN_SERVICE_S,
                 seed=self._config.seed,
             )
-            ports |= process_ports
-            roles |= dict.fromkeys(names, role)
-        return roles, ports
+            servers.ports.update(process_ports)
+            servers.roles.update(dict.fromkeys(names, role))
+        return servers
 
     async def _start_gateways(
         self, endpoints: list[ListedEndpoint], discovery_port: int
