--- a/quota_gateway/net/active_request.py
+++ b/quota_gateway/net/active_request.py
@@ -1,8 +1,9 @@
-"""A client's request in progress, and its attempts, as the driver keeps them."""
+"""A client's request in progress, and its attempts, as the sockets see them."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
+from enum import Enum
 from math import inf
 from typing import NamedTuple, Protocol
 
@@ -17,18 +18,27 @@
         """Write the next bytes."""
 
     def on_deadline(self) -> bool:
-        """The client's time is over; whether the value fails now."""
+        """Note that the client's timeout is over; return whether the value fails now."""
 
-    def end(self, whole: bool) -> None:
-        """Everything has come, or no more will."""
+    def end(self, is_complete: bool) -> None:
+        """Note that the value is complete, or that no more of it will come."""
 
 
 def _always_waiting() -> bool:
     return True
 
 
+class RequestState(Enum):
+    """What a request's client has been given. The first state leads to each other one; those are final."""
+
+    AWAITING_ANSWER = "awaiting_answer"
+    ANSWERED = "answered"  # by one short reply
+    STREAMING = "streaming"  # answered by a large value, whose end may still fail
+    CLIENT_LEFT = "client_left"  # no answer is needed any more
+
+
 class ExecutedAttempt(NamedTuple):
-    """An attempt that may have run, when it started, and where its server keeps idempotency keys."""
+    """An attempt that may have run, when it started, and the zone and cell whose servers share its key."""
 
     number: int
     started_ms: float
@@ -40,19 +50,17 @@
     """A client's request, from its arrival until it is answered and none of its attempts is in flight.
 
     Args:
-        request_id: The name of the request, unique among those in progress.
-        encode: Encodes the command for a server, with the milliseconds that are left of its timeout.
+        request_id: The id of the request, unique among those in progress.
+        encode: Encodes the command for a server, with the remaining timeout in milliseconds.
         on_answer: Called with the one final answer, unless a large value answers.
-        on_body_started: Called with the length of a large value and the attempt that brings it.
-        is_client_waiting: Whether the client is still there.
+        on_body_started: Called with the length of a large value in bytes and the attempt that brings it.
+        is_client_waiting: Returns whether the client is still connected.
     """
 
     __slots__ = (
-        "answered",
         "attempt_count",
         "attempts",
         "body_writer",
-        "client_left",
         "deadline_ms",
         "encode",
         "executions",
@@ -61,6 +69,7 @@
         "on_body_started",
         "request_class",
         "request_id",
+        "state",
     )
 
     def __init__(
@@ -78,20 +87,24 @@
         self.is_client_waiting = is_client_waiting
         self.body_writer: BodyWriter | None = None  # once a large value has begun
         self.deadline_ms = 0.0
-        self.attempt_count = 0  # attempts started so far, the number of the next one
+        self.attempt_count = 0  # started so far; the number of the next one
         self.attempts: dict[int, Attempt] = {}  # in flight, by number
-        self.executions: dict[int, ExecutedAttempt] = {}  # of the attempts that may have run, or may yet
+        self.executions: dict[int, ExecutedAttempt] = {}  # of the attempts that may have run or still may
         self.request_class: RequestClass | None = None
-        self.answered = False
-        self.client_left = False
+        self.state = RequestState.AWAITING_ANSWER
+
+    @property
+    def is_answered(self) -> bool:
+        """Whether the client needs no further answer."""
+        return self.state is not RequestState.AWAITING_ANSWER
 
     def first_possible_execution(self) -> ExecutedAttempt | None:
-        """The first of its attempts that may have run, or may yet."""
+        """Return the first of its attempts that may have run or still may, None if there is none."""
         return min(self.executions.values(), default=None)
 
 
 class ActiveAttempt:
-    """What the driver knows of one attempt of a request: where it went, and when."""
+    """One attempt of a request: its server, when it started and its deadline."""
 
     __slots__ = (
         "attempt",
@@ -110,16 +123,16 @@
         self.execution = execution
         self.server = server
         self.deadline_ms = deadline_ms
-        self.encoded_ms = execution.started_ms  # when its command was encoded, with the time left by then
+        self.encoded_ms = execution.started_ms  # when the remaining timeout in its command was true
         self.first_byte_latency_ms = inf  # until the first bytes of a large value
         self.attempt: Attempt | None = None
 
     @property
     def number(self) -> int:
-        """Its number among the attempts of its request, from 0."""
+        """The number among the attempts of its request, from 0."""
         return self.execution.number
 
     @property
     def started_ms(self) -> float:
-        """When it started."""
+        """When the attempt started, by the gateway's clock."""
         return self.execution.started_ms
--- /dev/null
+++ b/quota_gateway/net/active_requests.py
@@ -0,0 +1,48 @@
+"""The requests in progress, by id, until each is answered and has no attempt in flight."""
+
+from __future__ import annotations
+
+from quota_gateway.net.active_request import ActiveRequest
+from quota_gateway.net.upstream.pool import UpstreamPool
+
+
+class ActiveRequests:
+    """The requests in progress.
+
+    Attributes:
+        by_id: The requests by their ids.
+    """
+
+    __slots__ = ("_possibly_finished", "_upstream", "by_id")
+
+    def __init__(self, upstream: UpstreamPool) -> None:
+        self.by_id: dict[str, ActiveRequest] = {}
+        self._upstream = upstream
+        self._possibly_finished: list[ActiveRequest] = []
+
+    def add(self, request: ActiveRequest) -> None:
+        """Add a request that has come."""
+        self.by_id[request.request_id] = request
+
+    def remove_if_idle(self, request: ActiveRequest) -> None:
+        """Remove an answered request unless an attempt of it is in flight."""
+        if not request.attempts:
+            self.by_id.pop(request.request_id, None)
+
+    def check_after_event(self, request: ActiveRequest) -> None:
+        """Let ``end_answered`` look at a request once the actions of the current event are carried out."""
+        self._possibly_finished.append(request)
+
+    def end_answered(self) -> None:
+        """Cancel the unsent attempts of answered requests, and remove those with no attempt in flight.
+
+        Comes after the actions of an event, which may cancel an attempt themselves. An unsent attempt that
+        stayed would go out after the answer; see docs/decisions/driver.md.
+        """
+        while self._possibly_finished:
+            request = self._possibly_finished.pop()
+            if not request.is_answered:
+                continue
+            for attempt in list(request.attempts.values()):
+                self._upstream.cancel_unsent(attempt)
+            self.remove_if_idle(request)
--- a/quota_gateway/net/clients/commands.py
+++ b/quota_gateway/net/clients/commands.py
@@ -7,7 +7,6 @@
 
 from quota_gateway import model as api
 from quota_gateway.errors import CommandError
-from quota_gateway.net.driver import CLIENT_MARGIN_MS
 
 CALL_GET = b"CALL.GET"
 CALL_POST = b"CALL.POST"
@@ -15,6 +14,7 @@
 
 GET_ARGUMENT_COUNT = 4  # name, customer, request id, list of fields
 POST_ARGUMENT_COUNT = 5  # the same, then the body
+CLIENT_MARGIN_MS = 10.0  # of a client's timeout, kept for the network and a late event loop
 CUSTOMER_LIMIT = 1 << 33  # customers are numbered below this
 CUSTOMER_PATTERN = re.compile(rb"[0-9a-fA-F]{16}")
 ID_PATTERN = re.compile(rb"[0-9A-Za-z]{1,64}")  # of a request, and an idempotency key
--- a/quota_gateway/net/clients/pending_reply.py
+++ b/quota_gateway/net/clients/pending_reply.py
@@ -109,16 +109,16 @@
         self.may_gather = False
         return not self.has_started_writing and self.connection.is_next(self)
 
-    def end(self, whole: bool) -> None:
+    def end(self, is_complete: bool) -> None:
         """End a large value.
 
         Its last two bytes are written only now, so that a client can tell a value that broke off.
 
         Args:
-            whole: Whether all of it has come, in good order.
+            is_complete: Whether all of it has come, in good order.
         """
         self.attempt = None
-        if whole:
+        if is_complete:
             self.take(b"\r\n")
         elif self.has_started_writing:
             self.connection.close_truncated()
--- /dev/null
+++ b/quota_gateway/net/request_answers.py
@@ -0,0 +1,68 @@
+"""The one final answer of each request: a value, a rejection or a failure, in the client's protocol."""
+
+from __future__ import annotations
+
+from quota_gateway.model import Fail, Reject
+from quota_gateway.net.active_request import ActiveRequest, RequestState
+from quota_gateway.net.active_requests import ActiveRequests
+from quota_gateway.net.request_guard import RequestGuard
+from quota_gateway.net.request_telemetry import (
+    FAILED_LABEL_PREFIX,
+    REJECTED_LABEL_PREFIX,
+    SERVED_LABEL,
+    STREAMED_LABEL,
+    RequestTelemetry,
+)
+
+FAILED_REPLY = b"-ERR failed\r\n"
+
+
+class RequestAnswers:
+    """Gives each request its final answer; what comes after the first is dropped."""
+
+    def __init__(self, requests: ActiveRequests, guard: RequestGuard, telemetry: RequestTelemetry) -> None:
+        self._requests = requests
+        self._guard = guard
+        self._telemetry = telemetry
+
+    def reject(self, action: Reject) -> None:
+        """Tell the client that nothing was done, and after how many milliseconds it may retry.
+
+        Becomes a failure where the guard has seen an attempt that may have run.
+        """
+        retry_after_ms = round(action.retry_after_ms)
+        reply = b"-BUSY %d\r\n" % retry_after_ms if retry_after_ms > 0 else b"-BUSY\r\n"
+        request = self._requests.by_id.get(action.request_id)
+        if request and not request.is_answered and not self._guard.may_reject(request):
+            reply = FAILED_REPLY
+        self._answer_unserved(action.request_id, reply, REJECTED_LABEL_PREFIX + action.reason.value)
+
+    def fail(self, action: Fail) -> None:
+        """Tell the client that the request failed, and promise nothing about its effect."""
+        self._answer_unserved(action.request_id, FAILED_REPLY, FAILED_LABEL_PREFIX + action.reason.value)
+
+    def serve(self, request: ActiveRequest, value: bytes) -> None:
+        """Answer with the complete value of a server, unless the request is answered."""
+        if request.is_answered:
+            return
+        self._telemetry.on_answer(request, SERVED_LABEL)
+        self.send(request, b"$%d\r\n%b\r\n" % (len(value), value))
+
+    def start_streaming(self, request: ActiveRequest) -> None:
+        """Count a large value as the answer, from its first bytes on."""
+        self._telemetry.on_answer(request, STREAMED_LABEL)
+        request.state = RequestState.STREAMING
+
+    def send(self, request: ActiveRequest, reply: bytes) -> None:
+        """Hand a reply to the client's connection."""
+        request.state = RequestState.ANSWERED
+        request.on_answer(reply)
+
+    def _answer_unserved(self, request_id: str, reply: bytes, label: str) -> None:
+        request = self._requests.by_id.get(request_id)
+        if request is None or request.is_answered:
+            return
+        self._telemetry.on_answer(request, label)
+        self.send(request, reply)
+        self._requests.check_after_event(request)
+        self._requests.remove_if_idle(request)
--- a/quota_gateway/net/request_guard.py
+++ b/quota_gateway/net/request_guard.py
@@ -49,7 +49,7 @@
     def may_start(self, attempt: ActiveAttempt) -> bool:
         """Whether an attempt that the engine has decided on may start."""
         request = attempt.request
-        if request.answered:
+        if request.is_answered:
             return self._refuse(attempt, StartRefusal.ANSWERED)
         if attempt.deadline_ms <= attempt.started_ms:
             return self._refuse(attempt, StartRefusal.OUT_OF_TIME)
@@ -68,7 +68,7 @@
         """
         request = attempt.request
         if not self._telemetry.invariants.check(
-            Invariant.NO_ATTEMPT_AFTER_ANSWER, not request.answered, request.request_id, attempt.server
+            Invariant.NO_ATTEMPT_AFTER_ANSWER, not request.is_answered, request.request_id, attempt.server
         ):
             self._refuse(attempt, StartRefusal.ANSWERED)
             return AttemptStatus.NOT_SENT
--- a/soak/planted.py
+++ b/soak/planted.py
@@ -12,10 +12,13 @@
 from quota_gateway import server as gateway_server
 from quota_gateway.model import AttemptStatus, EndpointLifecycle
 from quota_gateway.net import request_guard
+from quota_gateway.net.active_request import RequestState
 from quota_gateway.net.clients.connection import ClientConnection
 from quota_gateway.net.clients.listener import ClientListener
-from quota_gateway.net.driver import Driver
+from quota_gateway.net.request_answers import RequestAnswers
+from quota_gateway.net.request_attempts import RequestAttempts
 from quota_gateway.net.upstream.host import UpstreamHost
+from quota_gateway.net.upstream.pool import UpstreamPool
 from quota_gateway.policy import engine, retries
 from quota_gateway.policy.endpoints import EndpointTable
 from quota_gateway.policy.slow_start import SlowStart
@@ -36,16 +39,16 @@
 
 
 def _extend_deadline() -> None:
-    original: Patched = Driver._start_attempt
+    original: Patched = RequestAttempts.start
 
-    def start(self: Driver, action: Any) -> None:
-        request = self.active_requests.get(action.request_id)
+    def start(self: RequestAttempts, action: Any) -> None:
+        request = self._requests.by_id.get(action.request_id)
         if request and not request.attempt_count:
             encode = request.encode
             request.encode = lambda timeout_ms: encode(timeout_ms + EXTRA_TIMEOUT_MS)
         original(self, action)
 
-    Driver._start_attempt = start  # type: ignore[method-assign]
+    RequestAttempts.start = start  # type: ignore[method-assign]
 
 
 def _repeat_unsafe() -> None:
@@ -66,16 +69,15 @@
 
 
 def _drop_answers() -> None:
-    original: Patched = Driver._answer
+    original: Patched = RequestAnswers.send
 
-    def answer(self: Driver, request: Any, data: bytes) -> None:
+    def send(self: RequestAnswers, request: Any, reply: bytes) -> None:
         if random.random() < DROPPED_SHARE:
-            request.answered = True
+            request.state = RequestState.ANSWERED
         else:
-            original(self, request, data)
+            original(self, request, reply)
 
-    driver: Any = Driver
-    driver._answer = answer
+    RequestAnswers.send = send  # type: ignore[method-assign]
 
 
 def _ignore_drain() -> None:
@@ -97,8 +99,8 @@
 def _ignore_detach() -> None:
     table: Any = EndpointTable
     table.detach = lambda _self, _number, _since_ms=None: True
-    driver: Any = Driver
-    driver._set_server_detached = lambda _self, _action: None
+    pool: Any = UpstreamPool
+    pool.set_detached = lambda _self, _server, _detached: None
 
 
 def _reject_after_run() -> None:
@@ -108,18 +110,17 @@
 
 
 def _mix_values() -> None:
-    original: Patched = Driver._answer
+    original: Patched = RequestAnswers.send
 
-    def answer(self: Driver, request: Any, data: bytes) -> None:
-        is_value = data.startswith(b"$16\r\n")
+    def send(self: RequestAnswers, request: Any, reply: bytes) -> None:
+        is_value = reply.startswith(b"$16\r\n")
         original(
             self,
             request,
-            b"$16\r\n" + 16 * b"0" + b"\r\n" if is_value and random.random() < RARE_SHARE else data,
+            b"$16\r\n" + 16 * b"0" + b"\r\n" if is_value and random.random() < RARE_SHARE else reply,
         )
 
-    driver: Any = Driver
-    driver._answer = answer
+    RequestAnswers.send = send  # type: ignore[method-assign]
 
 
 def _close_queue_unread() -> None:
--- a/tests/net/clients/test_arrival.py
+++ b/tests/net/clients/test_arrival.py
@@ -97,7 +97,7 @@
         await wait_until(connection.intake.has_partial_command)
         clock.offset_s = WAIT_S
         for active in list(gateway.driver.active_requests.values()):
-            if not active.answered:
+            if not active.is_answered:
                 gateway.driver.client_disconnected(active.request_id)
         upstream.respond = lambda words: encode_reply(words[2])
         for reply in list(connection.pending_replies):
--- a/tests/net/clients/test_client_disconnect.py
+++ b/tests/net/clients/test_client_disconnect.py
@@ -147,7 +147,7 @@
     client.socket.sendall(encode_request(FIRST))
     await wait_until_sent(gateway, client, FIRST)
     (attempt,) = gateway.driver.active_requests[request_id(FIRST).decode()].attempts.values()
-    return lambda: gateway.driver._time_out(attempt)
+    return lambda: gateway.driver.attempts.time_out(attempt)
 
 
 async def slow(gateway, client):
--- a/tests/net/clients/test_client_listener.py
+++ b/tests/net/clients/test_client_listener.py
@@ -12,7 +12,7 @@
 from quota_gateway import Plan
 from quota_gateway.net.clients import command_intake, idle_connections
 from quota_gateway.net.clients.command_intake import MAX_PIPELINED_COMMANDS
-from quota_gateway.net.driver import Driver
+from quota_gateway.net.request_answers import RequestAnswers
 from quota_gateway.net.upstream.pool import UpstreamConnection
 from tests.support.fake_upstream import FakeUpstream
 from tests.support.gateway_node import connect_slow_reader, run_gateway, wait_until
@@ -224,7 +224,7 @@
 @pytest.mark.parametrize(("many", "body"), [(MAX_PIPELINED_COMMANDS + 6, b""), (4, b"x" * 200_000)])
 async def test_disconnect_is_noticed_while_reading_is_paused(many, body, how, monkeypatch):
     answered: list[str] = []
-    monkeypatch.setattr(Driver, "_answer", lambda _self, call, _answer: answered.append(call.request_id))
+    monkeypatch.setattr(RequestAnswers, "send", lambda _self, call, _reply: answered.append(call.request_id))
     server = FakeUpstream()
     async with run_gateway() as gateway:
         peer = await gateway.connect_client()
@@ -245,11 +245,11 @@
 
 
 async def test_disconnect_with_unread_replies_ends_the_requests_in_hand(monkeypatch):
-    answered, plain = [], Driver._answer
+    answered, plain = [], RequestAnswers.send
     monkeypatch.setattr(
-        Driver,
-        "_answer",
-        lambda self, call, answer: (answered.append(call.request_id), plain(self, call, answer)),
+        RequestAnswers,
+        "send",
+        lambda self, call, reply: (answered.append(call.request_id), plain(self, call, reply)),
     )
     server = FakeUpstream(lambda words: encode_reply(b"v" * 65_000) if words[2].endswith(b"0") else None)
     async with run_gateway(server) as gateway:
--- a/tests/net/upstream/test_upstream_pool.py
+++ b/tests/net/upstream/test_upstream_pool.py
@@ -322,7 +322,7 @@
     async with run_gateway(server) as gateway:
         client, ahead = await gateway.connect_client(), 0.0
         usual = gateway.driver.clock
-        monkeypatch.setattr(gateway.driver, "clock", lambda: usual() + ahead)
+        monkeypatch.setattr(gateway.driver.attempts, "clock", lambda: usual() + ahead)
         client.send(encode_call(1))
         await wait_until(lambda: bool(gateway.upstream_pool.connections))
         ahead = 1500.0  # as if connecting had taken so long
