--- a/quota_gateway/net/acceptor.py
+++ b/quota_gateway/net/acceptor.py
@@ -1,4 +1,4 @@
-"""Accepts connections from a listening socket, within limits and through errors that pass."""
+"""Accepts connections from a listening socket, within a capacity and through transient errors."""
 
 from __future__ import annotations
 
@@ -8,39 +8,42 @@
 
 from quota_gateway.net.transient_errors import FAILED_CONNECTION_ERRORS
 
-MAX_ACCEPTS_PER_TURN = 32  # connections accepted before the others have their turn
-MAX_RETRIES_AT_ONCE = 3  # of a call that failed for want of something: many pass at once
-FIRST_RETRY_S = 0.005  # after the system was short of descriptors or memory; twice as long each time
-MAX_RETRY_S = 0.08  # what waits meanwhile is owed an answer in its time
+MAX_ACCEPTS_PER_TURN = 32  # before other events of the loop are handled
+# After a shortage of descriptors or memory: retries at once, then with an exponential backoff. It stays
+# short, as the deadlines of those that wait in the queue run on.
+MAX_IMMEDIATE_RETRIES = 3
+INITIAL_BACKOFF_S = 0.005
+BACKOFF_FACTOR = 2.0
+MAX_BACKOFF_S = 0.08
 
 
 class AcceptorOwner:
-    """What an acceptor asks of its owner; the defaults suit one with few connections."""
+    """What an acceptor needs of its owner; the defaults suit one without a limit on connections."""
 
-    def free_places(self) -> int:
-        """How many connections there is room for."""
+    def available_capacity(self) -> int:
+        """Return how many more connections may be accepted now."""
         return MAX_ACCEPTS_PER_TURN
 
-    def make_room(self) -> None:
-        """Close connections of no use, as others wait."""
+    def evict(self) -> None:
+        """Close connections that others, which wait, may replace."""
 
     def on_accepted(self, sock: socket.socket, waiting_since_s: float) -> None:
-        """Take a connection, which has come at this monotonic time or later."""
+        """Take a connection, which has come at this monotonic time in seconds or later."""
         raise NotImplementedError
 
     def on_accept_error(self, error: OSError) -> None:
-        """Note that a call has failed."""
+        """Note that a call of accept has failed."""
         raise NotImplementedError
 
 
 class Acceptor:
-    """One listening socket.
+    """Accepts from one listening socket.
 
     Attributes:
         socket: The listening socket, None before it is opened and after it is closed.
-        is_accepting: Whether the loop watches it.
+        is_accepting: Whether the event loop watches it.
         is_suspended: Whether nothing is accepted here, as another process takes over.
-        is_shared: Whether that process accepts from the same queue already.
+        is_shared: Whether that process already accepts from the same queue.
     """
 
     def __init__(self, owner: AcceptorOwner) -> None:
@@ -50,14 +53,14 @@
         self.is_shared = False
         self._owner = owner
         self._loop = asyncio.get_running_loop()
-        self._waiting_since_s: float | None = None  # since when the queue was not emptied
-        self._retry_s = FIRST_RETRY_S
-        self._failures = 0  # of calls in a row, for want of something
+        self._waiting_since_s: float | None = None  # monotonic; the queue was not emptied since then
+        self._backoff_s = INITIAL_BACKOFF_S
+        self._consecutive_failures = 0  # for a shortage
         self._retry_timer: asyncio.TimerHandle | None = None
         self._closes_when_empty = False
 
     def open(self, listening_socket: socket.socket, waited_s: float = 0.0) -> None:
-        """Accept from this socket, whose queue nobody may have emptied for so long."""
+        """Accept from this socket, where connections may have waited for so many seconds."""
         listening_socket.setblocking(False)
         self.socket = listening_socket
         self._closes_when_empty = False
@@ -65,7 +68,7 @@
         self.resume()
 
     def resume(self) -> None:
-        """Accept, unless it is closed or suspended."""
+        """Accept, unless closed or suspended."""
         if self._retry_timer:
             self._retry_timer.cancel()
             self._retry_timer = None
@@ -78,8 +81,8 @@
             self._loop.call_soon(self._probe)
 
     def _probe(self) -> None:
-        """Look whether anything waits, if there is room: the loop does not tell that nothing does."""
-        if self.is_accepting and self._owner.free_places() > 0:
+        """Accept without an event of the loop, which does not tell that the queue is empty."""
+        if self.is_accepting and self._owner.available_capacity() > 0:
             self._accept()
 
     def pause(self) -> None:
@@ -93,7 +96,7 @@
     def close_when_empty(self) -> None:
         """Accept what waits already, then close: closing resets what is in the queue.
 
-        Where another process takes over, the queue is its to empty, from when it accepts from it.
+        A process that takes over empties the queue itself, as soon as it accepts from it.
         """
         self._closes_when_empty = True
         if self.is_shared:
@@ -107,13 +110,13 @@
         self.pause()
 
     def share(self) -> None:
-        """The other process accepts from the same queue."""
+        """Note that the process that takes over accepts from the same queue."""
         self.is_shared = True
         if self._closes_when_empty:
             self.close()
 
     def take_back(self) -> None:
-        """Accept again, as there is no other process after all."""
+        """Accept again, as the other process has given up."""
         self.is_suspended = False
         self.is_shared = False
         self.resume()
@@ -128,23 +131,23 @@
             self.socket = None
 
     def _accept(self) -> None:
-        """Accept while there is room; else make some.
+        """Accept while there is capacity, else have the owner evict connections.
 
-        A place is free only once the loop has closed its descriptor: the owner calls ``resume`` then.
+        Capacity is free only once the loop has closed a descriptor: the owner calls ``resume`` then.
         """
         if self.socket is None or self.is_suspended:
             return
-        if self._owner.free_places() <= 0:
+        if self._owner.available_capacity() <= 0:
             self.pause()
-            self._owner.make_room()
+            self._owner.evict()
             return
-        for _ in range(min(MAX_ACCEPTS_PER_TURN, self._owner.free_places())):
+        for _ in range(min(MAX_ACCEPTS_PER_TURN, self._owner.available_capacity())):
             if self.socket is None or not self._accept_one(self.socket):
                 return
-        self.resume()  # the rest of the queue in the next turn
+        self.resume()  # the rest of the queue in the next turn of the loop
 
     def _accept_one(self, listening_socket: socket.socket) -> bool:
-        """Accept one connection; whether to go on."""
+        """Accept one connection; return whether to go on."""
         now_s = time.monotonic()
         try:
             sock, _ = listening_socket.accept()
@@ -153,18 +156,18 @@
             return False
         except OSError as error:
             self._owner.on_accept_error(error)
-            return error.errno in FAILED_CONNECTION_ERRORS or self._may_try_again()
-        self._retry_s = FIRST_RETRY_S
-        self._failures = 0
+            return error.errno in FAILED_CONNECTION_ERRORS or self._may_retry_at_once()
+        self._backoff_s = INITIAL_BACKOFF_S
+        self._consecutive_failures = 0
         self._owner.on_accepted(sock, now_s if self._waiting_since_s is None else self._waiting_since_s)
         return True
 
-    def _may_try_again(self) -> bool:
-        """Whether to try again at once after a shortage; else that is done a little later."""
-        self._failures += 1
-        if self._failures <= MAX_RETRIES_AT_ONCE:
+    def _may_retry_at_once(self) -> bool:
+        """Return whether to retry at once after a shortage; else a retry is scheduled."""
+        self._consecutive_failures += 1
+        if self._consecutive_failures <= MAX_IMMEDIATE_RETRIES:
             return True
-        self._failures = 0
+        self._consecutive_failures = 0
         self._retry_later()
         return False
 
@@ -178,5 +181,5 @@
     def _retry_later(self) -> None:
         self.pause()
         if self._retry_timer is None:
-            self._retry_timer = self._loop.call_later(self._retry_s, self.resume)
-            self._retry_s = min(MAX_RETRY_S, 2.0 * self._retry_s)
+            self._retry_timer = self._loop.call_later(self._backoff_s, self.resume)
+            self._backoff_s = min(MAX_BACKOFF_S, BACKOFF_FACTOR * self._backoff_s)
--- a/quota_gateway/net/clients/command_intake.py
+++ b/quota_gateway/net/clients/command_intake.py
@@ -11,65 +11,101 @@
 from typing import Protocol
 
 from quota_gateway.errors import CommandError, ProtocolError
+from quota_gateway.net.active_request import ActiveRequest
+from quota_gateway.net.client_replies import BUSY_REPLY, encode_error
 from quota_gateway.net.clients.arrival import BACKLOG_READ_S, NEGLIGIBLE_S, StallDetector, arrival_s
 from quota_gateway.net.clients.commands import CALL_GET, CALL_POST, PING, RequestParser
 from quota_gateway.net.clients.idle_connections import IdleConnections, TrackedConnection
-from quota_gateway.net.clients.pending_reply import PendingReply, ReplyChannel
+from quota_gateway.net.clients.pending_reply import (
+    PendingReply,
+    ReplyConnection,
+    ReplyLifecycle,
+    ReplyOrder,
+)
+from quota_gateway.net.clients.request_handler import RequestHandler
 from quota_gateway.net.clock import MS_PER_S
-from quota_gateway.net.driver import ActiveRequest, Driver
 from quota_gateway.net.resp import CommandReader
 from quota_gateway.telemetry import Metric
 
 log = logging.getLogger(__name__)
 
-MAX_PIPELINED_COMMANDS = 64  # of one connection in hand; what comes behind waits in the kernel
-MAX_IN_HAND_BYTES = 256 * 1024  # of one connection's commands and replies; what comes behind waits too
-MAX_COMMANDS_PER_TURN = 64  # read of one connection before the others have their turn
-MAX_CONSECUTIVE_ERRORS = 16  # bad commands, after which a connection is closed: no use comes of more
-BODY_GAP_TIMEOUT_S = 1.0  # between two pieces of an overdue body: as a whole it may take longer
+# Bounds of one connection; what comes beyond the first two waits in the kernel.
+MAX_PIPELINED_COMMANDS = 64
+MAX_PENDING_BYTES = 256 * 1024  # of commands that were taken and of replies that are not written
+MAX_COMMANDS_PER_TURN = 64  # before other connections are read
+MAX_CONSECUTIVE_ERRORS = 16  # malformed commands in a row, after which the connection is closed
+BODY_GAP_TIMEOUT_S = 1.0  # between two pieces of a body that comes after the command read timeout
 
 
 class IntakeServices(Protocol):
     """What the listener gives to the intake of each connection."""
 
-    driver: Driver
+    driver: RequestHandler
     request_parser: RequestParser
     idle_connections: IdleConnections
     loop: asyncio.AbstractEventLoop
-    stalls: StallDetector
+
+    @property
+    def stalls(self) -> StallDetector:
+        """Tells when the process was held up."""
 
     @property
     def is_suspended(self) -> bool:
-        """Whether another process serves."""
+        """Whether another process takes over, so that nothing is read here."""
 
     def ping_reply(self) -> bytes:
-        """The reply to PING."""
+        """Return the reply to PING."""
+
+
+class IntakeReplies(ReplyOrder, Protocol):
+    """What the intake needs of the replies of its connection."""
+
+    pending: deque[PendingReply]
+    is_blocked: bool
+
+    def add(self, reply: PendingReply) -> None:
+        """Add the reply to the next command."""
+
+    def is_streaming(self) -> bool:
+        """Whether a large value is partly written and not yet complete."""
+
+
+class IntakeLifecycle(ReplyLifecycle, Protocol):
+    """What the intake needs of the lifecycle of its connection."""
+
+    def reject(self) -> None:
+        """Take no more commands, and linger before the close."""
 
 
-class CommandConnection(ReplyChannel, TrackedConnection, Protocol):
+class CommandConnection(ReplyConnection, TrackedConnection, Protocol):
     """What the intake needs of its connection."""
 
-    transport: asyncio.Transport | None
     socket: socket.socket
-    pending_replies: deque[PendingReply]
-    must_linger: bool
-    is_write_blocked: bool
+
+    @property
+    def transport(self) -> asyncio.Transport | None:
+        """The transport, while there is one."""
+
+    @property
+    def replies(self) -> IntakeReplies:
+        """The replies of the connection."""
+
+    @property
+    def lifecycle(self) -> IntakeLifecycle:
+        """The end of the connection."""
 
     def reply_now(self, reply: bytes) -> None:
-        """Give a command that is no request its reply."""
+        """Add the reply to a command that needs no upstream server."""
 
     def wants_reply(self) -> bool:
-        """Whether the client is still there."""
-
-    def is_streaming(self) -> bool:
-        """Whether a large value is being written whose end has not come."""
+        """Whether the client is still connected."""
 
     def close_if_done(self) -> None:
-        """Close between requests, when it is time to."""
+        """Close between requests if the connection is to end."""
 
 
 class CommandIntake:
-    """Reads one connection's commands, and pauses its reading while no more may be in hand.
+    """Reads one connection's commands, and pauses its reading while too many of them are pending.
 
     See docs/decisions/client-limits.md for the bounds. The connection is handed to each call: kept here it
     would be part of a reference cycle, whose memory is freed only when the garbage collector gets to it.
@@ -103,23 +139,23 @@
         self.request_count = request_count
         self.last_received_s = services.loop.time()
         self.is_read_paused = False
-        self.is_read_scheduled = False  # the others have their turn before more commands are read
-        self.waiting_since_s = waiting_since_s  # monotonic; what comes next may have come since then
+        self.is_read_scheduled = False  # more commands are read after other connections
+        self.waiting_since_s = waiting_since_s  # monotonic; what is read next may have come since then
         self.last_arrival_s = 0.0  # monotonic; of what was read last
         self._resumed_s = inf if waiting_since_s == inf else time.monotonic()
         self._is_reading = False
         self._consecutive_errors = 0
 
-    def feed(self, connection: CommandConnection, data: bytes) -> None:
+    def receive(self, connection: CommandConnection, data: bytes) -> None:
         """Take in bytes and read the commands that they complete."""
-        self.reader.feed(data)
+        self.reader.receive_data(data)
         self.last_received_s = self._services.loop.time()
         self._note_arrival(connection)
-        connection.buffers.count(len(data), in_hand=False)
+        connection.buffers.count(len(data), is_pending=False)
         self.read_commands(connection)
 
     def _note_arrival(self, connection: CommandConnection) -> None:
-        """Note when the bytes at hand came: now, or earlier where the connection or the process waited."""
+        """Note when the bytes just read came: now, or earlier if the connection or the process waited."""
         now_s = time.monotonic()
         if now_s - self._resumed_s > BACKLOG_READ_S:
             self.waiting_since_s = inf
@@ -128,27 +164,27 @@
         self.last_arrival_s = arrival_s(connection.socket, earliest_s)
 
     def read_commands(self, connection: CommandConnection) -> None:
-        """Read commands, but no more than may be in hand at once, and not so many that others wait."""
+        """Read commands up to the bounds of the connection, and close it if it is to end."""
         self._is_reading = True
-        taken, is_within_command = self._take_commands(connection)
+        taken_count, is_within_command = self._take_commands(connection)
         self._is_reading = False
         if is_within_command and connection.buffers.budget.is_exceeded():
             self.reject_input(connection, "out of memory")
-        if taken == MAX_COMMANDS_PER_TURN and not self.is_read_scheduled:
+        if taken_count == MAX_COMMANDS_PER_TURN and not self.is_read_scheduled:
             self.is_read_scheduled = True
             self._services.loop.call_soon(self._continue_reading, connection)
         self.update_read_pause(connection)
-        self._services.idle_connections.update(connection, is_within_command, taken > 0)
+        self._services.idle_connections.update(connection, is_within_command, taken_count > 0)
         connection.close_if_done()
 
     def _take_commands(self, connection: CommandConnection) -> tuple[int, bool]:
-        """Take the commands that are there; how many, and whether one has begun that is not complete."""
-        taken = 0
+        """Take the complete commands; return how many, and whether another one has begun."""
+        taken_count = 0
         while (
             not connection.is_closing
             and connection.transport
             and not self._is_at_limit(connection)
-            and taken < MAX_COMMANDS_PER_TURN
+            and taken_count < MAX_COMMANDS_PER_TURN
         ):
             unread_bytes = len(self.reader.buffer)
             try:
@@ -157,22 +193,22 @@
                 self.reject_input(connection, f"Protocol error: {error}")
                 break
             if command is None:
-                return taken, unread_bytes > 0
-            taken += 1
+                return taken_count, unread_bytes > 0
+            taken_count += 1
             self.has_sent_command = True
             self._dispatch(connection, command, unread_bytes - len(self.reader.buffer))
-        return taken, False
+        return taken_count, False
 
     def continue_after_reply(self, connection: CommandConnection) -> None:
-        """Go on where reading had paused, now that replies were written; note an idle connection.
+        """Read on after replies were written if reading had paused, or note that the connection is idle.
 
-        A command that is answered at once comes here from within ``read_commands``, which goes on itself.
+        Does nothing within ``read_commands``, where a command may be answered at once.
         """
         if self._is_reading:
             return
         if self.is_read_paused and not connection.is_closing:
             self.read_commands(connection)
-        elif not connection.pending_replies:
+        elif not connection.replies.pending:
             self._services.idle_connections.mark_idle(connection)
         connection.close_if_done()
 
@@ -182,17 +218,18 @@
             self.read_commands(connection)
 
     def _is_at_limit(self, connection: CommandConnection) -> bool:
-        """Whether no more commands may be in hand now."""
+        """Whether no more commands may be taken now."""
+        replies = connection.replies
         return (
-            connection.is_write_blocked
-            or connection.is_streaming()  # which may break off, and the connection with it
+            replies.is_blocked
+            or replies.is_streaming()  # a truncated value would close the connection under later commands
             or self._services.is_suspended
-            or len(connection.pending_replies) >= MAX_PIPELINED_COMMANDS
-            or connection.buffers.in_hand_bytes > MAX_IN_HAND_BYTES
+            or len(replies.pending) >= MAX_PIPELINED_COMMANDS
+            or connection.buffers.pending_bytes > MAX_PENDING_BYTES
         )
 
     def update_read_pause(self, connection: CommandConnection) -> None:
-        """Read from the socket, or stop to, by whether more commands may be taken."""
+        """Read from the socket, or pause, by whether more commands may be taken."""
         transport = connection.transport
         if transport is None or transport.is_closing():
             return
@@ -213,7 +250,7 @@
         if name in (CALL_GET, CALL_POST):
             self._submit_request(connection, command, size_bytes)
             return
-        connection.buffers.count(-size_bytes, in_hand=False)
+        connection.buffers.count(-size_bytes, is_pending=False)
         if name == PING:
             connection.reply_now(self._services.ping_reply())
         else:
@@ -223,21 +260,21 @@
         driver = self._services.driver
         try:
             request, encode = self._services.request_parser.parse(command, self._waited_ms())
-            if request.request_id in driver.active_requests:
+            if driver.is_active(request.request_id):
                 raise CommandError("a request of this id is in hand")
         except CommandError as error:
-            connection.buffers.count(-size_bytes, in_hand=False)
+            connection.buffers.count(-size_bytes, is_pending=False)
             self._reply_error(connection, str(error))
             return
         self._consecutive_errors = 0
         self.request_count += 1
         if connection.buffers.budget.is_exceeded():
-            connection.buffers.count(-size_bytes, in_hand=False)
-            connection.reply_now(b"-BUSY\r\n")
+            connection.buffers.count(-size_bytes, is_pending=False)
+            connection.reply_now(BUSY_REPLY)
             return
-        connection.buffers.in_hand_bytes += size_bytes
+        connection.buffers.pending_bytes += size_bytes
         reply = PendingReply(connection, None, request.request_id, size_bytes)
-        connection.pending_replies.append(reply)
+        connection.replies.add(reply)
         driver.submit(
             ActiveRequest(
                 request.request_id, encode, reply.set_reply, reply.start_streaming, connection.wants_reply
@@ -247,28 +284,27 @@
         )
 
     def _waited_ms(self) -> float:
-        """For how long the command at hand has waited to be read."""
+        """Return for how long the command has waited to be read."""
         waited_s = time.monotonic() - self.last_arrival_s
         if waited_s > NEGLIGIBLE_S:
             self._services.driver.telemetry.metrics.count(Metric.LATE_COMMANDS, "waited to be read")
         return waited_s * MS_PER_S
 
     def _reply_error(self, connection: CommandConnection, reason: str) -> None:
-        """Answer a bad command; after many in a row the connection ends."""
+        """Answer a malformed command; reject a client that sends many in a row."""
         self._consecutive_errors += 1
-        connection.is_closing = connection.is_closing or self._consecutive_errors >= MAX_CONSECUTIVE_ERRORS
-        connection.must_linger = connection.is_closing
-        connection.reply_now(_error_line(reason))
+        if self._consecutive_errors >= MAX_CONSECUTIVE_ERRORS:
+            connection.lifecycle.reject()
+        connection.reply_now(encode_error(reason))
 
     def reject_input(self, connection: CommandConnection, reason: str) -> None:
-        """Answer what can't be read, and close the connection after the replies before it."""
+        """Answer malformed or missing input, and close the connection after the replies before it."""
         log.info("client connection rejected reason=%s", reason)
-        connection.is_closing = True
-        connection.must_linger = True
-        connection.buffers.count(-len(self.reader.buffer), in_hand=False)
+        connection.lifecycle.reject()
+        connection.buffers.count(-len(self.reader.buffer), is_pending=False)
         self.reader = CommandReader()
         self._services.idle_connections.update(connection, within_command=True, took_command=False)
-        connection.reply_now(_error_line(reason))
+        connection.reply_now(encode_error(reason))
         self.update_read_pause(connection)
 
     def has_partial_command(self) -> bool:
@@ -276,10 +312,6 @@
         return bool(self.reader.buffer)
 
     def is_receiving_body(self) -> bool:
-        """Whether all of a command has come but a body, and that is still arriving."""
+        """Whether only the rest of a command's body is missing, and that is still coming."""
         silent_s = self._services.loop.time() - self.last_received_s
         return self.reader.is_within_body() and silent_s < BODY_GAP_TIMEOUT_S
-
-
-def _error_line(reason: str) -> bytes:
-    return f"-ERR {reason}\r\n".encode("ascii", "replace")
--- /dev/null
+++ b/quota_gateway/net/clients/connection_state.py
@@ -0,0 +1,47 @@
+"""The states of a client connection, the transitions between them, and why one is closed."""
+
+from __future__ import annotations
+
+from enum import Enum, auto
+
+
+class ConnectionState(Enum):
+    """How far a client connection is on its way from accepting to its end."""
+
+    CONNECTING = auto()  # accepted, not yet served by the event loop
+    OPEN = auto()  # commands are taken
+    FINISHING = auto()  # no more commands are taken; closes once all replies are written
+    REJECTED = auto()  # as FINISHING, after malformed or missing input; lingers before it closes
+    CLOSING = auto()  # closed by the gateway; what was written may still go out
+    CLOSED = auto()  # the event loop has closed the socket
+
+
+TRANSITIONS: dict[ConnectionState, tuple[ConnectionState, ...]] = {
+    ConnectionState.CONNECTING: (ConnectionState.OPEN, ConnectionState.CLOSED),
+    ConnectionState.OPEN: (
+        ConnectionState.FINISHING,
+        ConnectionState.REJECTED,
+        ConnectionState.CLOSING,
+        ConnectionState.CLOSED,
+    ),
+    ConnectionState.FINISHING: (ConnectionState.CLOSING, ConnectionState.CLOSED),
+    ConnectionState.REJECTED: (ConnectionState.CLOSING, ConnectionState.CLOSED),
+    ConnectionState.CLOSING: (ConnectionState.CLOSED,),
+    ConnectionState.CLOSED: (),
+}
+"""The states that each state leads to. A call for another one changes nothing: a rejected connection that is
+also told to finish still lingers."""
+
+
+class CloseReason(Enum):
+    """Why the gateway closed a client connection; the values are the labels of the metric."""
+
+    CLIENT_LEFT = "client_left"
+    COMMAND_READ_TIMEOUT = "command_overdue"
+    EVICTED_FOR_CAPACITY = "made_room"
+    HANDED_OVER = "passed_on"
+    INPUT_REJECTED = "input_rejected"
+    PROCESS_ENDS = "process_ends"
+    SHUTDOWN = "shutdown"
+    VALUE_TRUNCATED = "value_truncated"
+    WRITE_STALLED = "write_stalled"
--- /dev/null
+++ b/quota_gateway/net/clients/connection_sweeper.py
@@ -0,0 +1,53 @@
+"""Looks at regular intervals after client connections that no event of the loop wakes."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Iterable
+from typing import Protocol
+
+from quota_gateway.net.clients.arrival import StallDetector
+from quota_gateway.net.clients.connection import ClientConnection
+from quota_gateway.net.clients.idle_connections import IdleConnections
+
+SWEEP_INTERVAL_S = 0.1  # short against the shortest timeout that the sweep enforces
+
+
+class SweepedListener(Protocol):
+    """What the sweeper needs of the listener."""
+
+    idle_connections: IdleConnections
+
+    @property
+    def connections(self) -> Iterable[ClientConnection]:
+        """The connections that the event loop serves."""
+
+    def accept_or_evict(self) -> None:
+        """Accept again where capacity is free, else evict connections for those that wait."""
+
+
+class ConnectionSweeper:
+    """Enforces command read timeouts, and notices clients that left while their connection is not read.
+
+    Attributes:
+        stalls: Notices by the sweep's delay that the process was held up.
+    """
+
+    def __init__(self, listener: SweepedListener) -> None:
+        self._listener = listener
+        self._loop = asyncio.get_running_loop()
+        self.stalls = StallDetector(SWEEP_INTERVAL_S)
+        self._timer = self._loop.call_later(SWEEP_INTERVAL_S, self._sweep)
+
+    def stop(self) -> None:
+        """Sweep no more."""
+        self._timer.cancel()
+
+    def _sweep(self) -> None:
+        self._timer = self._loop.call_later(SWEEP_INTERVAL_S, self._sweep)
+        self.stalls.tick()
+        self._listener.idle_connections.time_out_late_commands()
+        unread = [item for item in self._listener.connections if item.is_unread_with_pending_replies()]
+        for connection in unread:
+            connection.close_if_disconnected()
+        self._listener.accept_or_evict()
--- a/quota_gateway/net/clients/idle_connections.py
+++ b/quota_gateway/net/clients/idle_connections.py
@@ -1,4 +1,4 @@
-"""Which client connections are idle, which are overdue, and which are closed to make room for others."""
+"""Which client connections are idle, past their command read timeout, or evicted for capacity."""
 
 from __future__ import annotations
 
@@ -8,57 +8,60 @@
 from itertools import islice
 from typing import Protocol
 
-COMMAND_TIMEOUT_S = 2.7  # for a first command, from connecting, and for the rest of a begun one; of 3 s
-SILENT_GRACE_S = 0.25  # a silent client closed sooner would reconnect at once, again and again
-STOPPED_GRACE_S = 0.7  # after so long without a byte, a client within a command may be closed for room
-IDLE_GRACE_S = 2.0  # after so long without a request, a connection may be closed for room
-MAX_CLOSED_FOR_ROOM = 16  # connections closed at once when there is no room for another
+COMMAND_READ_TIMEOUT_S = 2.7  # from connecting, or from the first byte of a command; the protocol has 3 s
+# How long a connection is spared from eviction:
+SILENT_GRACE_S = 0.25  # without a command; evicted sooner, clients would reconnect again and again
+PARTIAL_COMMAND_GRACE_S = 0.7  # without a byte, within a command
+IDLE_GRACE_S = 2.0  # without a request, after the last one
+MAX_EVICTIONS_PER_CALL = 16
 
 
 class CommandProgress(Protocol):
-    """What has come on a connection so far."""
+    """What has come on a connection so far; ``last_received_s`` is by the event loop's clock."""
 
     has_sent_command: bool
     last_received_s: float
     request_count: int
 
     def has_partial_command(self) -> bool:
-        """Whether a part of a command has come."""
+        """Whether bytes have come that were not taken as a command."""
 
     def is_receiving_body(self) -> bool:
-        """Whether a body, and only that, is still arriving."""
+        """Whether only the rest of a command's body is missing, and that is still coming."""
 
 
 class TrackedConnection(Protocol):
     """What the tracking needs of a connection."""
 
-    is_closing: bool
+    @property
+    def is_closing(self) -> bool:
+        """Whether no more commands are taken."""
 
     @property
     def intake(self) -> CommandProgress:
-        """What has come on it."""
+        """What has come on the connection."""
 
     @property
     def pending_replies(self) -> Sized:
-        """The replies that are still owed."""
+        """The replies that are not written yet."""
 
     def time_out(self) -> None:
-        """End the connection, as its command is overdue."""
+        """End the connection after its command read timeout."""
 
-    def close_to_make_room(self) -> bool:
-        """Close the connection unless an answer or an unread command is on it; whether it was closed."""
+    def evict(self) -> bool:
+        """Close the connection unless a reply is pending or a command unread; whether it was closed."""
 
 
 class IdleConnections:
     """Tracks what each connection waits for; each is in one of these states, or in none while it is busy.
 
     * ``awaiting_command``: a first command, the rest of one, or the end of the connection is due.
-    * ``awaiting_body``: overdue, but for a body that is still arriving.
-    * ``idle_without_request``, ``idle_after_one_request``, ``idle_after_requests``: nothing is owed; by how
-      many requests the client has made.
+    * ``awaiting_body``: past the command read timeout, but a body is still coming.
+    * ``idle_without_request``, ``idle_after_one_request``, ``idle_after_requests``: no reply is pending; by
+      how many requests the client has made.
 
     Each keeps its connections in the order in which they entered. See
-    docs/decisions/client-idle-connections.md for the order in which they are closed to make room.
+    docs/decisions/client-idle-connections.md for the order in which they are evicted.
     """
 
     def __init__(self) -> None:
@@ -74,8 +77,8 @@
         """Track a new connection.
 
         Args:
-            connection: The connection; a command is due on it.
-            command_due_for_s: For how long that has been, where it has waited before.
+            connection: The connection.
+            command_due_for_s: For how many seconds its command has been due, if it has waited before.
         """
         self.awaiting_command[connection] = self._loop.time() - command_due_for_s
 
@@ -86,11 +89,11 @@
         self._leave_idle(connection)
 
     def update(self, connection: TrackedConnection, within_command: bool, took_command: bool) -> None:
-        """Note what a connection waits for after something was read on it.
+        """Note what a connection waits for after bytes were read on it.
 
         Args:
             connection: The connection.
-            within_command: Whether a command has begun that is not complete.
+            within_command: Whether an incomplete command has come.
             took_command: Whether at least one command was taken.
         """
         if took_command:
@@ -108,7 +111,7 @@
                 self.mark_idle(connection)
 
     def mark_idle(self, connection: TrackedConnection) -> None:
-        """Note that all that came on a connection has been answered."""
+        """Note that all replies of a connection are written."""
         if not connection.intake.has_sent_command or connection in self.awaiting_command:
             return
         self._leave_idle(connection)
@@ -126,35 +129,36 @@
         self.idle_without_request.pop(connection, None)
 
     def command_due_for_s(self, connection: TrackedConnection) -> float:
-        """For how long a command has been due on a connection; 0 where none is."""
+        """Return for how many seconds a command has been due on a connection; 0 if none is."""
         if connection in self.awaiting_body:
-            return COMMAND_TIMEOUT_S  # it is overdue, but for a body that is still arriving
+            return COMMAND_READ_TIMEOUT_S
         now_s = self._loop.time()
         return now_s - self.awaiting_command.get(connection, now_s)
 
-    def time_out_overdue(self) -> None:
-        """End the connections whose command is overdue, but for those whose body is still arriving."""
-        due_before_s = self._loop.time() - COMMAND_TIMEOUT_S
-        overdue = [item for item, since_s in self.awaiting_command.items() if since_s <= due_before_s]
-        for connection in overdue:  # not in the order of time: some have waited elsewhere before
+    def time_out_late_commands(self) -> None:
+        """End the connections past their command read timeout, unless a body is still coming."""
+        due_before_s = self._loop.time() - COMMAND_READ_TIMEOUT_S
+        # Not in the order of time: connections that were handed over have waited elsewhere before.
+        late = [item for item, since_s in self.awaiting_command.items() if since_s <= due_before_s]
+        for connection in late:
             del self.awaiting_command[connection]
             self.awaiting_body[connection] = None
         for connection in [item for item in self.awaiting_body if not _is_receiving_body(item)]:
             del self.awaiting_body[connection]
             connection.time_out()
 
-    def make_room(self) -> None:
-        """Close connections of no use, then idle ones; among each the one that has been so for longest."""
-        wanted = MAX_CLOSED_FOR_ROOM
-        for connection in self._unproductive()[: 2 * MAX_CLOSED_FOR_ROOM]:
+    def evict(self) -> None:
+        """Evict unproductive connections, then idle ones; among each those that are so for longest."""
+        wanted = MAX_EVICTIONS_PER_CALL
+        for connection in self._unproductive()[: 2 * MAX_EVICTIONS_PER_CALL]:
             if wanted > 0:
-                wanted -= connection.close_to_make_room()
+                wanted -= connection.evict()
         idle_before_s = self._loop.time() - IDLE_GRACE_S
         for state in (self.idle_after_one_request, self.idle_after_requests):
-            wanted -= self._close_idle(state, idle_before_s, wanted)
+            wanted -= self._evict_idle(state, idle_before_s, wanted)
 
     def _unproductive(self) -> list[TrackedConnection]:
-        """Connections that are closing, silent or stopped within a command; the longest silent first."""
+        """Return connections that are closing, or silent before or within a command; longest silent first."""
         now_s = self._loop.time()
         return sorted(
             (
@@ -169,20 +173,20 @@
             key=lambda connection: connection.intake.last_received_s,
         )
 
-    def _close_idle(
+    def _evict_idle(
         self, state: OrderedDict[TrackedConnection, float], idle_before_s: float, wanted: int
     ) -> int:
-        """Close at most ``wanted`` connections that have been in this state since before; how many."""
-        closed = 0
+        """Evict at most ``wanted`` connections that entered this state before a time; return how many."""
+        evicted_count = 0
         for connection, since_s in list(islice(state.items(), max(0, wanted))):
             if since_s >= idle_before_s:
                 continue
-            if connection.close_to_make_room():
-                closed += 1
+            if connection.evict():
+                evicted_count += 1
                 del state[connection]
             else:
-                state.move_to_end(connection)  # it has a command to be read
-        return closed
+                state.move_to_end(connection)  # a command has come that is not read yet
+        return evicted_count
 
 
 def _is_receiving_body(connection: TrackedConnection) -> bool:
@@ -190,4 +194,4 @@
 
 
 def _grace_s(connection: TrackedConnection) -> float:
-    return STOPPED_GRACE_S if connection.intake.has_partial_command() else SILENT_GRACE_S
+    return PARTIAL_COMMAND_GRACE_S if connection.intake.has_partial_command() else SILENT_GRACE_S
--- a/quota_gateway/net/clients/pending_reply.py
+++ b/quota_gateway/net/clients/pending_reply.py
@@ -1,36 +1,62 @@
-"""A reply that a client is owed: its place in the order of the connection's commands."""
+"""The reply to one command: short, or a large value in pieces."""
 
 from __future__ import annotations
 
 from collections import deque
 from typing import Protocol
 
+from quota_gateway.net.client_replies import FAILED_REPLY, encode_value_header
 from quota_gateway.net.clients.buffer_budget import BufferUsage
+from quota_gateway.net.clients.connection_state import CloseReason
 from quota_gateway.net.upstream.attempt import Attempt
 
 
-class ReplyChannel(Protocol):
+class ReplyOrder(Protocol):
+    """The replies of one connection."""
+
+    def is_first(self, reply: PendingReply) -> bool:
+        """Whether all replies before this one have been written."""
+
+
+class ReplyLifecycle(Protocol):
+    """The end of a connection."""
+
+    def close(self, reason: CloseReason) -> None:
+        """Close the connection; what was written still goes out."""
+
+
+class ReplyConnection(Protocol):
     """What a pending reply needs of its connection."""
 
     @property
     def buffers(self) -> BufferUsage:
-        """The bytes that the connection holds."""
+        """The bytes that are buffered for the connection."""
 
-    def flush(self) -> None:
-        """Write the replies that are due."""
+    @property
+    def replies(self) -> ReplyOrder:
+        """The replies of the connection."""
 
-    def is_next(self, reply: PendingReply) -> bool:
-        """Whether all replies before this one have been written."""
+    @property
+    def lifecycle(self) -> ReplyLifecycle:
+        """The end of the connection."""
 
-    def close_truncated(self) -> None:
-        """Close within a value that can't be completed."""
+    def flush(self) -> None:
+        """Write the replies that are due."""
 
 
 class PendingReply:
-    """The place of one command's reply in the order of its connection.
+    """The reply to one command, from the command's arrival until it is written.
 
-    A short reply comes whole, by ``set_reply``. A large value comes in pieces: ``start_streaming``, then
+    A short reply is set at once, by ``set_reply``. A large value comes in pieces: ``start_streaming``, then
     ``take`` for each piece, then ``end``. See docs/decisions/client-large-values.md.
+
+    Attributes:
+        reply: None until it is known; empty for a value that comes in pieces.
+        buffered_bytes: Of the command, then of the reply.
+        attempt: The attempt that brings a large value, until that is complete.
+        pieces: What has come of a large value and is not written yet.
+        has_started_writing: Whether a part of a large value has been written.
+        may_gather: Whether a large value may be held back until it is complete.
     """
 
     __slots__ = (
@@ -46,34 +72,34 @@
 
     def __init__(
         self,
-        connection: ReplyChannel,
+        connection: ReplyConnection,
         reply: bytes | None = None,
         request_id: str = "",
         buffered_bytes: int = 0,
     ) -> None:
         self.connection = connection
-        self.reply = reply  # None until it is known; empty for a value that comes in pieces
+        self.reply = reply
         self.request_id = request_id
-        self.buffered_bytes = buffered_bytes  # of the command, later of the reply
-        self.attempt: Attempt | None = None  # that a large value comes from, until all of it has come
-        self.pieces: deque[bytes] | None = None  # of a large value, not written yet
+        self.buffered_bytes = buffered_bytes
+        self.attempt: Attempt | None = None
+        self.pieces: deque[bytes] | None = None
         self.has_started_writing = False
-        self.may_gather = True  # whether a large value may be held back until all of it has come
+        self.may_gather = True
 
     def set_reply(self, reply: bytes) -> None:
-        """Give the command's one reply, also in place of a value of which nothing was written."""
+        """Set the command's one reply, also in place of a large value of which nothing was written."""
         self.reply = reply
         self.pieces = None
         self.connection.buffers.count(len(reply) - self.buffered_bytes)
         self.buffered_bytes = len(reply)
         self.connection.flush()
 
-    def start_streaming(self, length: int, attempt: Attempt) -> PendingReply:
+    def start_streaming(self, length_bytes: int, attempt: Attempt) -> PendingReply:
         """Begin a large value, whose pieces are written as they come.
 
         Args:
-            length: The value's bytes.
-            attempt: Where it comes from; it is paused while the client is too far behind.
+            length_bytes: The length of the value.
+            attempt: The attempt that brings it; paused while too much is buffered.
 
         Returns:
             This reply, which takes the pieces.
@@ -83,44 +109,47 @@
         self.reply = b""
         self.connection.buffers.count(-self.buffered_bytes)
         self.buffered_bytes = 0
-        self.take(b"$%d\r\n" % length)
+        self.take(encode_value_header(length_bytes))
         return self
 
     def take(self, piece: bytes) -> None:
-        """Take the next bytes of a large value; they are read ahead of the client while there is memory."""
+        """Take the next bytes of a large value, and pause its attempt where too much is buffered."""
         assert self.pieces is not None
         self.pieces.append(piece)
         self.connection.buffers.count(len(piece))
         self.buffered_bytes += len(piece)
-        if self.is_far_ahead() and self.attempt:
+        if self.exceeds_read_ahead() and self.attempt:
             self.attempt.pause(True)
         self.connection.flush()
 
-    def is_far_ahead(self) -> bool:
-        """Whether more of a large value is held than its client may be behind."""
+    def exceeds_read_ahead(self) -> bool:
+        """Whether more of a large value is buffered than may be read ahead of the client."""
         return self.buffered_bytes > self.connection.buffers.budget.read_ahead_bytes()
 
     def is_streaming(self) -> bool:
-        """Whether a part of a large value has been written, and more of it is still to come."""
+        """Whether a large value is partly written and not yet complete."""
         return self.has_started_writing and self.attempt is not None
 
     def on_deadline(self) -> bool:
-        """The client's time is over: whether the value fails now, as nothing of it is written in its turn."""
+        """Note that the client's timeout is over; return whether the value fails now.
+
+        It fails if nothing of it is written though all replies before it are.
+        """
         self.may_gather = False
-        return not self.has_started_writing and self.connection.is_next(self)
+        return not self.has_started_writing and self.connection.replies.is_first(self)
 
     def end(self, is_complete: bool) -> None:
         """End a large value.
 
-        Its last two bytes are written only now, so that a client can tell a value that broke off.
+        Its last two bytes are written only now, so that a client can recognize a truncated value.
 
         Args:
-            is_complete: Whether all of it has come, in good order.
+            is_complete: Whether the whole reply of the server has come and is well-formed.
         """
         self.attempt = None
         if is_complete:
             self.take(b"\r\n")
         elif self.has_started_writing:
-            self.connection.close_truncated()
+            self.connection.lifecycle.close(CloseReason.VALUE_TRUNCATED)
         else:
-            self.set_reply(b"-ERR failed\r\n")
+            self.set_reply(FAILED_REPLY)
--- /dev/null
+++ b/quota_gateway/net/clients/reply_writer.py
@@ -0,0 +1,115 @@
+"""Writes the replies of one client connection in the order of its commands."""
+
+from __future__ import annotations
+
+import asyncio
+from collections import deque
+from typing import Protocol
+
+from quota_gateway.net.clients.buffer_budget import BufferUsage
+from quota_gateway.net.clients.pending_reply import PendingReply
+
+
+class CommandBuffer(Protocol):
+    """What the writer needs of the connection's command intake."""
+
+    def has_partial_command(self) -> bool:
+        """Whether bytes have come that were not taken as a command."""
+
+
+class ReplyWriter:
+    """The pending replies of one connection, written as far as they are known and the client reads them.
+
+    The transport is passed to each call: kept here it would be part of a reference cycle, whose memory is
+    freed only when the garbage collector gets to it.
+
+    Attributes:
+        pending: The replies that are not written yet, in the order of their commands.
+        is_blocked: Whether the transport's buffer is full, as the client does not read.
+    """
+
+    __slots__ = ("_buffers", "_unsent_bytes", "is_blocked", "pending")
+
+    def __init__(self, buffers: BufferUsage) -> None:
+        self.pending: deque[PendingReply] = deque()
+        self.is_blocked = False
+        self._buffers = buffers
+        self._unsent_bytes = 0  # in the transport's buffer when it filled up
+
+    def add(self, reply: PendingReply) -> None:
+        """Add the reply to the next command."""
+        self.pending.append(reply)
+
+    def take_all(self) -> deque[PendingReply]:
+        """Remove and return the pending replies, at the connection's end."""
+        replies, self.pending = self.pending, deque()
+        return replies
+
+    def block(self, unsent_bytes: int) -> None:
+        """Write no further for now; count what the client has not taken."""
+        self.is_blocked = True
+        self._unsent_bytes = unsent_bytes
+        self._buffers.count(unsent_bytes)
+
+    def unblock(self) -> None:
+        """Write again, as the client has read on."""
+        self.is_blocked = False
+        self._buffers.count(-self._unsent_bytes)
+        self._unsent_bytes = 0
+
+    def has_unanswered(self) -> bool:
+        """Whether a request that was read has no answer yet."""
+        return any(reply.reply is None for reply in self.pending)
+
+    def is_first(self, reply: PendingReply) -> bool:
+        """Whether all replies before this one have been written."""
+        return bool(self.pending) and self.pending[0] is reply
+
+    def is_streaming(self) -> bool:
+        """Whether a large value is partly written and not yet complete."""
+        return bool(self.pending) and self.pending[0].is_streaming()
+
+    def write_due(self, transport: asyncio.Transport, commands: CommandBuffer) -> None:
+        """Write replies in the order of their commands, up to the first that is not known yet."""
+        while self.pending and not self.is_blocked:
+            reply = self.pending[0]
+            if reply.reply is None:
+                return
+            if reply.pieces is None:
+                self.pending.popleft()
+                self._buffers.count(-reply.buffered_bytes)
+                transport.write(reply.reply)
+                continue
+            if self._must_gather(reply, commands):
+                return
+            self._write_pieces(transport, reply, reply.pieces)
+            if reply.pieces or reply.attempt:
+                return
+            self.pending.popleft()
+
+    def _must_gather(self, reply: PendingReply, commands: CommandBuffer) -> bool:
+        """Whether a large value is held back until it is complete.
+
+        A value that breaks off after a part of it was written closes the connection. Commands behind it
+        would lose their answers; so nothing of it is written while there are any, as far as memory allows.
+        """
+        if reply.attempt is None or reply.has_started_writing or not reply.may_gather:
+            return False
+        has_others_behind = len(self.pending) > 1 or commands.has_partial_command()
+        return has_others_behind and not reply.exceeds_read_ahead()
+
+    def _write_pieces(
+        self,
+        transport: asyncio.Transport,
+        reply: PendingReply,
+        pieces: deque[bytes],
+    ) -> None:
+        """Write the pieces of a large value as far as the client reads, then let its server go on."""
+        while pieces and not self.is_blocked:
+            piece = pieces.popleft()
+            self._buffers.count(-len(piece))
+            reply.buffered_bytes -= len(piece)
+            reply.has_started_writing = True
+            transport.write(piece)
+        if reply.attempt and not reply.exceeds_read_ahead():
+            reply.attempt.pause(False)
--- a/quota_gateway/net/driver.py
+++ b/quota_gateway/net/driver.py
@@ -9,6 +9,7 @@
 
 from quota_gateway.model import (
     Action,
+    AttemptStatus,
     CancelAttempt,
     ClientDisconnected,
     CloseIdle,
@@ -36,6 +37,7 @@
 from quota_gateway.net.request_guard import RequestGuard
 from quota_gateway.net.request_telemetry import RequestTelemetry
 from quota_gateway.net.timer_queue import TimerQueue
+from quota_gateway.net.upstream.attempt import Attempt
 from quota_gateway.net.upstream.pool import UpstreamPool
 from quota_gateway.policy.engine import PolicyEngine
 
@@ -106,6 +108,14 @@
         self._request_telemetry.on_received(request)
         self.post(request)
 
+    def is_active(self, request_id: str) -> bool:
+        """Whether a request of this id is in progress."""
+        return request_id in self._requests.by_id
+
+    def cancel_attempt(self, attempt: Attempt) -> None:
+        """Stop an attempt whose large value nobody reads any more."""
+        self.upstream.stop(attempt, AttemptStatus.CANCELLED)
+
     def client_disconnected(self, request_id: str) -> None:
         """Drop a request whose client has closed its connection, unless it is answered."""
         active = self._requests.by_id.get(request_id)
--- a/quota_gateway/net/request_answers.py
+++ b/quota_gateway/net/request_answers.py
@@ -5,6 +5,7 @@
 from quota_gateway.model import Fail, Reject
 from quota_gateway.net.active_request import ActiveRequest, RequestState
 from quota_gateway.net.active_requests import ActiveRequests
+from quota_gateway.net.client_replies import FAILED_REPLY, encode_busy, encode_value
 from quota_gateway.net.request_guard import RequestGuard
 from quota_gateway.net.request_telemetry import (
     FAILED_LABEL_PREFIX,
@@ -14,8 +15,6 @@
     RequestTelemetry,
 )
 
-FAILED_REPLY = b"-ERR failed\r\n"
-
 
 class RequestAnswers:
     """Gives each request its final answer; what comes after the first is dropped."""
@@ -30,8 +29,7 @@
 
         Becomes a failure where the guard has seen an attempt that may have run.
         """
-        retry_after_ms = round(action.retry_after_ms)
-        reply = b"-BUSY %d\r\n" % retry_after_ms if retry_after_ms > 0 else b"-BUSY\r\n"
+        reply = encode_busy(action.retry_after_ms)
         request = self._requests.by_id.get(action.request_id)
         if request and not request.is_answered and not self._guard.may_reject(request):
             reply = FAILED_REPLY
@@ -46,7 +44,7 @@
         if request.is_answered:
             return
         self._telemetry.on_answer(request, SERVED_LABEL)
-        self.send(request, b"$%d\r\n%b\r\n" % (len(value), value))
+        self.send(request, encode_value(value))
 
     def start_streaming(self, request: ActiveRequest) -> None:
         """Count a large value as the answer, from its first bytes on."""
--- a/quota_gateway/net/resp.py
+++ b/quota_gateway/net/resp.py
@@ -28,7 +28,7 @@
 class BulkArrayReader:
     """Reads arrays of bulk strings from bytes that come in pieces of any length.
 
-    Where the first element may be streamed and is long, it is not gathered: ``next`` returns None and
+    Where the first element may be streamed and is long, it is not gathered: ``next_array`` returns None and
     ``streamed_bytes_left`` says how many of its bytes ``take_piece`` has still to take. In the array it
     stands as empty.
 
@@ -57,8 +57,8 @@
         self._position = 0  # of the next byte to be read; what lies before it is done with
         self._count = 0  # elements of the array that is being read, 0 before its header
 
-    def feed(self, data: bytes) -> None:
-        """Take in what has come."""
+    def receive_data(self, data: bytes) -> None:
+        """Take in bytes as they come."""
         self.buffer += data
 
     def take_piece(self) -> bytes:
@@ -71,7 +71,7 @@
             self._length = 0  # what is still to be read of it
         return taken
 
-    def next(self) -> list[bytes | None] | None:
+    def next_array(self) -> list[bytes | None] | None:
         """Read the next array.
 
         Returns:
@@ -169,7 +169,7 @@
         Raises:
             ProtocolError: What has come can't become a command.
         """
-        return cast("list[bytes] | None", self.next())  # nothing may be null
+        return cast("list[bytes] | None", self.next_array())  # nothing may be null
 
     def is_within_body(self) -> bool:
         """Whether all of a command has come but its body, and that has begun."""
@@ -200,7 +200,7 @@
             ProtocolError: What has come can't become a reply.
         """
         if self._count or not self.buffer.startswith(b"-"):
-            return self.next()
+            return self.next_array()
         end = self.buffer.find(b"\r\n", 0, MAX_LINE_BYTES)
         if end < 0:
             if len(self.buffer) >= MAX_LINE_BYTES:
--- a/quota_gateway/net/upstream/connection.py
+++ b/quota_gateway/net/upstream/connection.py
@@ -197,7 +197,7 @@
         if attempt is None:
             self.close(AttemptStatus.RESET)
             return
-        self.reader.feed(data)
+        self.reader.receive_data(data)
         try:
             reply = self._next_reply(attempt)
         except ProtocolError as error:
--- a/soak/planted.py
+++ b/soak/planted.py
@@ -155,7 +155,7 @@
     original: Patched = ClientConnection.flush
 
     def flush(self: ClientConnection) -> None:
-        if self.owes_answer() and random.random() < RARE_SHARE:
+        if self.replies.has_unanswered() and random.random() < RARE_SHARE:
             self.abort()
         original(self)
 
--- a/tests/net/clients/test_client_listener.py
+++ b/tests/net/clients/test_client_listener.py
@@ -334,8 +334,8 @@
 async def test_silent_connection_is_evicted_before_an_idle_one_and_none_within_a_command(monkeypatch):
     monkeypatch.setattr(idle_connections, "SILENT_GRACE_S", 0.0)
     monkeypatch.setattr(idle_connections, "IDLE_GRACE_S", 0.0)
-    monkeypatch.setattr(idle_connections, "MAX_CLOSED_FOR_ROOM", 1)
-    monkeypatch.setattr(idle_connections, "COMMAND_TIMEOUT_S", 3600.0)
+    monkeypatch.setattr(idle_connections, "MAX_EVICTIONS_PER_CALL", 1)
+    monkeypatch.setattr(idle_connections, "COMMAND_READ_TIMEOUT_S", 3600.0)
     async with run_gateway(FakeUpstream(), max_connections=3) as gateway:
         idle, within, silent = (
             await gateway.connect_client(),
@@ -358,7 +358,7 @@
     monkeypatch,
 ):
     monkeypatch.setattr(idle_connections, "IDLE_GRACE_S", 0.0)
-    monkeypatch.setattr(idle_connections, "MAX_CLOSED_FOR_ROOM", 1)
+    monkeypatch.setattr(idle_connections, "MAX_EVICTIONS_PER_CALL", 1)
     async with run_gateway(FakeUpstream(), max_connections=2) as gateway:
         usual, once = await gateway.connect_client(), await gateway.connect_client()
         for number in (1, 2):
@@ -378,9 +378,9 @@
         os.write(
             peer.writer.get_extra_info("socket").fileno(), encode_call(1)
         )  # before the loop could read it
-        assert not client.close_to_make_room()
+        assert not client.evict()
         assert await peer.read_reply() == b"0000000000000001"
-        assert client.close_to_make_room()
+        assert client.evict()
         assert await peer.read_reply() is None
 
 
@@ -395,7 +395,7 @@
 async def test_silence_before_or_within_a_command_times_out_with_an_error_and_a_close(
     sent, first, monkeypatch
 ):
-    monkeypatch.setattr(idle_connections, "COMMAND_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(idle_connections, "COMMAND_READ_TIMEOUT_S", 0.05)
     server = FakeUpstream(lambda _words: None)
     async with run_gateway(server) as gateway:
         peer = await gateway.connect_client()
@@ -411,7 +411,7 @@
 
 
 async def test_commands_that_keep_arriving_in_parts_do_not_time_out(monkeypatch):
-    monkeypatch.setattr(idle_connections, "COMMAND_TIMEOUT_S", 2.0)
+    monkeypatch.setattr(idle_connections, "COMMAND_READ_TIMEOUT_S", 2.0)
     async with run_gateway(FakeUpstream()) as gateway:
         peer, rest = await gateway.connect_client(), b""
         for number in range(25):
@@ -439,7 +439,7 @@
     ],
 )
 async def test_header_beyond_the_bounds_is_a_protocol_error_at_once(head, monkeypatch):
-    monkeypatch.setattr(idle_connections, "COMMAND_TIMEOUT_S", 3600.0)
+    monkeypatch.setattr(idle_connections, "COMMAND_READ_TIMEOUT_S", 3600.0)
     async with run_gateway(FakeUpstream()) as gateway:
         peer = await gateway.connect_client()
         peer.send(head)
--- a/tests/net/clients/test_idle_connections.py
+++ b/tests/net/clients/test_idle_connections.py
@@ -29,7 +29,7 @@
     "said", [b"", encode_command("PING"), encode_call(1)[:50], encode_command("NONSENSE")]
 )
 async def test_connections_without_requests_do_not_keep_others_out(said, monkeypatch):
-    monkeypatch.setattr(idle_connections, "COMMAND_TIMEOUT_S", 50.0)  # nobody's time is up
+    monkeypatch.setattr(idle_connections, "COMMAND_READ_TIMEOUT_S", 50.0)  # nobody's time is up
     monkeypatch.setattr(idle_connections, "IDLE_GRACE_S", 50.0)
     async with run_gateway(FakeUpstream(), max_connections=MAX_CONNECTIONS) as gateway:
         peers = await connect_many(gateway, said)
@@ -41,7 +41,7 @@
 
 
 async def test_slowly_arriving_command_is_not_evicted_among_many_connections(monkeypatch):
-    monkeypatch.setattr(idle_connections, "COMMAND_TIMEOUT_S", 50.0)
+    monkeypatch.setattr(idle_connections, "COMMAND_READ_TIMEOUT_S", 50.0)
     monkeypatch.setattr(idle_connections, "IDLE_GRACE_S", 50.0)
     async with run_gateway(FakeUpstream(), max_connections=MAX_CONNECTIONS) as gateway:
         slow, command = await gateway.connect_client(), encode_call(7)
@@ -50,13 +50,13 @@
             slow.send(command[at : at + 4])
             peers.append(await gateway.connect_client())
             peers[-1].send(encode_call(1)[:50])
-            await asyncio.sleep(idle_connections.STOPPED_GRACE_S / 8.0)
+            await asyncio.sleep(idle_connections.PARTIAL_COMMAND_GRACE_S / 8.0)
         assert await slow.read_reply() == b"0000000000000007"
         assert len(peers) > 2 * MAX_CONNECTIONS
 
 
 async def test_body_may_exceed_the_command_timeout_while_it_keeps_arriving(monkeypatch):
-    monkeypatch.setattr(idle_connections, "COMMAND_TIMEOUT_S", 0.3)
+    monkeypatch.setattr(idle_connections, "COMMAND_READ_TIMEOUT_S", 0.3)
     monkeypatch.setattr(command_intake, "BODY_GAP_TIMEOUT_S", 2.0)
     server = FakeUpstream(lambda words: encode_reply(words[4]))
     async with run_gateway(server) as gateway:
@@ -95,7 +95,7 @@
         """Whether a part of a command has come."""
         return self.partial_command
 
-    def close_to_make_room(self) -> bool:
+    def evict(self) -> bool:
         """Note that it was closed, unless a command waits to be read."""
         if self.has_unread_command:
             return False
@@ -130,36 +130,36 @@
         FakeConnection("silent", has_sent_command=False, last_received_s=now_s - 2.0),
         FakeConnection("closing", has_sent_command=False, last_received_s=now_s, is_closing=True),
     )
-    tracked.make_room()
+    tracked.evict()
     assert closed == ["silent", "stopped", "closing", "once", "usual"]
 
 
 async def test_no_more_connections_are_closed_at_once_than_the_limit(monkeypatch):
     monkeypatch.setattr(idle_connections, "IDLE_GRACE_S", -1.0)
-    monkeypatch.setattr(idle_connections, "MAX_CLOSED_FOR_ROOM", 3)
+    monkeypatch.setattr(idle_connections, "MAX_EVICTIONS_PER_CALL", 3)
     tracked = IdleConnections()
     closed = track(
         tracked,
         *(FakeConnection(f"usual {number}", request_count=2) for number in range(2)),
         *(FakeConnection(f"once {number}", request_count=1) for number in range(2)),
     )
-    tracked.make_room()
+    tracked.evict()
     assert closed == ["once 0", "once 1", "usual 0"]
-    tracked.make_room()
+    tracked.evict()
     assert closed == ["once 0", "once 1", "usual 0", "usual 1"]
 
 
 async def test_connections_that_have_waited_elsewhere_are_overdue_each_in_its_time(monkeypatch):
     clock_s, timed_out = [100.0], []
-    monkeypatch.setattr(idle_connections, "COMMAND_TIMEOUT_S", 1.0)
+    monkeypatch.setattr(idle_connections, "COMMAND_READ_TIMEOUT_S", 1.0)
     monkeypatch.setattr(FakeConnection, "time_out", lambda self: timed_out.append(self.name), raising=False)
     tracked = IdleConnections()
     tracked._loop = SimpleNamespace(time=lambda: clock_s[0])
     for name, waited_s in (("long", 0.9), ("short", 0.1), ("new", 0.0)):
         tracked.add(FakeConnection(name, is_closing=True), waited_s)
     clock_s[0] += 0.5
-    tracked.time_out_overdue()
+    tracked.time_out_late_commands()
     assert timed_out == ["long"]
     clock_s[0] += 0.45
-    tracked.time_out_overdue()
+    tracked.time_out_late_commands()
     assert timed_out == ["long", "short"]
--- a/tests/net/clients/test_large_replies.py
+++ b/tests/net/clients/test_large_replies.py
@@ -27,7 +27,7 @@
     """What a reader of answers makes of bytes that come in pieces: the large value, and all answers."""
     reader, value, answers = ReplyReader(), b"", []
     for at in range(0, len(answer), size):
-        reader.feed(answer[at : at + size])
+        reader.receive_data(answer[at : at + size])
         got = reader.next_reply()
         if got is None and reader.streamed_bytes_left is not None:
             value += reader.take_piece()
--- a/tests/net/handover/test_handover_faults.py
+++ b/tests/net/handover/test_handover_faults.py
@@ -87,7 +87,7 @@
 
 
 async def test_half_a_body_is_overdue_in_its_time_however_often_its_connection_is_passed_on(monkeypatch):
-    monkeypatch.setattr(idle_connections, "COMMAND_TIMEOUT_S", 0.3)
+    monkeypatch.setattr(idle_connections, "COMMAND_READ_TIMEOUT_S", 0.3)
     monkeypatch.setattr(command_intake, "BODY_GAP_TIMEOUT_S", 3600.0)  # it counts as arriving for long
     async with run_gateway() as gateway:
         client = await gateway.connect_client()
--- a/tests/net/test_transient_faults.py
+++ b/tests/net/test_transient_faults.py
@@ -158,11 +158,11 @@
         client.send(encode_call(1))
         await upstream.wait_until(lambda: upstream.commands)
         (connection,) = gateway.client_listener.connections
-        assert not connection.close_to_make_room()
+        assert not connection.evict()
         (reply,) = connection.pending_replies
         reply.set_reply(b"$1\r\nv\r\n")
         assert await client.read_reply() == b"v"
-        assert connection.close_to_make_room()
+        assert connection.evict()
 
 
 async def test_timers_go_on_after_one_that_fails():
