--- a/quota_gateway/net/clients/arrival.py
+++ b/quota_gateway/net/clients/arrival.py
@@ -1,4 +1,4 @@
-"""When bytes came that are read only now: docs/decisions/arrival-time.md.
+"""Tells when bytes arrived that are read only now: docs/decisions/arrival-time.md.
 
 All times are of the monotonic clock, in seconds.
 """
@@ -12,18 +12,18 @@
 
 from quota_gateway.net.clock import MS_PER_S
 
-NEGLIGIBLE_S = 0.03  # a wait that is not corrected for: far below what a deadline may be off by
-BACKLOG_READ_S = 0.05  # after reading was resumed, what came before has been read
-MIN_POLL_DELAY_S = 0.001  # of a timer that falls due after the loop has looked for input once
+NEGLIGIBLE_WAIT_S = 0.03  # far below the permitted error of a deadline
+BACKLOG_READ_S = 0.05  # after reading resumes, until all that came before has been read
+MIN_POLL_DELAY_S = 0.001  # of a timer that is due after the loop has polled for input once
 
-# struct tcp_info of linux/tcp.h: the milliseconds since data came last stand behind eight bytes of flags and
+# struct tcp_info of linux/tcp.h: tcpi_last_data_recv, in milliseconds, follows eight bytes of flags and
 # eleven numbers of four bytes.
 TCP_INFO_BYTES = 56
 LAST_DATA_RECEIVED = struct.Struct("@52xI")
 
 
 def seconds_since_data(sock: socket.socket) -> float | None:
-    """How long ago the kernel got data on a connection last; None where it does not tell."""
+    """Return how long ago the kernel last received data on a connection, None if it does not tell."""
     try:
         info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
     except OSError:
@@ -35,25 +35,25 @@
 
 
 def arrival_s(sock: socket.socket, earliest_s: float) -> float:
-    """When what is read now on a connection came.
+    """Return when the bytes arrived that are read now on a connection.
 
     Args:
         sock: The connection.
-        earliest_s: A time before which it can't have come.
+        earliest_s: A time before which they can't have arrived.
 
     Returns:
-        Now, unless it may have waited for longer than is negligible; then what the kernel tells, or the
-        earliest time where it tells nothing.
+        Now, unless they may have waited for longer than is negligible; then what the kernel tells, or the
+        earliest time if it tells nothing.
     """
     now_s = time.monotonic()
-    if now_s - earliest_s <= NEGLIGIBLE_S:
+    if now_s - earliest_s <= NEGLIGIBLE_WAIT_S:
         return now_s
     age_s = seconds_since_data(sock)
     return earliest_s if age_s is None else max(earliest_s, now_s - age_s)
 
 
 class StallDetector:
-    """Notices that the process was held up, by a periodic call that comes late.
+    """Detects that the process was held up, by a periodic call that comes late.
 
     Args:
         interval_s: The time between two calls of ``tick``.
@@ -62,22 +62,22 @@
     def __init__(self, interval_s: float) -> None:
         self._interval_s = interval_s
         self._last_tick_s = time.monotonic()
-        self._stalled_since_s: float | None = None  # until the loop has looked for input once more
+        self._stalled_since_s: float | None = None  # until the loop has polled for input once more
 
     def tick(self) -> None:
-        """Note that the loop goes on."""
+        """Note that the event loop is running."""
         now_s = time.monotonic()
-        if now_s - self._last_tick_s > self._interval_s + NEGLIGIBLE_S:
+        if now_s - self._last_tick_s > self._interval_s + NEGLIGIBLE_WAIT_S:
             self._stalled_since_s = self._last_tick_s
             asyncio.get_running_loop().call_later(MIN_POLL_DELAY_S, self._on_input_read)
         self._last_tick_s = now_s
 
     def earliest_s(self) -> float:
-        """The time after which anything has come that is read now."""
+        """Return a time before which nothing can have arrived that is read now."""
         if self._stalled_since_s is not None:
             return self._stalled_since_s
         now_s = time.monotonic()
-        is_held_up = now_s - self._last_tick_s > self._interval_s + NEGLIGIBLE_S
+        is_held_up = now_s - self._last_tick_s > self._interval_s + NEGLIGIBLE_WAIT_S
         return self._last_tick_s if is_held_up else now_s
 
     def _on_input_read(self) -> None:
--- a/quota_gateway/net/clients/command_intake.py
+++ b/quota_gateway/net/clients/command_intake.py
@@ -8,12 +8,12 @@
 import time
 from collections import deque
 from math import inf
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
 from quota_gateway.errors import CommandError, ProtocolError
 from quota_gateway.net.active_request import ActiveRequest
 from quota_gateway.net.client_replies import BUSY_REPLY, encode_error
-from quota_gateway.net.clients.arrival import BACKLOG_READ_S, NEGLIGIBLE_S, StallDetector, arrival_s
+from quota_gateway.net.clients.arrival import BACKLOG_READ_S, NEGLIGIBLE_WAIT_S, StallDetector, arrival_s
 from quota_gateway.net.clients.commands import CALL_GET, CALL_POST, PING, RequestParser
 from quota_gateway.net.clients.idle_connections import IdleConnections, TrackedConnection
 from quota_gateway.net.clients.pending_reply import (
@@ -104,10 +104,17 @@
         """Close between requests if the connection is to end."""
 
 
+class TakenCommands(NamedTuple):
+    """How many commands were taken at once, and whether an incomplete one is left."""
+
+    command_count: int
+    is_within_command: bool
+
+
 class CommandIntake:
     """Reads one connection's commands, and pauses its reading while too many of them are pending.
 
-    See docs/decisions/client-limits.md for the bounds. The connection is handed to each call: kept here it
+    See docs/decisions/client-limits.md for the bounds. The connection is passed to each call: kept here it
     would be part of a reference cycle, whose memory is freed only when the garbage collector gets to it.
     """
 
@@ -166,19 +173,19 @@
     def read_commands(self, connection: CommandConnection) -> None:
         """Read commands up to the bounds of the connection, and close it if it is to end."""
         self._is_reading = True
-        taken_count, is_within_command = self._take_commands(connection)
+        taken = self._take_commands(connection)
         self._is_reading = False
-        if is_within_command and connection.buffers.budget.is_exceeded():
+        if taken.is_within_command and connection.buffers.budget.is_exceeded():
             self.reject_input(connection, "out of memory")
-        if taken_count == MAX_COMMANDS_PER_TURN and not self.is_read_scheduled:
+        if taken.command_count == MAX_COMMANDS_PER_TURN and not self.is_read_scheduled:
             self.is_read_scheduled = True
             self._services.loop.call_soon(self._continue_reading, connection)
         self.update_read_pause(connection)
-        self._services.idle_connections.update(connection, is_within_command, taken_count > 0)
+        self._services.idle_connections.update(connection, taken.is_within_command, taken.command_count > 0)
         connection.close_if_done()
 
-    def _take_commands(self, connection: CommandConnection) -> tuple[int, bool]:
-        """Take the complete commands; return how many, and whether another one has begun."""
+    def _take_commands(self, connection: CommandConnection) -> TakenCommands:
+        """Take the complete commands, as many as the bounds allow."""
         taken_count = 0
         while (
             not connection.is_closing
@@ -193,11 +200,11 @@
                 self.reject_input(connection, f"Protocol error: {error}")
                 break
             if command is None:
-                return taken_count, unread_bytes > 0
+                return TakenCommands(taken_count, is_within_command=unread_bytes > 0)
             taken_count += 1
             self.has_sent_command = True
             self._dispatch(connection, command, unread_bytes - len(self.reader.buffer))
-        return taken_count, False
+        return TakenCommands(taken_count, is_within_command=False)
 
     def continue_after_reply(self, connection: CommandConnection) -> None:
         """Read on after replies were written if reading had paused, or note that the connection is idle.
@@ -286,7 +293,7 @@
     def _waited_ms(self) -> float:
         """Return for how long the command has waited to be read."""
         waited_s = time.monotonic() - self.last_arrival_s
-        if waited_s > NEGLIGIBLE_S:
+        if waited_s > NEGLIGIBLE_WAIT_S:
             self._services.driver.telemetry.metrics.count(Metric.LATE_COMMANDS, "waited to be read")
         return waited_s * MS_PER_S
 
--- a/quota_gateway/net/clients/commands.py
+++ b/quota_gateway/net/clients/commands.py
@@ -1,9 +1,10 @@
-"""The clients' commands CALL.GET and CALL.POST: checked, read into a ``Request``, encoded for upstream."""
+"""Parses the clients' commands CALL.GET and CALL.POST into requests, and encodes them for upstream."""
 
 from __future__ import annotations
 
 import re
 from collections.abc import Callable
+from typing import NamedTuple
 
 from quota_gateway import model as api
 from quota_gateway.errors import CommandError
@@ -15,12 +16,24 @@
 GET_ARGUMENT_COUNT = 4  # name, customer, request id, list of fields
 POST_ARGUMENT_COUNT = 5  # the same, then the body
 CLIENT_MARGIN_MS = 10.0  # of a client's timeout, kept for the network and a late event loop
-CUSTOMER_LIMIT = 1 << 33  # customers are numbered below this
+MAX_CUSTOMER_NUMBER = (1 << 33) - 1
 CUSTOMER_PATTERN = re.compile(rb"[0-9a-fA-F]{16}")
 ID_PATTERN = re.compile(rb"[0-9A-Za-z]{1,64}")  # of a request, and an idempotency key
 INTEGER_PATTERN = re.compile(rb"[0-9]{1,6}")
 DECIMAL_PATTERN = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?")
 
+# Names of the fields on the wire.
+CLASS_FIELD = b"c"
+PLAN_FIELD = b"t"
+TIMEOUT_MS_FIELD = b"d"
+IDEMPOTENCY_KEY_FIELD = b"k"
+RETRY_FIELD = b"r"
+UNITS_FIELD = b"units"
+GATEWAY_SET_SIZE_FIELD = b"spread"
+FIRST_GATEWAY_FIELD = b"first"
+
+TIMEOUT_PREFIX = TIMEOUT_MS_FIELD + b"="
+
 Fields = dict[bytes, bytes]
 Encoder = Callable[[float], bytes]
 
@@ -44,47 +57,54 @@
 
 
 def _parse_customer(text: bytes) -> str:
-    if not CUSTOMER_PATTERN.fullmatch(text) or int(text, 16) >= CUSTOMER_LIMIT:
+    if not CUSTOMER_PATTERN.fullmatch(text) or int(text, 16) > MAX_CUSTOMER_NUMBER:
         raise CommandError("bad customer")
     return text.decode("ascii").lower()
 
 
 def _parse_timeout_ms(fields: Fields, request_class: api.RequestClass, waited_ms: float) -> float:
-    """How long the reply may take: at most the deadline of the class, as timers are kept for that long."""
-    timeout_ms = float(_matching_field(fields, b"d", DECIMAL_PATTERN))
+    """Return how long the reply may take; at most the deadline of the class, which bounds the timers kept."""
+    timeout_ms = float(_matching_field(fields, TIMEOUT_MS_FIELD, DECIMAL_PATTERN))
     if timeout_ms <= 0.0:
-        raise CommandError("bad value of d")
+        raise CommandError(f"bad value of {TIMEOUT_MS_FIELD.decode()}")
     return max(0.0, min(timeout_ms, request_class.deadline_ms) - waited_ms - CLIENT_MARGIN_MS)
 
 
 def upstream_encoder(name: bytes, command: list[bytes], field_list: bytes) -> Encoder:
     """Make the function that encodes a client's command for an upstream server.
 
-    Everything is forwarded unchanged but the field ``d``, which says how long the gateway waits.
+    Everything is forwarded unchanged but the timeout, which becomes how long the gateway waits.
 
     Args:
         name: The command's name in upper case.
         command: The command as the client sent it.
-        field_list: The command's list of fields; it has a field ``d``.
+        field_list: The command's list of fields; it has a timeout.
 
     Returns:
         A function from the timeout in milliseconds to the command's bytes.
     """
     parts = field_list.split(b",")
-    timeout_index = next(index for index, part in enumerate(parts) if part.startswith(b"d="))
+    timeout_index = next(index for index, part in enumerate(parts) if part.startswith(TIMEOUT_PREFIX))
 
     def encode(timeout_ms: float) -> bytes:
-        parts[timeout_index] = b"d=%d" % max(1, int(timeout_ms))
+        parts[timeout_index] = TIMEOUT_PREFIX + b"%d" % max(1, int(timeout_ms))
         words = [name, command[1], command[2], b",".join(parts), *command[4:]]
         return b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%b\r\n" % (len(word), word) for word in words)
 
     return encode
 
 
+class ParsedRequest(NamedTuple):
+    """A request, and the function that encodes it for a server with a timeout in milliseconds."""
+
+    request: api.Request
+    encode: Encoder
+
+
 class RequestParser:
-    """Reads CALL.GET and CALL.POST into requests; every value is checked before it is charged or forwarded.
+    """Parses CALL.GET and CALL.POST; every value is checked before it is charged or forwarded.
 
-    See docs/decisions/client-commands.md for what a lenient parser would let through.
+    See docs/decisions/client-commands.md for what a lenient parser would accept.
     """
 
     def __init__(self, settings: api.Settings) -> None:
@@ -93,16 +113,13 @@
         self._classes = {item.name.encode(): item for item in settings.classes}
         self._plans = {item.name.encode(): item.name for item in settings.plans}
 
-    def parse(self, command: list[bytes], waited_ms: float = 0.0) -> tuple[api.Request, Encoder]:
-        """Read one command.
+    def parse(self, command: list[bytes], waited_ms: float = 0.0) -> ParsedRequest:
+        """Parse one command.
 
         Args:
             command: The command's name and arguments; the name is CALL.GET or CALL.POST in any case.
             waited_ms: For how long it has waited to be read.
 
-        Returns:
-            The request, and the function that encodes it for a server that has so many milliseconds.
-
         Raises:
             CommandError: An argument is missing, malformed or out of range; the text is for the client.
         """
@@ -113,8 +130,8 @@
         _, customer, request_id, field_list = command[:GET_ARGUMENT_COUNT]
         fields = _split_fields(field_list)
         request_class, plan = self._class_and_plan(fields, is_write)
-        if fields.get(b"r", b"1") not in (b"0", b"1"):
-            raise CommandError("bad value of r")
+        if fields.get(RETRY_FIELD, b"1") not in (b"0", b"1"):
+            raise CommandError(f"bad value of {RETRY_FIELD.decode()}")
         if not ID_PATTERN.fullmatch(request_id):
             raise CommandError("bad request id")
         request = api.Request(
@@ -124,32 +141,32 @@
             customer=_parse_customer(customer),
             timeout_ms=_parse_timeout_ms(fields, request_class, waited_ms),
             units=self._parse_units(fields),
-            gateway_set_size=self._parse_gateway_number(fields, b"spread", 1),
-            first_gateway=self._parse_gateway_number(fields, b"first", 0),
-            is_retry=fields.get(b"r") == b"1",
+            gateway_set_size=self._parse_gateway_number(fields, GATEWAY_SET_SIZE_FIELD, 1),
+            first_gateway=self._parse_gateway_number(fields, FIRST_GATEWAY_FIELD, 0),
+            is_retry=fields.get(RETRY_FIELD) == b"1",
             is_write=is_write,
         )
-        return request, upstream_encoder(name, command, field_list)
+        return ParsedRequest(request, upstream_encoder(name, command, field_list))
 
     def _class_and_plan(self, fields: Fields, is_write: bool) -> tuple[api.RequestClass, str]:
-        request_class = self._classes.get(fields.get(b"c", b""))
-        plan = self._plans.get(fields.get(b"t", b""))
+        request_class = self._classes.get(fields.get(CLASS_FIELD, b""))
+        plan = self._plans.get(fields.get(PLAN_FIELD, b""))
         if request_class is None or plan is None:
             raise CommandError("unknown class or plan")
         if is_write == (request_class.idempotency is api.Idempotency.IDEMPOTENT):
             raise CommandError("the class does not go with the command")
         if request_class.idempotency is api.Idempotency.KEYED:
-            _matching_field(fields, b"k", ID_PATTERN)
+            _matching_field(fields, IDEMPOTENCY_KEY_FIELD, ID_PATTERN)
         return request_class, plan
 
     def _parse_units(self, fields: Fields) -> float:
-        units = float(_matching_field(fields, b"units", DECIMAL_PATTERN))
+        units = float(_matching_field(fields, UNITS_FIELD, DECIMAL_PATTERN))
         if not 0.0 < units <= self._max_request_units:
-            raise CommandError("bad value of units")
+            raise CommandError(f"bad value of {UNITS_FIELD.decode()}")
         return units
 
     def _parse_gateway_number(self, fields: Fields, name: bytes, lowest: int) -> int:
-        """The size of a customer's gateway set, counted from 1, or the number of its first, from 0."""
+        """Parse the size of a customer's gateway set, at least 1, or the number of its first, at least 0."""
         number = int(_matching_field(fields, name, INTEGER_PATTERN))
         if not lowest <= number < self._gateway_count + lowest:
             raise CommandError(f"bad value of {name.decode()}")
--- a/quota_gateway/net/clients/connection.py
+++ b/quota_gateway/net/clients/connection.py
@@ -15,7 +15,11 @@
 from quota_gateway.net.clients.connection_state import CloseReason, ConnectionState
 from quota_gateway.net.clients.pending_reply import PendingReply
 from quota_gateway.net.clients.reply_writer import ReplyWriter
-from quota_gateway.net.clients.resumed_connection import NEW_CONNECTION, ResumedConnection
+from quota_gateway.net.clients.resumed_connection import (
+    NEW_CONNECTION,
+    ReleasedConnection,
+    ResumedConnection,
+)
 from quota_gateway.net.clients.socket_state import has_hung_up, has_unread_bytes
 
 LINGER_S = 0.3  # before a rejected connection closes: a reset sooner could overtake the error line
@@ -231,14 +235,13 @@
         self.abort(CloseReason.EVICTED_FOR_CAPACITY)
         return True
 
-    def release(self) -> tuple[int, ResumedConnection] | None:
+    def release(self) -> ReleasedConnection | None:
         """Let go of the connection once no reply is pending, so that another process serves it on.
 
         What waits in the kernel goes with the descriptor, what was read of a command with the rest.
 
         Returns:
-            A descriptor that is the caller's to close, and the connection's past; None while replies are
-            pending or commands are being read.
+            The connection for the other process; None while replies are pending or commands are being read.
 
         Raises:
             OSError: The descriptor can't be duplicated now; the connection is unchanged.
@@ -257,7 +260,7 @@
             waiting_since_s=self.intake.waiting_since_s,
         )
         self.abort(CloseReason.HANDED_OVER)
-        return descriptor, resumed
+        return ReleasedConnection(descriptor, resumed)
 
     def _is_releasable(self, transport: asyncio.Transport) -> bool:
         return not (
--- a/quota_gateway/net/clients/resumed_connection.py
+++ b/quota_gateway/net/clients/resumed_connection.py
@@ -1,9 +1,10 @@
-"""What a process knows of a connection that another process has served before."""
+"""Connections that one process stops serving and another one resumes."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from math import inf
+from typing import NamedTuple
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,3 +29,10 @@
 
 
 NEW_CONNECTION = ResumedConnection()
+
+
+class ReleasedConnection(NamedTuple):
+    """A connection that this process serves no more; the descriptor is the receiver's to close."""
+
+    descriptor: int
+    resumed: ResumedConnection
--- a/quota_gateway/net/request_guard.py
+++ b/quota_gateway/net/request_guard.py
@@ -1,7 +1,7 @@
-"""The one place that says whether an attempt may start, its bytes may go out, and a rejection may be given.
+"""Checks whether an attempt may start, its bytes may be sent, and a rejection may be given.
 
-The policy engine decides by the same rules before; what it decides is checked here against what the sockets
-have seen. See docs/invariants.md.
+The policy engine has decided by the same rules; they are checked again here, against what the sockets have
+seen since. See docs/invariants.md.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 from quota_gateway.net.upstream.host import UpstreamHost
 from quota_gateway.telemetry import Invariant, Metric, Telemetry
 
-MAX_DEADLINE_EXCESS_MS = 150.0  # by which a command may say more than its client has left
-# After this a command whose last bytes have not gone out is not sent: the time that it names was left when
-# it was encoded. The rest of what is allowed is for a process that is held up while it writes.
+MAX_DEADLINE_EXCESS_MS = 150.0  # by which the timeout in a command may exceed the client's remaining one
+# A command names the timeout that remained when it was encoded. If its last bytes are not sent by this age it
+# ends instead; the margin to the limit above is for a process that is held up while it writes.
 MAX_ENCODED_AGE_MS = 100.0
 
 
@@ -47,7 +47,7 @@
         self._telemetry = telemetry
 
     def may_start(self, attempt: ActiveAttempt) -> bool:
-        """Whether an attempt that the engine has decided on may start."""
+        """Return whether an attempt that the engine has decided on may start."""
         request = attempt.request
         if request.is_answered:
             return self._refuse(attempt, StartRefusal.ANSWERED)
@@ -61,10 +61,10 @@
         return allowed or self._refuse(attempt, StartRefusal.BROKEN_RULE)
 
     def refusal_to_send(self, attempt: ActiveAttempt) -> AttemptStatus | None:
-        """Asked before the first bytes of an attempt are written, and before the last ones.
+        """Check an attempt before its first bytes are written, and before the last ones.
 
         Returns:
-            None where they may go; else the status that the attempt ends with.
+            None if they may be sent; else the status that the attempt ends with.
         """
         request = attempt.request
         if not self._telemetry.invariants.check(
@@ -81,15 +81,15 @@
             return AttemptStatus.NOT_SENT
         first = request.first_possible_execution()
         if first and first.number < attempt.number and not self._is_repeatable(request, attempt.server):
-            self._refuse(attempt, StartRefusal.WINDOW_OVER)  # while it connected, or was written
+            self._refuse(attempt, StartRefusal.WINDOW_OVER)  # since it started to connect or to be written
             return AttemptStatus.NOT_SENT
         if now_ms - attempt.encoded_ms > MAX_ENCODED_AGE_MS:
             self._refuse(attempt, StartRefusal.ENCODED_TOO_LONG_AGO)
-            return AttemptStatus.CONNECT_FAILED  # it never ran, and may be tried elsewhere
+            return AttemptStatus.CONNECT_FAILED  # it never ran, so that a retry is allowed
         return None
 
     def on_sent(self, attempt: ActiveAttempt) -> None:
-        """Its last byte has gone to the kernel: what it says of the time left must still be true."""
+        """Check, once the kernel has the last byte, that the command's timeout is not too long by now."""
         age_ms = self._clock() - attempt.encoded_ms
         request_id = attempt.request.request_id
         self._telemetry.trace.add(request_id, "attempt sent", attempt.server)
@@ -97,7 +97,7 @@
         self._telemetry.invariants.check(Invariant.DEADLINE_NOT_EXTENDED, holds, request_id, age_ms)
 
     def may_reject(self, request: ActiveRequest) -> bool:
-        """Whether a rejection keeps its promise that nothing was done, or that a repeat does no harm."""
+        """Return whether a rejection is true: nothing was executed, or a retry is harmless."""
         request_class = request.request_class
         holds = (
             request_class is None
@@ -113,7 +113,7 @@
         return False
 
     def _is_repeatable(self, request: ActiveRequest, server: int) -> bool:
-        """Whether the attempts before, of which one may have run or still run, allow one at this server."""
+        """Whether the earlier attempts, of which one may have run or may yet, allow one at this server."""
         request_class = request.request_class
         first = request.first_possible_execution()
         if first is None or request_class is None or request_class.idempotency is Idempotency.IDEMPOTENT:
--- a/quota_gateway/net/resp.py
+++ b/quota_gateway/net/resp.py
@@ -1,7 +1,7 @@
-"""RESP2 as the protocol has it here, read strictly and within bounds: commands, and upstream replies.
+"""Parses RESP2 strictly and within bounds: the commands of clients, and the replies of upstream servers.
 
-A header that promises more than the protocol allows is an error as soon as it is read; see
-docs/decisions/client-commands.md for what a general parser would take in good faith.
+A header that announces more than the protocol allows is an error as soon as it is read; see
+docs/decisions/client-commands.md for what a general parser would accept.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 
 from quota_gateway.errors import ProtocolError
 
-MAX_BODY_BYTES = 4 * 1024 * 1024  # of a command: 64 KiB by the protocol, but values reach this
-MAX_VALUE_BYTES = 9_999_999  # of a reply; it is streamed, so a long one takes no more memory than a short one
-STREAMED_MIN_BYTES = 64 * 1024  # a value longer than this is passed on as it comes
-MAX_HEADER_BYTES = 16  # of a header with its end: a type, up to seven digits, CR LF, some to spare
-MAX_LINE_BYTES = 512  # of an error line: some words, the figures on use, a load report
-MAX_FIGURES_BYTES = 256  # of the figures on use, and of a load report
+MAX_BODY_BYTES = 4 * 1024 * 1024  # of a command; the protocol says 64 KiB, but values get this long
+MAX_VALUE_BYTES = 9_999_999  # of a reply; streamed, so that a long one takes no more memory than a short one
+STREAMED_MIN_BYTES = 64 * 1024  # longer values are streamed
+MAX_HEADER_BYTES = 16  # a type, up to seven digits, CR LF, and a margin
+MAX_ERROR_LINE_BYTES = 512  # some words, the usage figures, a load report
+MAX_FIGURES_BYTES = 256  # of the usage figures, and of a load report
 HEAD_ARGUMENT_COUNT = 4  # of a command, before its body
 COMMAND_ARGUMENT_MAX_BYTES = (64, 64, 128, 512, MAX_BODY_BYTES)  # name, customer, id, list of fields, body
 ARRAY_HEADER = re.compile(rb"\*([0-9]{1,7})\r\n")
@@ -26,59 +26,63 @@
 
 
 class BulkArrayReader:
-    """Reads arrays of bulk strings from bytes that come in pieces of any length.
+    """Parses arrays of bulk strings from bytes that come in pieces of any length.
 
-    Where the first element may be streamed and is long, it is not gathered: ``next_array`` returns None and
-    ``streamed_bytes_left`` says how many of its bytes ``take_piece`` has still to take. In the array it
-    stands as empty.
+    A long first element may be streamed: ``next_array`` returns None then, ``take_piece`` takes its bytes as
+    they come, and in the array it is empty.
 
     Args:
-        max_lengths: The most bytes that each element may have, by its index; an array has no more elements.
-        min_count: The fewest elements.
+        max_lengths_bytes: The maximum length of each element; an array has no more elements than this has.
+        min_count: The minimum number of elements.
         nullable_from: The index of the first element that may be null.
-        streamed_min_bytes: The first element is streamed where it has more bytes than this.
+        streamed_min_bytes: The first element is streamed if it is longer than this.
+
+    Attributes:
+        buffer: The bytes that are not parsed yet.
+        streamed_bytes_left: How many bytes of a streamed element ``take_piece`` has yet to take; None while
+            no element is streamed.
     """
 
     def __init__(
         self,
-        max_lengths: Sequence[int],
+        max_lengths_bytes: Sequence[int],
         min_count: int,
         nullable_from: int,
         streamed_min_bytes: float = inf,
     ) -> None:
         self.buffer = bytearray()
-        self.streamed_bytes_left: int | None = None  # None while no element is streamed
-        self._length: int | None = None  # bytes of the element whose header has been read
+        self.streamed_bytes_left: int | None = None
+        self._length_bytes: int | None = None  # of the element whose header has been read; negative for null
         self._elements: list[bytes | None] = []  # the elements that are complete
-        self._max_lengths = max_lengths
+        self._max_lengths_bytes = max_lengths_bytes
         self._min_count = min_count
         self._nullable_from = nullable_from
         self._streamed_min_bytes = streamed_min_bytes
-        self._position = 0  # of the next byte to be read; what lies before it is done with
-        self._count = 0  # elements of the array that is being read, 0 before its header
+        self._position = 0  # of the next byte to be parsed
+        self._count = 0  # elements in the current array; 0 before its header
 
     def receive_data(self, data: bytes) -> None:
         """Take in bytes as they come."""
         self.buffer += data
 
     def take_piece(self) -> bytes:
-        """Take what has come of a streamed element; empty where nothing has."""
+        """Return the bytes that have come of a streamed element; empty if none have."""
         assert self.streamed_bytes_left is not None
         taken = bytes(memoryview(self.buffer)[: self.streamed_bytes_left])
         del self.buffer[: len(taken)]
         self.streamed_bytes_left -= len(taken)
         if taken and not self.streamed_bytes_left:
-            self._length = 0  # what is still to be read of it
+            self._length_bytes = 0  # only its CR LF is left to be parsed
         return taken
 
     def next_array(self) -> list[bytes | None] | None:
-        """Read the next array.
+        """Parse the next array.
 
         Returns:
             Its elements, or None while it is not complete.
 
         Raises:
-            ProtocolError: What has come can't become an array within the bounds.
+            ProtocolError: The bytes are not the beginning of an array within the bounds.
         """
         if not self._count and not self._read_array_header():
             return None
@@ -91,7 +95,7 @@
         return self._elements
 
     def _read_array_header(self) -> bool:
-        """Read the header of the next array; whether it is complete."""
+        """Parse the header of the next array; return whether it is complete."""
         header = ARRAY_HEADER.match(self.buffer)
         if header is None:
             self._check_partial_header(b"*")
@@ -99,20 +103,20 @@
         self._count = int(header[1])
         self._position = header.end()
         self._elements = []
-        if not self._min_count <= self._count <= len(self._max_lengths):
+        if not self._min_count <= self._count <= len(self._max_lengths_bytes):
             raise ProtocolError("bad number of elements")
         return True
 
     def _read_elements(self) -> bool:
-        """Read elements as far as they are there; whether that is all of them."""
+        """Parse the elements that have come; return whether the array is complete."""
         buffer = self.buffer
         elements = self._elements
         while len(elements) < self._count:
-            if self._length is None and not self._read_bulk_header():
+            if self._length_bytes is None and not self._read_bulk_header():
                 return False
             if self.streamed_bytes_left:
-                return False  # all of it is to be taken first
-            length = cast(int, self._length)
+                return False  # until ``take_piece`` has taken all of it
+            length = cast(int, self._length_bytes)
             if length < 0:
                 elements.append(None)
             else:
@@ -124,20 +128,20 @@
                     raise ProtocolError("longer than it says")
                 elements.append(bytes(memoryview(buffer)[start:end]))
                 self._position = end + 2
-            self._length = None
+            self._length_bytes = None
         return True
 
     def _read_bulk_header(self) -> bool:
-        """Read the header of the next element; whether it is complete."""
+        """Parse the header of the next element; return whether it is complete."""
         header = BULK_HEADER.match(self.buffer, self._position)
         if header is None:
             self._check_partial_header(b"$")
             return False
         length = int(header[1])
         index = len(self._elements)
-        self._length = length
+        self._length_bytes = length
         self._position = header.end()
-        if length > self._max_lengths[index] or (length < 0 and index < self._nullable_from):
+        if length > self._max_lengths_bytes[index] or (length < 0 and index < self._nullable_from):
             raise ProtocolError("too long, or null")
         if length > self._streamed_min_bytes and not index:
             del self.buffer[: self._position]
@@ -146,14 +150,14 @@
         return True
 
     def _check_partial_header(self, kind: bytes) -> None:
-        """Raise ProtocolError where the bytes at hand can't become a header of this kind any more."""
+        """Raise ProtocolError if the bytes are not the beginning of a header of this kind."""
         rest = self.buffer[self._position : self._position + MAX_HEADER_BYTES]
         if rest and (rest[:1] != kind or len(rest) == MAX_HEADER_BYTES or b"\n" in rest):
             raise ProtocolError("bad header")
 
 
 class CommandReader(BulkArrayReader):
-    """Reads the commands of clients: name, customer, id, list of fields, body."""
+    """Parses the commands of clients: name, customer, id, list of fields, body."""
 
     def __init__(self) -> None:
         super().__init__(
@@ -161,26 +165,26 @@
         )
 
     def next_command(self) -> list[bytes] | None:
-        """Read the next command.
+        """Parse the next command.
 
         Returns:
             Its name and arguments, or None while it is not complete.
 
         Raises:
-            ProtocolError: What has come can't become a command.
+            ProtocolError: The bytes are not the beginning of a command.
         """
         return cast("list[bytes] | None", self.next_array())  # nothing may be null
 
     def is_within_body(self) -> bool:
-        """Whether all of a command has come but its body, and that has begun."""
-        return len(self._elements) == HEAD_ARGUMENT_COUNT and self._length is not None
+        """Whether only the rest of a command's body is missing."""
+        return len(self._elements) == HEAD_ARGUMENT_COUNT and self._length_bytes is not None
 
 
-RawReply = list[bytes | None] | str  # value, figures on use, load report; or an error line without its dash
+RawReply = list[bytes | None] | str  # value, usage figures, load report; or an error line without its dash
 
 
 class ReplyReader(BulkArrayReader):
-    """Reads the replies of an upstream server: value, figures on use and load report, or an error line."""
+    """Parses the replies of an upstream server: value, usage figures and load report, or an error line."""
 
     def __init__(self) -> None:
         super().__init__(
@@ -191,19 +195,19 @@
         )
 
     def next_reply(self) -> RawReply | None:
-        """Read the next reply.
+        """Parse the next reply.
 
         Returns:
             The reply, or None while it is not complete.
 
         Raises:
-            ProtocolError: What has come can't become a reply.
+            ProtocolError: The bytes are not the beginning of a reply.
         """
         if self._count or not self.buffer.startswith(b"-"):
             return self.next_array()
-        end = self.buffer.find(b"\r\n", 0, MAX_LINE_BYTES)
+        end = self.buffer.find(b"\r\n", 0, MAX_ERROR_LINE_BYTES)
         if end < 0:
-            if len(self.buffer) >= MAX_LINE_BYTES:
+            if len(self.buffer) >= MAX_ERROR_LINE_BYTES:
                 raise ProtocolError("a line without end")
             return None
         line = bytes(memoryview(self.buffer)[1:end])
