--- a/quota_gateway/net/clients/command_intake.py
+++ b/quota_gateway/net/clients/command_intake.py
@@ -44,10 +44,7 @@
     request_parser: RequestParser
     idle_connections: IdleConnections
     loop: asyncio.AbstractEventLoop
-
-    @property
-    def stalls(self) -> StallDetector:
-        """Tells when the process was held up."""
+    stalls: StallDetector
 
     @property
     def is_suspended(self) -> bool:
--- a/quota_gateway/net/clients/connection_sweeper.py
+++ b/quota_gateway/net/clients/connection_sweeper.py
@@ -10,13 +10,12 @@
 from quota_gateway.net.clients.connection import ClientConnection
 from quota_gateway.net.clients.idle_connections import IdleConnections
 
-SWEEP_INTERVAL_S = 0.1  # short against the shortest timeout that the sweep enforces
 
-
-class SweepedListener(Protocol):
+class SweptListener(Protocol):
     """What the sweeper needs of the listener."""
 
     idle_connections: IdleConnections
+    stalls: StallDetector
 
     @property
     def connections(self) -> Iterable[ClientConnection]:
@@ -29,23 +28,24 @@
 class ConnectionSweeper:
     """Enforces command read timeouts, and notices clients that left while their connection is not read.
 
-    Attributes:
-        stalls: Notices by the sweep's delay that the process was held up.
+    Args:
+        listener: The listener whose connections are swept.
+        interval_s: The time between two sweeps; the listener's stall detector expects it too.
     """
 
-    def __init__(self, listener: SweepedListener) -> None:
+    def __init__(self, listener: SweptListener, interval_s: float) -> None:
         self._listener = listener
+        self._interval_s = interval_s
         self._loop = asyncio.get_running_loop()
-        self.stalls = StallDetector(SWEEP_INTERVAL_S)
-        self._timer = self._loop.call_later(SWEEP_INTERVAL_S, self._sweep)
+        self._timer = self._loop.call_later(interval_s, self._sweep)
 
     def stop(self) -> None:
         """Sweep no more."""
         self._timer.cancel()
 
     def _sweep(self) -> None:
-        self._timer = self._loop.call_later(SWEEP_INTERVAL_S, self._sweep)
-        self.stalls.tick()
+        self._timer = self._loop.call_later(self._interval_s, self._sweep)
+        self._listener.stalls.tick()
         self._listener.idle_connections.time_out_late_commands()
         unread = [item for item in self._listener.connections if item.is_unread_with_pending_replies()]
         for connection in unread:
--- a/quota_gateway/net/clients/listener.py
+++ b/quota_gateway/net/clients/listener.py
@@ -25,6 +25,7 @@
 
 log = logging.getLogger(__name__)
 
+SWEEP_INTERVAL_S = 0.1  # short against the shortest timeout that the sweep enforces
 LISTEN_BACKLOG = 1024  # connections that wait in the kernel while the capacity is used up
 
 
@@ -61,12 +62,8 @@
         self.acceptor = Acceptor(self)
         self.loop = asyncio.get_running_loop()
         self._admission_tasks: set[asyncio.Task[None]] = set()
-        self._sweeper = ConnectionSweeper(self)
-
-    @property
-    def stalls(self) -> StallDetector:
-        """Tells when the process was held up."""
-        return self._sweeper.stalls
+        self.stalls = StallDetector(SWEEP_INTERVAL_S)
+        self._sweeper = ConnectionSweeper(self, SWEEP_INTERVAL_S)
 
     @property
     def max_buffered_bytes(self) -> int:
--- a/tests/net/clients/test_arrival.py
+++ b/tests/net/clients/test_arrival.py
@@ -81,11 +81,11 @@
     clock.offset_s = WAIT_S
     assert start_s - 0.01 <= stalls.earliest_s() <= start_s + 0.01  # held up: input is handled before timers
     stalls.tick()
-    assert stalls.earliest_s() <= start_s + 0.01  # the input behind the tick is as old
+    assert stalls.earliest_s() <= start_s + 0.01  # input after the tick may be as old
     await wait_until(lambda: stalls.earliest_s() > start_s + WAIT_S)
 
 
-async def test_command_that_waited_behind_others_tells_what_is_left(clock):
+async def test_command_that_waited_for_pending_ones_names_its_remaining_timeout(clock):
     upstream = FakeUpstream(lambda _: None)
     async with run_gateway(upstream) as gateway:
         client = await gateway.connect_client()
--- a/tests/net/clients/test_client_disconnect.py
+++ b/tests/net/clients/test_client_disconnect.py
@@ -13,8 +13,9 @@
 import pytest
 
 from quota_gateway import Endpoint, GatewayLimits, Idempotency, Plan, RequestClass, TimerFired
-from quota_gateway.net.clients import command_intake, connection_sweeper
+from quota_gateway.net.clients import command_intake
 from quota_gateway.net.clients import connection as client_connection
+from quota_gateway.net.clients import listener as client_listener
 from quota_gateway.net.upstream import pool as upstream_pool
 from quota_gateway.net.upstream.pool import Attempt, UpstreamConnection
 from tests.support.fake_client import FakeClient
@@ -79,7 +80,9 @@
 def fire_timer(gateway, which: str) -> None:
     """Let a timer of the policy engine fire."""
     (token,) = [
-        token for token, (call, _) in gateway.driver.engine.timers.armed.items() if call.__name__ == which
+        token
+        for token, (callback, _) in gateway.driver.engine.timers.armed.items()
+        if callback.__name__ == which
     ]
     gateway.driver.post(TimerFired(token))
 
@@ -240,7 +243,7 @@
 @pytest.mark.parametrize("case", CASES)
 async def test_attempt_due_after_its_client_disconnected_does_not_begin(case, how, monkeypatch):
     monkeypatch.setattr(upstream_pool, "REUSE_DELAY_S", 0.0)
-    monkeypatch.setattr(connection_sweeper, "SWEEP_INTERVAL_S", 3600.0)
+    monkeypatch.setattr(client_listener, "SWEEP_INTERVAL_S", 3600.0)
     monkeypatch.setattr(client_connection, "WRITE_STALL_TIMEOUT_S", 3600.0)
     silent = set()
 
@@ -281,7 +284,7 @@
 
 @pytest.mark.parametrize("how", ["end", "reset"])
 async def test_disconnect_while_reading_is_paused_forwards_nothing_before_it_is_noticed(how, monkeypatch):
-    monkeypatch.setattr(connection_sweeper, "SWEEP_INTERVAL_S", 3600.0)
+    monkeypatch.setattr(client_listener, "SWEEP_INTERVAL_S", 3600.0)
     monkeypatch.setattr(command_intake, "MAX_PIPELINED_COMMANDS", 8)
     server = FakeUpstream()
     async with run_gateway(classes=CLASSES, plans=PLANS) as gateway:
@@ -315,7 +318,7 @@
 async def test_last_byte_of_a_half_written_command_is_withheld_after_the_client_disconnected(
     how, monkeypatch
 ):
-    monkeypatch.setattr(connection_sweeper, "SWEEP_INTERVAL_S", 3600.0)
+    monkeypatch.setattr(client_listener, "SWEEP_INTERVAL_S", 3600.0)
     async with run_gateway(classes=CLASSES, plans=PLANS) as gateway:
         with socket.create_server(("127.0.0.1", 0)) as listener:
             client, reader = DisconnectingClient(how), hiredis.Reader()
--- a/tests/net/clients/test_client_listener.py
+++ b/tests/net/clients/test_client_listener.py
@@ -133,7 +133,7 @@
         b"*1\r\n*1\r\n$4\r\nPING\r\n",
     ],
 )
-async def test_protocol_error_is_answered_after_the_replies_owed_and_closes_the_connection(junk):
+async def test_protocol_error_is_answered_after_the_pending_replies_and_closes_the_connection(junk):
     server = FakeUpstream(lambda _words: None)
     async with run_gateway(server) as gateway:
         peer, other = await gateway.connect_client(), await gateway.connect_client()
@@ -146,7 +146,7 @@
         assert await other.request(encode_command("PING")) == b"PONG"
 
 
-async def test_second_request_with_an_id_in_hand_is_an_error_and_the_first_is_served():
+async def test_second_request_with_the_id_of_a_pending_one_is_an_error_and_the_first_is_served():
     server = FakeUpstream(lambda _words: None)
     async with run_gateway(server) as gateway:
         peer, other = await gateway.connect_client(), await gateway.connect_client()
@@ -205,9 +205,9 @@
             monkeypatch.setattr(UpstreamConnection, "open", open_late)
         peer.send(encode_call(last, plan="held"))
         await wait_until(lambda: len(gateway.driver.active_requests) == 1)
-        (flight,) = gateway.driver.engine.requests.values()
-        customer = flight.customer
-        assert flight.is_delayed == (wait == "delayed by the bucket")
+        (pending,) = gateway.driver.engine.requests.values()
+        customer = pending.customer
+        assert pending.is_delayed == (wait == "delayed by the bucket")
         assert customer.excess >= 1000.0
         before = customer.excess
         disconnect(peer, how)
@@ -215,7 +215,7 @@
         assert customer.excess == before - 1000.0
         gateway.update_endpoints(server.endpoint(1))
         up.set()
-        gateway.driver.engine._on_delay_over(flight)  # as its timer would
+        gateway.driver.engine._on_delay_over(pending)  # as its timer would
         assert await (await gateway.connect_client()).request(encode_call(9)) == b"0000000000000009"
         assert b"%016x" % last not in [words[2] for words in server.commands]
 
@@ -224,7 +224,9 @@
 @pytest.mark.parametrize(("many", "body"), [(MAX_PIPELINED_COMMANDS + 6, b""), (4, b"x" * 200_000)])
 async def test_disconnect_is_noticed_while_reading_is_paused(many, body, how, monkeypatch):
     answered: list[str] = []
-    monkeypatch.setattr(RequestAnswers, "send", lambda _self, call, _reply: answered.append(call.request_id))
+    monkeypatch.setattr(
+        RequestAnswers, "send", lambda _self, request, _reply: answered.append(request.request_id)
+    )
     server = FakeUpstream()
     async with run_gateway() as gateway:
         peer = await gateway.connect_client()
@@ -244,12 +246,12 @@
         assert [words[2] for words in server.commands] == [b"%016x" % 99]
 
 
-async def test_disconnect_with_unread_replies_ends_the_requests_in_hand(monkeypatch):
+async def test_disconnect_with_unread_replies_ends_the_pending_requests(monkeypatch):
     answered, plain = [], RequestAnswers.send
     monkeypatch.setattr(
         RequestAnswers,
         "send",
-        lambda self, call, reply: (answered.append(call.request_id), plain(self, call, reply)),
+        lambda self, request, reply: (answered.append(request.request_id), plain(self, request, reply)),
     )
     server = FakeUpstream(lambda words: encode_reply(b"v" * 65_000) if words[2].endswith(b"0") else None)
     async with run_gateway(server) as gateway:
@@ -326,7 +328,7 @@
         fourth.send(encode_call(3))
         await wait_until(lambda: not gateway.client_listener.is_accepting)
         server.writers[0].write(encode_reply(b"value"))
-        assert await busy.read_reply() == b"value"  # and it is idle now, and makes room
+        assert await busy.read_reply() == b"value"  # and it is idle now, and evicted
         await server.wait_until(lambda: len(server.commands) == 3)
         assert gateway.client_listener.descriptors_in_use == 2 == len(gateway.client_listener.connections)
 
@@ -563,7 +565,7 @@
             if number != first:
                 writer.write(encode_reply(b"v"))
         await wait_until(lambda: len(gateway.driver.active_requests) == 1)
-        server.writers[first].write(encode_reply(b"v"))  # all that are in hand are written at once
+        server.writers[first].write(encode_reply(b"v"))  # all pending replies are written at once
         for _ in range(MAX_PIPELINED_COMMANDS + more):
             assert await peer.read_reply() == b"v"
         assert await peer.read_reply() is None
--- a/tests/net/clients/test_idle_connections.py
+++ b/tests/net/clients/test_idle_connections.py
@@ -149,7 +149,7 @@
     assert closed == ["once 0", "once 1", "usual 0", "usual 1"]
 
 
-async def test_connections_that_have_waited_elsewhere_are_overdue_each_in_its_time(monkeypatch):
+async def test_connections_that_have_waited_elsewhere_time_out_each_after_its_own_wait(monkeypatch):
     clock_s, timed_out = [100.0], []
     monkeypatch.setattr(idle_connections, "COMMAND_READ_TIMEOUT_S", 1.0)
     monkeypatch.setattr(FakeConnection, "time_out", lambda self: timed_out.append(self.name), raising=False)
--- a/tests/net/clients/test_large_replies.py
+++ b/tests/net/clients/test_large_replies.py
@@ -107,7 +107,7 @@
         assert await peer.read_reply() == many[: len(many) // 2]
 
 
-async def test_large_value_behind_another_reply_waits_for_its_turn():
+async def test_large_value_after_another_reply_is_written_in_order():
     server = FakeUpstream(lambda _words: None)
     async with run_gateway(server) as gateway:
         gateway.client_listener.max_buffered_bytes = 200_000
@@ -136,7 +136,9 @@
         peer.send(encode_call(1))
         await server.wait_until(lambda: server.commands)
         server.writers[0].write(VALUE_HEADER + LARGE_VALUE[:10])
-        await wait_until(lambda: any(call.body_writer for call in gateway.driver.active_requests.values()))
+        await wait_until(
+            lambda: any(request.body_writer for request in gateway.driver.active_requests.values())
+        )
         server.writers[0].write(rest) if rest else server.writers[0].close()
         assert await peer.read_reply() is None
         await wait_until(
@@ -156,7 +158,9 @@
             for words in sorted(server.commands, key=lambda words: words[2])
         )
         second.write(VALUE_HEADER + LARGE_VALUE[:10])
-        await wait_until(lambda: any(call.body_writer for call in gateway.driver.active_requests.values()))
+        await wait_until(
+            lambda: any(request.body_writer for request in gateway.driver.active_requests.values())
+        )
         second.close()
         first.write(encode_reply(b"first"))
         assert [await peer.read_reply(), await peer.read_reply()] == [b"first", None]
@@ -194,7 +198,9 @@
         peer.send(encode_call(1))
         await server.wait_until(lambda: server.commands)
         server.writers[0].write(VALUE_HEADER + LARGE_VALUE[:10])
-        await wait_until(lambda: any(call.body_writer for call in gateway.driver.active_requests.values()))
+        await wait_until(
+            lambda: any(request.body_writer for request in gateway.driver.active_requests.values())
+        )
         peer.writer.transport.abort()
         await server.wait_until(lambda: server.closed_connections)
         await wait_until(lambda: not gateway.driver.active_requests)
@@ -208,10 +214,10 @@
         await wait_until(lambda: gateway.driver.active_requests)
         (held,) = gateway.driver.active_requests.values()
         (first,) = held.attempts.values()
-        flight = gateway.driver.engine.requests[held.request_id]
-        at = next(number for number in (1, 2) if number not in flight.tried_endpoints)
+        pending = gateway.driver.engine.requests[held.request_id]
+        at = next(number for number in (1, 2) if number not in pending.tried_endpoints)
         gateway.driver.engine.actions = []
-        gateway.driver.engine._start(flight, gateway.driver.engine.endpoints.by_id[at])
+        gateway.driver.engine._start(pending, gateway.driver.engine.endpoints.by_id[at])
         for action in gateway.driver.engine.actions:
             gateway.driver._perform(action)
         for fake in (server, other):
@@ -240,7 +246,7 @@
         assert await client.read_reply() == b"0000000000000003"
 
 
-async def test_command_behind_a_value_that_is_being_written_stays_in_the_kernel():
+async def test_command_after_a_value_that_is_being_written_stays_in_the_kernel():
     server = FakeUpstream(lambda words: None if words[2].endswith(b"1") else encode_reply(words[2]))
     async with run_gateway(server) as gateway:
         client = await gateway.connect_client()
@@ -260,7 +266,7 @@
         assert len(server.commands) == 1
 
 
-async def test_commands_go_on_behind_a_value_that_was_written_whole():
+async def test_commands_are_taken_again_after_a_value_was_written_completely():
     server = FakeUpstream(lambda words: None if words[2].endswith(b"1") else encode_reply(words[2]))
     async with run_gateway(server) as gateway:
         client = await gateway.connect_client()
@@ -315,7 +321,7 @@
         await wait_until(lambda: not gateway.client_listener.budget.buffered_bytes)
 
 
-async def test_commands_that_wait_behind_a_large_value_in_a_long_pipeline_are_all_answered():
+async def test_commands_that_wait_for_a_large_value_in_a_long_pipeline_are_all_answered():
     large = b"%016x" % 30
     server = FakeUpstream(lambda words: None if words[2] in (b"%016x" % 1, large) else encode_reply(words[2]))
     async with run_gateway(server, max_connections=200) as gateway:
--- a/tests/net/test_accept_faults.py
+++ b/tests/net/test_accept_faults.py
@@ -43,7 +43,7 @@
         pytest.param((errno.ECONNABORTED,), 100, id="a connection that was reset"),
         pytest.param((errno.ENFILE, errno.ENOBUFS, errno.ENOMEM), 100, id="no memory for a moment"),
         pytest.param((errno.ENOBUFS, errno.ENFILE) * 20, 100, id="no memory for longer"),
-        pytest.param((), 2, id="less room than connections"),
+        pytest.param((), 2, id="less capacity than connections"),
     ],
 )
 async def test_what_waits_to_be_accepted_at_the_end_is_answered(errors, max_connections):
--- a/tests/net/test_request_guard.py
+++ b/tests/net/test_request_guard.py
@@ -82,7 +82,7 @@
 
 
 @pytest.mark.parametrize("may_duplicate", [False, True])
-def test_second_attempt_in_flight_needs_leave(may_duplicate):
+def test_concurrent_attempts_need_the_setting(may_duplicate):
     settings = replace(SETTINGS, limits=HEDGING_LIMITS) if may_duplicate else SETTINGS
     harness = GuardHarness(settings)
     request = harness.request(READ, in_flight=[(0, "a")])
--- a/tests/net/test_transient_faults.py
+++ b/tests/net/test_transient_faults.py
@@ -151,7 +151,7 @@
         assert gateway.upstream_pool.telemetry.metrics.value(Metric.ATTEMPTS, AttemptStatus.RESET.value) == 0
 
 
-async def test_connection_on_which_an_answer_is_owed_is_not_closed_for_room():
+async def test_connection_with_a_pending_reply_is_not_evicted():
     upstream = FakeUpstream(lambda _: None)
     async with run_gateway(upstream) as gateway:
         client = await gateway.connect_client()
