--- a/quota_gateway/net/clients/connection_sweeper.py
+++ b/quota_gateway/net/clients/connection_sweeper.py
@@ -8,6 +8,7 @@
 
 from quota_gateway.net.clients.arrival import StallDetector
 from quota_gateway.net.clients.connection import ClientConnection
+from quota_gateway.net.clients.connection_admission import ConnectionAdmission
 from quota_gateway.net.clients.idle_connections import IdleConnections
 
 
@@ -21,20 +22,19 @@
     def connections(self) -> Iterable[ClientConnection]:
         """The connections that the event loop serves."""
 
-    def accept_or_evict(self) -> None:
-        """Accept again where capacity is free, else evict connections for those that wait."""
-
 
 class ConnectionSweeper:
     """Enforces command read timeouts, and notices clients that left while their connection is not read.
 
     Args:
         listener: The listener whose connections are swept.
+        admission: Accepts again, or evicts, after each sweep.
         interval_s: The time between two sweeps; the listener's stall detector expects it too.
     """
 
-    def __init__(self, listener: SweptListener, interval_s: float) -> None:
+    def __init__(self, listener: SweptListener, admission: ConnectionAdmission, interval_s: float) -> None:
         self._listener = listener
+        self._admission = admission
         self._interval_s = interval_s
         self._loop = asyncio.get_running_loop()
         self._timer = self._loop.call_later(interval_s, self._sweep)
@@ -50,4 +50,4 @@
         unread = [item for item in self._listener.connections if item.is_unread_with_pending_replies()]
         for connection in unread:
             connection.close_if_disconnected()
-        self._listener.accept_or_evict()
+        self._admission.accept_or_evict()
--- a/quota_gateway/net/clients/listener.py
+++ b/quota_gateway/net/clients/listener.py
@@ -1,35 +1,29 @@
-"""The listener for clients: accepts connections within its capacity, suspends and ends them."""
+"""The listener for clients: owns their connections, suspends and ends them."""
 
 from __future__ import annotations
 
 import asyncio
-import logging
 import socket
-import time
 
 from quota_gateway import model as api
-from quota_gateway.net.acceptor import Acceptor, AcceptorOwner
 from quota_gateway.net.client_replies import LOADING_REPLY, PONG_REPLY
-from quota_gateway.net.clients.arrival import StallDetector, arrival_s
+from quota_gateway.net.clients.arrival import StallDetector
 from quota_gateway.net.clients.buffer_budget import BufferBudget
 from quota_gateway.net.clients.commands import RequestParser
 from quota_gateway.net.clients.connection import ClientConnection
+from quota_gateway.net.clients.connection_admission import ConnectionAdmission
 from quota_gateway.net.clients.connection_sweeper import ConnectionSweeper
 from quota_gateway.net.clients.idle_connections import IdleConnections
 from quota_gateway.net.clients.request_handler import RequestHandler
 from quota_gateway.net.clients.resumed_connection import ResumedConnection
-from quota_gateway.net.transient_errors import errno_name
-from quota_gateway.telemetry import Metric
 
 __all__ = ["ClientConnection", "ClientListener", "ResumedConnection"]
 
-log = logging.getLogger(__name__)
-
 SWEEP_INTERVAL_S = 0.1  # short against the shortest timeout that the sweep enforces
 LISTEN_BACKLOG = 1024  # connections that wait in the kernel while the capacity is used up
 
 
-class ClientListener(AcceptorOwner):
+class ClientListener:
     """The listening socket and the connections accepted from it, bounded in number and in memory.
 
     Args:
@@ -40,8 +34,6 @@
 
     Attributes:
         connections: The connections that the event loop serves, in the order in which they were accepted.
-        descriptors_in_use: Connections from accepting until the event loop has closed their sockets.
-        peer_connections: The connections of the peer process of this gateway.
         is_ready: Whether an endpoint list is known.
         is_stopping: Whether each connection closes once all its replies are written.
     """
@@ -51,19 +43,16 @@
     ) -> None:
         self.driver = driver
         self.request_parser = RequestParser(settings)
-        self.max_connections = max_connections
         self.budget = BufferBudget(max_buffered_bytes)
         self.connections: dict[ClientConnection, None] = {}
         self.idle_connections = IdleConnections()
-        self.descriptors_in_use = 0
-        self.peer_connections = 0
         self.is_ready = False
         self.is_stopping = False
-        self.acceptor = Acceptor(self)
         self.loop = asyncio.get_running_loop()
-        self._admission_tasks: set[asyncio.Task[None]] = set()
+        self._admission = ConnectionAdmission(self, max_connections)
+        self.acceptor = self._admission.acceptor
         self.stalls = StallDetector(SWEEP_INTERVAL_S)
-        self._sweeper = ConnectionSweeper(self, SWEEP_INTERVAL_S)
+        self._sweeper = ConnectionSweeper(self, self._admission, SWEEP_INTERVAL_S)
 
     @property
     def max_buffered_bytes(self) -> int:
@@ -74,7 +63,7 @@
     def max_buffered_bytes(self, size_bytes: int) -> None:
         self.budget.max_buffered_bytes = size_bytes
 
-    # ---- Listening and accepting
+    # ---- Listening
 
     @property
     def listening_socket(self) -> socket.socket | None:
@@ -116,55 +105,28 @@
         address: tuple[str, int] = listening_socket.getsockname()
         return address
 
-    def available_capacity(self) -> int:
-        """Return how many more connections may be open, over both processes of this gateway."""
-        return self.max_connections - self.descriptors_in_use - self.peer_connections
-
-    def evict(self) -> None:
-        """Close idle and unproductive connections, as others wait to be accepted."""
-        self.idle_connections.evict()
-
-    def accept_or_evict(self) -> None:
-        """Accept again where capacity is free, else evict connections for those that wait."""
-        if self.available_capacity() > 0:
-            self.acceptor.resume()
-        elif not self.is_accepting:
-            self.evict()
+    @property
+    def descriptors_in_use(self) -> int:
+        """Connections from accepting until the event loop has closed their sockets."""
+        return self._admission.descriptors_in_use
 
-    def on_accepted(self, sock: socket.socket, waiting_since_s: float) -> None:
-        """Serve a new connection; its command read timeout runs from when it came."""
-        waited_s = time.monotonic() - arrival_s(sock, waiting_since_s)
-        self.serve(sock, ResumedConnection(command_due_for_s=waited_s, waiting_since_s=waiting_since_s))
+    @property
+    def peer_connections(self) -> int:
+        """The connections of the peer process of this gateway, which take from the same capacity."""
+        return self._admission.peer_connections
 
-    def on_accept_error(self, error: OSError) -> None:
-        """Log and count a failed call of accept, which is retried."""
-        log.warning("client accept failed reason=%r", error)
-        self.driver.telemetry.metrics.count(Metric.CLIENT_ACCEPT_FAILURES, errno_name(error))
+    @peer_connections.setter
+    def peer_connections(self, count: int) -> None:
+        self._admission.peer_connections = count
 
     def serve(self, sock: socket.socket, resumed: ResumedConnection) -> None:
-        """Serve a connection: a new one, or one that another process has served until now.
+        """Serve a connection that another process has served until now.
 
         Args:
-            sock: The connection's socket, which this listener closes.
+            sock: The connection's socket, which is closed with the connection.
             resumed: The past of the connection.
         """
-        self.descriptors_in_use += 1
-        task = self.loop.create_task(self._admit(sock, resumed))
-        self._admission_tasks.add(task)
-        task.add_done_callback(self._admission_tasks.discard)
-
-    async def _admit(self, sock: socket.socket, resumed: ResumedConnection) -> None:
-        try:
-            sock.setblocking(False)
-            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            await self.loop.connect_accepted_socket(lambda: ClientConnection(self, sock, resumed), sock)
-        except OSError:
-            sock.close()
-            self._release_descriptor()
-
-    def _release_descriptor(self) -> None:
-        self.descriptors_in_use -= 1
-        self.acceptor.resume()
+        self._admission.admit(sock, resumed)
 
     # ---- Calls of the connections
 
@@ -187,7 +149,7 @@
         self.connections.pop(connection, None)
         self.idle_connections.discard(connection)
         connection.buffers.release_all()
-        self._release_descriptor()
+        self._admission.release_descriptor()
 
     # ---- Suspending and ending
 
