--- /dev/null
+++ b/quota_gateway/net/clients/connection_sweeper.py
@@ -0,0 +1,53 @@
+"""Looks at regular intervals after client connections that no event of the loop wakes."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Iterable
+from typing import Protocol
+
+from quota_gateway.net.clients.arrival import StallDetector
+from quota_gateway.net.clients.connection import ClientConnection
+from quota_gateway.net.clients.connection_admission import ConnectionAdmission
+from quota_gateway.net.clients.idle_connections import IdleConnections
+
+
+class SweptListener(Protocol):
+    """What the sweeper needs of the listener."""
+
+    idle_connections: IdleConnections
+    stalls: StallDetector
+
+    @property
+    def connections(self) -> Iterable[ClientConnection]:
+        """The connections that the event loop serves."""
+
+
+class ConnectionSweeper:
+    """Enforces command read timeouts, and notices clients that left while their connection is not read.
+
+    Args:
+        listener: The listener whose connections are swept.
+        admission: Accepts again, or evicts, after each sweep.
+        interval_s: The time between two sweeps; the listener's stall detector expects it too.
+    """
+
+    def __init__(self, listener: SweptListener, admission: ConnectionAdmission, interval_s: float) -> None:
+        self._listener = listener
+        self._admission = admission
+        self._interval_s = interval_s
+        self._loop = asyncio.get_running_loop()
+        self._timer = self._loop.call_later(interval_s, self._sweep)
+
+    def stop(self) -> None:
+        """Sweep no more."""
+        self._timer.cancel()
+
+    def _sweep(self) -> None:
+        self._timer = self._loop.call_later(self._interval_s, self._sweep)
+        self._listener.stalls.tick()
+        self._listener.idle_connections.time_out_late_commands()
+        unread = [item for item in self._listener.connections if item.is_unread_with_pending_replies()]
+        for connection in unread:
+            connection.close_if_disconnected()
+        self._admission.accept_or_evict()
--- a/quota_gateway/net/upstream/reply_receiver.py
+++ b/quota_gateway/net/upstream/reply_receiver.py
@@ -53,7 +53,7 @@
         Raises:
             ProtocolError: The reply is malformed, or there is no memory for it.
         """
-        self._reader.feed(data)
+        self._reader.receive_data(data)
         answer = self._reader.next_reply()
         if answer is None and self._reader.streamed_bytes_left is not None:
             self._stream_body(attempt, self._reader.streamed_bytes_left)
--- a/tests/net/clients/test_client_listener.py
+++ b/tests/net/clients/test_client_listener.py
@@ -14,7 +14,7 @@
 from quota_gateway.model.timers import WaitOver
 from quota_gateway.net.clients import command_intake, idle_connections
 from quota_gateway.net.clients.command_intake import MAX_PIPELINED_COMMANDS
-from quota_gateway.net.driver import Driver
+from quota_gateway.net.request_answers import RequestAnswers
 from quota_gateway.net.upstream.pool import UpstreamConnection
 from tests.support.fake_upstream import FakeUpstream
 from tests.support.gateway_node import connect_slow_reader, run_gateway, wait_until
@@ -135,7 +135,7 @@
         b"*1\r\n*1\r\n$4\r\nPING\r\n",
     ],
 )
-async def test_protocol_error_is_answered_after_the_replies_owed_and_closes_the_connection(junk):
+async def test_protocol_error_is_answered_after_the_pending_replies_and_closes_the_connection(junk):
     server = FakeUpstream(lambda _words: None)
     async with run_gateway(server) as gateway:
         peer, other = await gateway.connect_client(), await gateway.connect_client()
@@ -148,7 +148,7 @@
         assert await other.request(encode_command("PING")) == b"PONG"
 
 
-async def test_second_request_with_an_id_in_hand_is_an_error_and_the_first_is_served():
+async def test_second_request_with_the_id_of_a_pending_one_is_an_error_and_the_first_is_served():
     server = FakeUpstream(lambda _words: None)
     async with run_gateway(server) as gateway:
         peer, other = await gateway.connect_client(), await gateway.connect_client()
@@ -207,9 +207,9 @@
             monkeypatch.setattr(UpstreamConnection, "open", open_late)
         peer.send(encode_call(last, plan="held"))
         await wait_until(lambda: len(gateway.driver.active_requests) == 1)
-        (flight,) = gateway.driver.engine.requests.values()
-        customer = flight.customer
-        assert (flight.state is RequestState.DELAYED) == (wait == "delayed by the bucket")
+        (pending,) = gateway.driver.engine.requests.values()
+        customer = pending.customer
+        assert (pending.state is RequestState.DELAYED) == (wait == "delayed by the bucket")
         assert customer.excess >= 1000.0
         before = customer.excess
         disconnect(peer, how)
@@ -217,7 +217,7 @@
         assert customer.excess == before - 1000.0
         gateway.update_endpoints(server.endpoint(1))
         up.set()
-        gateway.driver.engine.lifecycle.on_timer(WaitOver(flight))
+        gateway.driver.engine.lifecycle.on_timer(WaitOver(pending))
         assert await (await gateway.connect_client()).request(encode_call(9)) == b"0000000000000009"
         assert b"%016x" % last not in [words[2] for words in server.commands]
 
@@ -226,7 +226,9 @@
 @pytest.mark.parametrize(("many", "body"), [(MAX_PIPELINED_COMMANDS + 6, b""), (4, b"x" * 200_000)])
 async def test_disconnect_is_noticed_while_reading_is_paused(many, body, how, monkeypatch):
     answered: list[str] = []
-    monkeypatch.setattr(Driver, "_answer", lambda _self, call, _answer: answered.append(call.request_id))
+    monkeypatch.setattr(
+        RequestAnswers, "send", lambda _self, request, _reply: answered.append(request.request_id)
+    )
     server = FakeUpstream()
     async with run_gateway() as gateway:
         peer = await gateway.connect_client()
@@ -246,12 +248,12 @@
         assert [words[2] for words in server.commands] == [b"%016x" % 99]
 
 
-async def test_disconnect_with_unread_replies_ends_the_requests_in_hand(monkeypatch):
-    answered, plain = [], Driver._answer
+async def test_disconnect_with_unread_replies_ends_the_pending_requests(monkeypatch):
+    answered, plain = [], RequestAnswers.send
     monkeypatch.setattr(
-        Driver,
-        "_answer",
-        lambda self, call, answer: (answered.append(call.request_id), plain(self, call, answer)),
+        RequestAnswers,
+        "send",
+        lambda self, request, reply: (answered.append(request.request_id), plain(self, request, reply)),
     )
     server = FakeUpstream(lambda words: encode_reply(b"v" * 65_000) if words[2].endswith(b"0") else None)
     async with run_gateway(server) as gateway:
@@ -328,7 +330,7 @@
         fourth.send(encode_call(3))
         await wait_until(lambda: not gateway.client_listener.is_accepting)
         server.writers[0].write(encode_reply(b"value"))
-        assert await busy.read_reply() == b"value"  # and it is idle now, and makes room
+        assert await busy.read_reply() == b"value"  # and it is idle now, and evicted
         await server.wait_until(lambda: len(server.commands) == 3)
         assert gateway.client_listener.descriptors_in_use == 2 == len(gateway.client_listener.connections)
 
@@ -336,8 +338,8 @@
 async def test_silent_connection_is_evicted_before_an_idle_one_and_none_within_a_command(monkeypatch):
     monkeypatch.setattr(idle_connections, "SILENT_GRACE_S", 0.0)
     monkeypatch.setattr(idle_connections, "IDLE_GRACE_S", 0.0)
-    monkeypatch.setattr(idle_connections, "MAX_CLOSED_FOR_ROOM", 1)
-    monkeypatch.setattr(idle_connections, "COMMAND_TIMEOUT_S", 3600.0)
+    monkeypatch.setattr(idle_connections, "MAX_EVICTIONS_PER_CALL", 1)
+    monkeypatch.setattr(idle_connections, "COMMAND_READ_TIMEOUT_S", 3600.0)
     async with run_gateway(FakeUpstream(), max_connections=3) as gateway:
         idle, within, silent = (
             await gateway.connect_client(),
@@ -360,7 +362,7 @@
     monkeypatch,
 ):
     monkeypatch.setattr(idle_connections, "IDLE_GRACE_S", 0.0)
-    monkeypatch.setattr(idle_connections, "MAX_CLOSED_FOR_ROOM", 1)
+    monkeypatch.setattr(idle_connections, "MAX_EVICTIONS_PER_CALL", 1)
     async with run_gateway(FakeUpstream(), max_connections=2) as gateway:
         usual, once = await gateway.connect_client(), await gateway.connect_client()
         for number in (1, 2):
@@ -380,9 +382,9 @@
         os.write(
             peer.writer.get_extra_info("socket").fileno(), encode_call(1)
         )  # before the loop could read it
-        assert not client.close_to_make_room()
+        assert not client.evict()
         assert await peer.read_reply() == b"0000000000000001"
-        assert client.close_to_make_room()
+        assert client.evict()
         assert await peer.read_reply() is None
 
 
@@ -397,7 +399,7 @@
 async def test_silence_before_or_within_a_command_times_out_with_an_error_and_a_close(
     sent, first, monkeypatch
 ):
-    monkeypatch.setattr(idle_connections, "COMMAND_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(idle_connections, "COMMAND_READ_TIMEOUT_S", 0.05)
     server = FakeUpstream(lambda _words: None)
     async with run_gateway(server) as gateway:
         peer = await gateway.connect_client()
@@ -413,7 +415,7 @@
 
 
 async def test_commands_that_keep_arriving_in_parts_do_not_time_out(monkeypatch):
-    monkeypatch.setattr(idle_connections, "COMMAND_TIMEOUT_S", 2.0)
+    monkeypatch.setattr(idle_connections, "COMMAND_READ_TIMEOUT_S", 2.0)
     async with run_gateway(FakeUpstream()) as gateway:
         peer, rest = await gateway.connect_client(), b""
         for number in range(25):
@@ -441,7 +443,7 @@
     ],
 )
 async def test_header_beyond_the_bounds_is_a_protocol_error_at_once(head, monkeypatch):
-    monkeypatch.setattr(idle_connections, "COMMAND_TIMEOUT_S", 3600.0)
+    monkeypatch.setattr(idle_connections, "COMMAND_READ_TIMEOUT_S", 3600.0)
     async with run_gateway(FakeUpstream()) as gateway:
         peer = await gateway.connect_client()
         peer.send(head)
@@ -565,7 +567,7 @@
             if number != first:
                 writer.write(encode_reply(b"v"))
         await wait_until(lambda: len(gateway.driver.active_requests) == 1)
-        server.writers[first].write(encode_reply(b"v"))  # all that are in hand are written at once
+        server.writers[first].write(encode_reply(b"v"))  # all pending replies are written at once
         for _ in range(MAX_PIPELINED_COMMANDS + more):
             assert await peer.read_reply() == b"v"
         assert await peer.read_reply() is None
--- a/tests/net/test_transient_faults.py
+++ b/tests/net/test_transient_faults.py
@@ -146,18 +146,18 @@
         assert gateway.upstream_pool.telemetry.metrics.value(Metric.ATTEMPTS, AttemptStatus.RESET.value) == 0
 
 
-async def test_connection_on_which_an_answer_is_owed_is_not_closed_for_room():
+async def test_connection_with_a_pending_reply_is_not_evicted():
     upstream = FakeUpstream(lambda _: None)
     async with run_gateway(upstream) as gateway:
         client = await gateway.connect_client()
         client.send(encode_call(1))
         await upstream.wait_until(lambda: upstream.commands)
         (connection,) = gateway.client_listener.connections
-        assert not connection.close_to_make_room()
+        assert not connection.evict()
         (reply,) = connection.pending_replies
         reply.set_reply(b"$1\r\nv\r\n")
         assert await client.read_reply() == b"v"
-        assert connection.close_to_make_room()
+        assert connection.evict()
 
 
 async def test_timers_go_on_after_one_that_fails():
