--- a/quota_gateway/model/customer_state.py
+++ b/quota_gateway/model/customer_state.py
@@ -13,8 +13,8 @@
         largest_units: Units of the largest request seen.
         usage: Use by all gateways as a share of the quota, as last reported at ``usage_at_ms``.
         contended_until_ms: Until when the slots under its in-flight cap are rotated.
-        offered: Recent demand as of ``offered_at_ms``, rejected requests included: units under a rate,
-            requests under a cap.
+        recent_demand: What was asked lately, rejected or not, as of ``recent_demand_at_ms``: units under a
+            rate, requests under a cap.
         in_flight: Attempts in flight from this process.
         peer_in_flight: Attempts in flight from the peer process of this gateway.
         ceiling_level: Units in this gateway's share of the hard ceiling, as of ``ceiling_at_ms``.
@@ -29,9 +29,9 @@
         "gateway_set_size",
         "in_flight",
         "largest_units",
-        "offered",
-        "offered_at_ms",
         "peer_in_flight",
+        "recent_demand",
+        "recent_demand_at_ms",
         "usage",
         "usage_at_ms",
     )
@@ -44,8 +44,8 @@
         self.usage = 0.0
         self.usage_at_ms = -inf
         self.contended_until_ms = -inf
-        self.offered = 0.0
-        self.offered_at_ms = now_ms
+        self.recent_demand = 0.0
+        self.recent_demand_at_ms = now_ms
         self.in_flight = 0
         self.peer_in_flight = 0
         self.ceiling_level = ceiling_level
--- a/quota_gateway/model/snapshot.py
+++ b/quota_gateway/model/snapshot.py
@@ -22,8 +22,8 @@
     "usage",
     "usage_at_ms",
     "contended_until_ms",
-    "offered",
-    "offered_at_ms",
+    "recent_demand",
+    "recent_demand_at_ms",
     "ceiling_level",
     "ceiling_at_ms",
 )
@@ -169,7 +169,7 @@
         setattr(customer, name, _number_in(value))
     customer.gateway_set_size = min(max(1, int(customer.gateway_set_size)), gateways)
     customer.excess_at_ms = min(now_ms, customer.excess_at_ms)
-    customer.offered_at_ms = min(now_ms, customer.offered_at_ms)
+    customer.recent_demand_at_ms = min(now_ms, customer.recent_demand_at_ms)
     customer.ceiling_at_ms = min(now_ms, customer.ceiling_at_ms)
     customer.usage_at_ms = min(now_ms, customer.usage_at_ms)
     return customer
--- a/quota_gateway/policy/in_flight_limit.py
+++ b/quota_gateway/policy/in_flight_limit.py
@@ -40,9 +40,9 @@
         if not plan.max_in_flight or plan.rate:
             return False
         now_ms = self._clock.now_ms
-        arrivals = customer.offered * exp((customer.offered_at_ms - now_ms) / ARRIVALS_DECAY_MS)
-        customer.offered = arrivals + 1.0
-        customer.offered_at_ms = now_ms
+        arrivals = customer.recent_demand * exp((customer.recent_demand_at_ms - now_ms) / ARRIVALS_DECAY_MS)
+        customer.recent_demand = arrivals + 1.0
+        customer.recent_demand_at_ms = now_ms
         headroom = max(0.0, 1.0 - customer.usage) if customer.usage_at_ms > -inf else INITIAL_HEADROOM_SHARE
         return arrivals >= CONTENTION_ARRIVALS_PER_HEADROOM * headroom
 
--- a/quota_gateway/policy/leaky_bucket.py
+++ b/quota_gateway/policy/leaky_bucket.py
@@ -36,8 +36,8 @@
         if not plan.rate:
             return 0.0
         rate = plan.rate * self._quota.share(customer)
-        recent_demand = self._count_demand(customer, plan, pending.request.units)
-        base_burst = self._burst(customer, plan) * self._headroom_factor(customer, plan, recent_demand)
+        self._count_demand(customer, plan, pending.request.units)
+        base_burst = self._burst(customer, plan) * self._headroom_factor(customer, plan)
         burst = base_burst * self._priority_factor(pending.request_class)
         excess = max(0.0, self._excess_with(pending, rate))
         if excess > MAX_EXCESS_BURSTS * burst:
@@ -60,20 +60,19 @@
         """This gateway's even share of the burst, which holds one request at least."""
         return max(plan.burst / customer.gateway_set_size, customer.largest_units) * MILLIUNITS_PER_UNIT
 
-    def _count_demand(self, customer: CustomerState, plan: Plan, units: float) -> float:
-        """Add units to the customer's recent demand, rejected or not; return it."""
+    def _count_demand(self, customer: CustomerState, plan: Plan, units: float) -> None:
+        """Add units to the customer's recent demand, rejected or not."""
         now_ms = self._clock.now_ms
-        elapsed_ms = now_ms - customer.offered_at_ms
+        elapsed_ms = now_ms - customer.recent_demand_at_ms
         drained = plan.rate * elapsed_ms / customer.gateway_set_size / MILLIUNITS_PER_UNIT
-        customer.offered = max(0.0, customer.offered - drained) + units
-        customer.offered_at_ms = now_ms
-        return customer.offered
+        customer.recent_demand = max(0.0, customer.recent_demand - drained) + units
+        customer.recent_demand_at_ms = now_ms
 
-    def _headroom_factor(self, customer: CustomerState, plan: Plan, recent_demand: float) -> float:
+    def _headroom_factor(self, customer: CustomerState, plan: Plan) -> float:
         """By how much headroom increases the burst of a share below one request with little demand."""
         if not self._quota.share_is_below_one_request(customer, plan):
             return 1.0
-        if recent_demand > HEADROOM_BURST_REQUESTS * customer.largest_units:
+        if customer.recent_demand > HEADROOM_BURST_REQUESTS * customer.largest_units:
             return 1.0
         lifetime_ms = self._quota.drain_ms(customer, plan)
         return 1.0 + HEADROOM_BURST_REQUESTS * self._quota.headroom(customer, lifetime_ms)
