--- a/quota_gateway/policy/engine.py
+++ b/quota_gateway/policy/engine.py
@@ -33,6 +33,7 @@
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
         self.mechanisms = mechanisms = Mechanisms(settings, Random(seed))
+        self._clock = mechanisms.clock
         self.timers = TimerTable()
         self.output = output = list[Action]()
         log = DecisionLog(output)
@@ -88,7 +89,7 @@
             ValueError: The time is before that of an earlier event.
             StateError: The event restores a malformed state.
         """
-        self.mechanisms.clock.advance(now_ms)
+        self._clock.advance(now_ms)
         self.output.clear()
         match event:
             case events.TimerFired():
--- a/quota_gateway/policy/scheduling.py
+++ b/quota_gateway/policy/scheduling.py
@@ -61,7 +61,7 @@
         now_ms = self._clock.now_ms
         if ceiling_wait_ms >= pending.deadline_ms - now_ms:
             return True
-        return slot_wait_ms > max(0.0, self._latencies.latest_start_ms(pending) - now_ms)
+        return slot_wait_ms > 0.0 and slot_wait_ms > self._latencies.latest_start_ms(pending) - now_ms
 
     def choose_endpoint(self, pending: PendingRequest) -> EndpointState | None:
         """Choose the endpoint of a first attempt, or none while the concurrency limit is used up.
--- a/tests/policy/test_leaky_bucket.py
+++ b/tests/policy/test_leaky_bucket.py
@@ -203,7 +203,7 @@
 # request of one unit in 6 s.
 
 
-def rig_with_thin_share(gateway_set_size: int = 60) -> EngineHarness:
+def rig_with_share_below_one_request(gateway_set_size: int = 60) -> EngineHarness:
     """A harness of one of 60 gateways; its customer comes by a gateway set of this size."""
     harness = EngineHarness(replace(SETTINGS, gateways=60))
     harness.servers(make_endpoint(1), make_endpoint(2))
@@ -211,7 +211,7 @@
     return harness
 
 
-def ask_with_thin_share(harness, **request_fields) -> str:
+def ask_with_share_below_one_request(harness, **request_fields) -> str:
     """A new request of one unit by the gateway set of the harness; its id."""
     harness.count += 1
     name = f"r{harness.count}"
@@ -221,31 +221,31 @@
 
 
 @pytest.mark.parametrize(("gateway_set_size", "answer"), [(60, "Reject"), (2, None)])
-def test_marked_retry_is_rejected_under_a_thin_quota_share_only(gateway_set_size, answer):
-    harness = rig_with_thin_share(gateway_set_size)
-    assert harness.answers.get(ask_with_thin_share(harness, is_retry=True)) == answer
+def test_marked_retry_is_rejected_under_a_share_below_one_request_only(gateway_set_size, answer):
+    harness = rig_with_share_below_one_request(gateway_set_size)
+    assert harness.answers.get(ask_with_share_below_one_request(harness, is_retry=True)) == answer
 
 
-def test_headroom_of_the_last_usage_report_grows_the_burst_of_a_thin_quota_share():
-    harness = rig_with_thin_share()
+def test_headroom_of_the_last_usage_report_grows_the_burst_of_a_share_below_one_request():
+    harness = rig_with_share_below_one_request()
     harness.finish(
-        ask_with_thin_share(harness), used=40.0
+        ask_with_share_below_one_request(harness), used=40.0
     )  # burst 1 x (1 + 2 x 0.6) = 2.2 of the drained local quota
     harness.run(5000.0)  # more than four usage periods later, less than one request takes to drain
-    assert ask_with_thin_share(harness) in harness.sent
+    assert ask_with_share_below_one_request(harness) in harness.sent
     harness.run(100.0)
-    assert harness.answers[ask_with_thin_share(harness)] == "Reject", (
+    assert harness.answers[ask_with_share_below_one_request(harness)] == "Reject", (
         "three requests: more than the local quota and two requests"
     )
 
 
-def test_thin_quota_share_over_quota_or_without_a_recent_usage_report_has_the_even_burst():
+def test_share_below_one_request_over_quota_or_without_a_recent_usage_report_has_the_even_burst():
     for usage_percent, wait_ms in ((100.0, 500.0), (40.0, 6100.0)):
-        harness = rig_with_thin_share()
-        harness.finish(ask_with_thin_share(harness), used=usage_percent)
+        harness = rig_with_share_below_one_request()
+        harness.finish(ask_with_share_below_one_request(harness), used=usage_percent)
         harness.run(wait_ms)
-        second = ask_with_thin_share(harness)
-        third = ask_with_thin_share(harness)
+        second = ask_with_share_below_one_request(harness)
+        third = ask_with_share_below_one_request(harness)
         assert harness.answers[third] == "Reject"
         assert (second in harness.sent) == (wait_ms > 6000.0)  # the first has drained by then
 
@@ -258,7 +258,7 @@
         harness.servers(make_endpoint(1), make_endpoint(2))
         harness.gateway_set_size = 60
         for step in range(100):
-            name = ask_with_thin_share(harness, is_retry=step % 2 == 1)
+            name = ask_with_share_below_one_request(harness, is_retry=step % 2 == 1)
             if name in harness.sent:
                 harness.finish(name, used=300.0)
             harness.run(200.0)
@@ -290,39 +290,39 @@
     return forwarding
 
 
-def test_gateways_take_turns_at_a_cap_below_the_gateway_set_size_once_it_was_exceeded():
+def test_slots_rotate_under_a_cap_below_the_gateway_set_size_once_it_was_exceeded():
     rigs = gateway_set_of_three(usage_percent=150.0)
-    turns = []
+    periods = []
     for _ in range(6):
-        turns.append(tuple(gateways_that_forward(rigs)))
+        periods.append(tuple(gateways_that_forward(rigs)))
         for harness in rigs:
             harness.run(1000.0)
-    assert all(len(turn) == 2 for turn in turns)
-    assert len(set(turns[:3])) == 3
-    assert turns[:3] == turns[3:]
+    assert all(len(forwarding) == 2 for forwarding in periods)
+    assert len(set(periods[:3])) == 3
+    assert periods[:3] == periods[3:]
 
 
 @pytest.mark.parametrize("usage_percent", [None, 100.0])
-def test_cap_without_contention_leaves_each_gateway_its_place(usage_percent):
+def test_cap_without_contention_leaves_each_gateway_its_slot(usage_percent):
     rigs = gateway_set_of_three(usage_percent)
     assert gateways_that_forward(rigs) == [0, 1, 2]
 
 
-def test_each_gateway_has_its_place_again_once_contention_has_expired():
+def test_each_gateway_has_its_slot_again_once_contention_has_expired():
     rigs = gateway_set_of_three(usage_percent=150.0)
     for harness in rigs:
         harness.run(10_000.0)
     assert gateways_that_forward(rigs) == [0, 1, 2]
 
 
-def test_request_out_of_turn_is_rejected_at_once_unless_the_turn_comes_in_time():
+def test_request_without_a_slot_is_rejected_at_once_unless_the_rotation_gives_one_in_time():
     harness = EngineHarness(replace(SETTINGS, gateways=3, index=2, classes=(*CLASSES, BRIEF)))
     harness.servers(make_endpoint(1), make_endpoint(2))
-    harness.now = 3000.0  # a round of turns begins: the last gateway of the set has the next one
+    harness.now = 3000.0  # a rotation begins: the last gateway of the set has a slot in the next period
     harness.finish(harness.ask("only-cap", gateway_set_size=3), used=150.0)
     assert (
         harness.ask("only-cap", "brief", gateway_set_size=3) in harness.answers
-    )  # its turn comes 1000 ms on
+    )  # its period begins 1000 ms on
     harness.run(800.0)
     queued = harness.ask("only-cap", "brief", gateway_set_size=3)
     assert queued not in harness.sent
@@ -331,7 +331,7 @@
     assert queued in harness.sent
 
 
-def test_request_that_finds_the_place_occupied_starts_the_turns_before_a_usage_report():
+def test_request_that_finds_the_slot_occupied_starts_the_rotation_before_a_usage_report():
     rigs = gateway_set_of_three(usage_percent=100.0)
     first = [harness.ask("only-cap", "brief", gateway_set_size=3) for harness in rigs]
     second = [harness.ask("only-cap", "brief", gateway_set_size=3) for harness in rigs]
@@ -348,7 +348,7 @@
         0,
         1,
         2,
-    ]  # no longer contended: no request has found its place occupied since
+    ]  # no longer contended: no request has found its slot occupied since
 
 
 @dataclass
@@ -358,7 +358,7 @@
     Attributes:
         forwarded_within: Requests forwarded while fewer than the cap were in flight.
         forwarded_beyond: Requests forwarded while the cap was reached or exceeded.
-        rejected: Requests that no place was found for at once.
+        rejected: Requests that no slot was free for at once.
     """
 
     GATEWAYS: ClassVar[int] = 30
--- a/tests/policy/test_quota_over_fleet.py
+++ b/tests/policy/test_quota_over_fleet.py
@@ -106,7 +106,7 @@
             heapq.heappush(self._events, retry)
 
     def _count_forwarded(self, customer: str, now_ms: float) -> None:
-        """Take a forwarded request's units, or its place in flight, or note that it is beyond the quota."""
+        """Take a forwarded request's units, or its slot in flight, or note that it is beyond the quota."""
         self.forwarded[customer] += 1
         if self.plan.rate:
             self._take_units(customer, now_ms)
