--- a/quota_gateway/model/snapshot.py
+++ b/quota_gateway/model/snapshot.py
@@ -51,8 +51,8 @@
     usage: float
     usage_at_ms: float
     contended_until_ms: float
-    offered: float
-    offered_at_ms: float
+    recent_demand: float
+    recent_demand_at_ms: float
     ceiling_level: float
     ceiling_at_ms: float
 
@@ -162,8 +162,8 @@
         usage=customer.usage,
         usage_at_ms=customer.usage_at_ms,
         contended_until_ms=customer.contended_until_ms,
-        offered=customer.offered,
-        offered_at_ms=customer.offered_at_ms,
+        recent_demand=customer.recent_demand,
+        recent_demand_at_ms=customer.recent_demand_at_ms,
         ceiling_level=customer.ceiling_level,
         ceiling_at_ms=customer.ceiling_at_ms,
     )
@@ -220,8 +220,8 @@
         customer.usage = _number(row.usage)
         customer.usage_at_ms = self._past_ms(row.usage_at_ms)
         customer.contended_until_ms = _number(row.contended_until_ms)
-        customer.offered = _number(row.offered)
-        customer.offered_at_ms = self._past_ms(row.offered_at_ms)
+        customer.recent_demand = _number(row.recent_demand)
+        customer.recent_demand_at_ms = self._past_ms(row.recent_demand_at_ms)
         customer.ceiling_level = _number(row.ceiling_level)
         customer.ceiling_at_ms = self._past_ms(row.ceiling_at_ms)
         return customer
