--- a/tests/policy/test_subset.py
+++ b/tests/policy/test_subset.py
@@ -10,10 +10,11 @@
 from quota_gateway.policy import concurrency, subset
 from quota_gateway.policy.subset import Subset
 
-FLEETS = st.tuples(st.integers(1, 400), st.integers(1, 400), st.integers(1, 40))  # gateways, servers, least
+# gateways, servers, minimum size of a subset
+FLEETS = st.tuples(st.integers(1, 400), st.integers(1, 400), st.integers(1, 40))
 SEEDS = st.integers(0, 1 << 30)
-MOST_STEPS = 400  # names that are added or dropped after a list has been read
-LEAST = 24  # servers of a subset, where a test needs one that is small beside its fleet
+MAX_STEPS = 400  # names that are added or dropped after a list has been read
+SMALL_SUBSET_SIZE = 24  # servers, for tests that need a subset that is small beside its fleet
 
 
 def random_names(servers, seed):
@@ -32,11 +33,11 @@
     return ranked_by_distance(gateway_subset, names)[: gateway_subset.size(len(names))]
 
 
-def count_sharers(gateways, names, least):
+def count_sharers(gateways, names, min_size):
     """How many gateways work with each server."""
     counts = dict.fromkeys(names, 0)
     for index in range(gateways):
-        for name in subset_names(Subset(gateways, index, least), names):
+        for name in subset_names(Subset(gateways, index, min_size), names):
             counts[name] += 1
     return counts
 
@@ -58,15 +59,15 @@
 
 @given(FLEETS, SEEDS)
 def test_subset_size_is_the_least_that_spreads_a_gateways_attempts_or_all_servers(fleet, seed):
-    gateways, servers, least = fleet
-    gateway_subset = Subset(gateways, seed % gateways, least)
+    gateways, servers, min_size = fleet
+    gateway_subset = Subset(gateways, seed % gateways, min_size)
     size = gateway_subset.size(servers)
     size_to_spread = (
         subset.SERVERS_PER_CONCURRENT_ATTEMPT * subset.INITIAL_CONCURRENCY_PER_SERVER * servers / gateways
     )
-    assert min(servers, least) <= size <= servers
+    assert min(servers, min_size) <= size <= servers
     assert size >= min(servers, size_to_spread)
-    assert size in (servers, least) or size - 1 < size_to_spread
+    assert size in (servers, min_size) or size - 1 < size_to_spread
     assert gateway_subset.gateways_per_server(servers) == pytest.approx(gateways * size / servers)
     if size == servers:
         assert gateway_subset.gateways_per_server(servers) == gateways
@@ -83,11 +84,11 @@
     )  # its even part of these is what a gateway has to spread
 
 
-def check_sharers(gateways, servers, seed, least_of_mean=0.0):
+def check_sharers(gateways, servers, seed, min_share_of_mean=0.0):
     """Check that the number of gateways that work with a server differs little between servers."""
-    counts = count_sharers(gateways, random_names(servers, seed), LEAST)
+    counts = count_sharers(gateways, random_names(servers, seed), SMALL_SUBSET_SIZE)
     mean = sum(counts.values()) / len(counts)
-    assert min(counts.values()) > least_of_mean * mean
+    assert min(counts.values()) > min_share_of_mean * mean
     assert max(counts.values()) <= 1.8 * mean  # drawn at random, some would have two to three times the mean
 
 
@@ -99,7 +100,7 @@
 
 def test_servers_are_shared_evenly_at_a_tenth_of_the_fleet():
     check_sharers(
-        380, 3800, 1, least_of_mean=0.65
+        380, 3800, 1, min_share_of_mean=0.65
     )  # with the same step on both rings some have half of the mean
 
 
@@ -108,7 +109,9 @@
 def test_gateways_that_share_servers_on_one_ring_do_not_on_the_other(gateways, seed):
     """Neighbours that all have too much traffic need a server with less to move it to."""
     names = random_names(gateways, seed)
-    subsets = [set(subset_names(Subset(gateways, index, LEAST), names)) for index in range(gateways)]
+    subsets = [
+        set(subset_names(Subset(gateways, index, SMALL_SUBSET_SIZE), names)) for index in range(gateways)
+    ]
     for one_subset in subsets:
         overlapping = [other for other in subsets if one_subset & other]
         reachable = set().union(*overlapping)
@@ -124,7 +127,7 @@
     removed = data.draw(st.sampled_from(names))
     remaining = [name for name in names if name != removed]
     for index in range(gateways):
-        gateway_subset = Subset(gateways, index, LEAST)
+        gateway_subset = Subset(gateways, index, SMALL_SUBSET_SIZE)
         size = gateway_subset.size(servers)
         ranked = ranked_by_distance(gateway_subset, names)
         before = set(ranked[:size])
@@ -144,14 +147,14 @@
 
 
 @settings(max_examples=100, deadline=None)
-@given(FLEETS, SEEDS, st.integers(0, MOST_STEPS))
+@given(FLEETS, SEEDS, st.integers(0, MAX_STEPS))
 def test_nearest_endpoints_are_the_first_of_the_sorted_complete_list(fleet, seed, steps):
     """In whatever order names are added and dropped; as far as the count of certain ones goes."""
-    gateways, servers, least = fleet
-    gateway_subset = Subset(gateways, seed % gateways, least)
+    gateways, servers, min_size = fleet
+    gateway_subset = Subset(gateways, seed % gateways, min_size)
     drawn = random.Random(seed)
     nearest = NearestEndpoints(gateway_subset)
-    unused = random_names(servers + MOST_STEPS, seed)
+    unused = random_names(servers + MAX_STEPS, seed)
     listed = []
     retained = set()
     for step in range(servers + steps):
@@ -166,7 +169,7 @@
             assert nearest.drop(name) == (name in retained)
             retained -= {name}
         assert len(nearest) <= subset.RETAINED_NAMES_PER_SUBSET_SERVER * gateway_subset.size(
-            servers + MOST_STEPS
+            servers + MAX_STEPS
         )
     ranked = ranked_by_distance(gateway_subset, listed)
     assert set(nearest) == retained
@@ -177,7 +180,7 @@
     assert nearest.farthest == max((gateway_subset.distance(name) for name in retained), default=0.0)
     certain = nearest.certain_count()
     assert list(nearest)[:certain] == ranked[:certain]
-    if steps == 0 and gateway_subset.size(servers) in (least, servers):
+    if steps == 0 and gateway_subset.size(servers) in (min_size, servers):
         assert certain >= gateway_subset.size(servers)
 
 
@@ -254,8 +257,8 @@
 
 @pytest.mark.parametrize("change", ["offer", "drop"])
 def test_change_of_an_endpoint_costs_the_same_at_38000_servers_as_at_600(change):
-    most_calculations = {}
-    most_comparisons = {}
+    max_calculations = {}
+    max_comparisons = {}
     for servers in (600, 38000):
         gateway_subset = CountingSubset(3800, 5)
         nearest = NearestEndpoints(gateway_subset)
@@ -268,6 +271,6 @@
             getattr(nearest, change)(name)
             costs.append((gateway_subset.calculations, gateway_subset.comparisons))
         assert len(nearest) <= subset.RETAINED_NAMES_PER_SUBSET_SERVER * subset.MIN_SUBSET_SIZE
-        most_calculations[servers], most_comparisons[servers] = max(costs)
-    assert most_calculations[38000] == most_calculations[600] == 1
-    assert 0 < most_comparisons[38000] <= 1.5 * most_comparisons[600]
+        max_calculations[servers], max_comparisons[servers] = max(costs)
+    assert max_calculations[38000] == max_calculations[600] == 1
+    assert 0 < max_comparisons[38000] <= 1.5 * max_comparisons[600]
