--- a/quota_gateway/net/clients/arrival.py
+++ b/quota_gateway/net/clients/arrival.py
@@ -9,6 +9,7 @@
 import socket
 import struct
 import time
+from math import inf
 
 from quota_gateway.net.clock import MS_PER_S
 
@@ -52,6 +53,50 @@
     return earliest_s if age_s is None else max(earliest_s, now_s - age_s)
 
 
+class ArrivalTracker:
+    """Tells for how long the bytes read last on one connection have waited to be read.
+
+    Args:
+        waiting_since_s: A time before which the first bytes can't have arrived; infinite for now.
+
+    Attributes:
+        waiting_since_s: The same of what is read next; infinite while nothing waits.
+    """
+
+    __slots__ = ("_last_arrival_s", "_resumed_s", "waiting_since_s")
+
+    def __init__(self, waiting_since_s: float = inf) -> None:
+        self.waiting_since_s = waiting_since_s
+        self._last_arrival_s = 0.0
+        self._resumed_s = inf if waiting_since_s == inf else time.monotonic()
+
+    def on_pause(self) -> None:
+        """Note that nothing is read from now on."""
+        self.waiting_since_s = min(self.waiting_since_s, time.monotonic())
+        self._resumed_s = inf
+
+    def on_resume(self) -> None:
+        """Note that reading has resumed; what is read next may have waited."""
+        self._resumed_s = time.monotonic()
+
+    def on_read(self, sock: socket.socket, stalled_since_s: float) -> None:
+        """Note when the bytes just read arrived: now, or earlier if the connection or the process waited.
+
+        Args:
+            sock: The connection's socket.
+            stalled_since_s: A time before which nothing can have arrived that this process reads now.
+        """
+        now_s = time.monotonic()
+        if now_s - self._resumed_s > BACKLOG_READ_S:
+            self.waiting_since_s = inf
+            self._resumed_s = inf
+        self._last_arrival_s = arrival_s(sock, min(self.waiting_since_s, stalled_since_s))
+
+    def waited_s(self) -> float:
+        """Return for how long the bytes read last have waited since they arrived."""
+        return time.monotonic() - self._last_arrival_s
+
+
 class StallDetector:
     """Detects that the process was held up, by a periodic call that comes late.
 
--- a/quota_gateway/net/clients/command_intake.py
+++ b/quota_gateway/net/clients/command_intake.py
@@ -2,31 +2,23 @@
 
 from __future__ import annotations
 
-import asyncio
 import logging
-import socket
-import time
-from collections import deque
 from math import inf
-from typing import NamedTuple, Protocol
+from typing import TYPE_CHECKING, NamedTuple
 
 from quota_gateway.errors import CommandError, ProtocolError
 from quota_gateway.net.active_request import ActiveRequest
 from quota_gateway.net.client_replies import BUSY_REPLY, encode_error
-from quota_gateway.net.clients.arrival import BACKLOG_READ_S, NEGLIGIBLE_WAIT_S, StallDetector, arrival_s
-from quota_gateway.net.clients.commands import CALL_GET, CALL_POST, PING, RequestParser
-from quota_gateway.net.clients.idle_connections import IdleConnections, TrackedConnection
-from quota_gateway.net.clients.pending_reply import (
-    PendingReply,
-    ReplyConnection,
-    ReplyLifecycle,
-    ReplyOrder,
-)
-from quota_gateway.net.clients.request_handler import RequestHandler
+from quota_gateway.net.clients.arrival import NEGLIGIBLE_WAIT_S, ArrivalTracker
+from quota_gateway.net.clients.commands import CALL_GET, CALL_POST, PING
+from quota_gateway.net.clients.pending_reply import PendingReply
 from quota_gateway.net.clock import MS_PER_S
 from quota_gateway.net.resp import CommandReader
 from quota_gateway.telemetry import Metric
 
+if TYPE_CHECKING:
+    from quota_gateway.net.clients.protocols import CommandConnection, IntakeServices
+
 log = logging.getLogger(__name__)
 
 # Bounds of one connection; what comes beyond the first two waits in the kernel.
@@ -37,70 +29,6 @@
 BODY_GAP_TIMEOUT_S = 1.0  # between two pieces of a body that comes after the command read timeout
 
 
-class IntakeServices(Protocol):
-    """What the listener gives to the intake of each connection."""
-
-    driver: RequestHandler
-    request_parser: RequestParser
-    idle_connections: IdleConnections
-    loop: asyncio.AbstractEventLoop
-    stalls: StallDetector
-
-    @property
-    def is_suspended(self) -> bool:
-        """Whether another process takes over, so that nothing is read here."""
-
-    def ping_reply(self) -> bytes:
-        """Return the reply to PING."""
-
-
-class IntakeReplies(ReplyOrder, Protocol):
-    """What the intake needs of the replies of its connection."""
-
-    pending: deque[PendingReply]
-    is_blocked: bool
-
-    def add(self, reply: PendingReply) -> None:
-        """Add the reply to the next command."""
-
-    def is_streaming(self) -> bool:
-        """Whether a large value is partly written and not yet complete."""
-
-
-class IntakeLifecycle(ReplyLifecycle, Protocol):
-    """What the intake needs of the lifecycle of its connection."""
-
-    def reject(self) -> None:
-        """Take no more commands, and linger before the close."""
-
-
-class CommandConnection(ReplyConnection, TrackedConnection, Protocol):
-    """What the intake needs of its connection."""
-
-    socket: socket.socket
-
-    @property
-    def transport(self) -> asyncio.Transport | None:
-        """The transport, while there is one."""
-
-    @property
-    def replies(self) -> IntakeReplies:
-        """The replies of the connection."""
-
-    @property
-    def lifecycle(self) -> IntakeLifecycle:
-        """The end of the connection."""
-
-    def reply_now(self, reply: bytes) -> None:
-        """Add the reply to a command that needs no upstream server."""
-
-    def wants_reply(self) -> bool:
-        """Whether the client is still connected."""
-
-    def close_if_done(self) -> None:
-        """Close between requests if the connection is to end."""
-
-
 class TakenCommands(NamedTuple):
     """How many commands were taken at once, and whether an incomplete one is left."""
 
@@ -118,16 +46,14 @@
     __slots__ = (
         "_consecutive_errors",
         "_is_reading",
-        "_resumed_s",
         "_services",
+        "arrivals",
         "has_sent_command",
         "is_read_paused",
         "is_read_scheduled",
-        "last_arrival_s",
         "last_received_s",
         "reader",
         "request_count",
-        "waiting_since_s",
     )
 
     def __init__(
@@ -144,9 +70,7 @@
         self.last_received_s = services.loop.time()
         self.is_read_paused = False
         self.is_read_scheduled = False  # more commands are read after other connections
-        self.waiting_since_s = waiting_since_s  # monotonic; what is read next may have come since then
-        self.last_arrival_s = 0.0  # monotonic; of what was read last
-        self._resumed_s = inf if waiting_since_s == inf else time.monotonic()
+        self.arrivals = ArrivalTracker(waiting_since_s)
         self._is_reading = False
         self._consecutive_errors = 0
 
@@ -154,19 +78,10 @@
         """Take in bytes and read the commands that they complete."""
         self.reader.receive_data(data)
         self.last_received_s = self._services.loop.time()
-        self._note_arrival(connection)
+        self.arrivals.on_read(connection.socket, self._services.stalls.earliest_s())
         connection.buffers.count(len(data), is_pending=False)
         self.read_commands(connection)
 
-    def _note_arrival(self, connection: CommandConnection) -> None:
-        """Note when the bytes just read came: now, or earlier if the connection or the process waited."""
-        now_s = time.monotonic()
-        if now_s - self._resumed_s > BACKLOG_READ_S:
-            self.waiting_since_s = inf
-            self._resumed_s = inf
-        earliest_s = min(self.waiting_since_s, self._services.stalls.earliest_s())
-        self.last_arrival_s = arrival_s(connection.socket, earliest_s)
-
     def read_commands(self, connection: CommandConnection) -> None:
         """Read commands up to the bounds of the connection, and close it if it is to end."""
         self._is_reading = True
@@ -242,11 +157,10 @@
             return
         self.is_read_paused = must_pause
         if must_pause:
-            self.waiting_since_s = min(self.waiting_since_s, time.monotonic())
-            self._resumed_s = inf
+            self.arrivals.on_pause()
             transport.pause_reading()
         else:
-            self._resumed_s = time.monotonic()
+            self.arrivals.on_resume()
             transport.resume_reading()
 
     def _dispatch(self, connection: CommandConnection, command: list[bytes], size_bytes: int) -> None:
@@ -289,7 +203,7 @@
 
     def _waited_ms(self) -> float:
         """Return for how long the command has waited to be read."""
-        waited_s = time.monotonic() - self.last_arrival_s
+        waited_s = self.arrivals.waited_s()
         if waited_s > NEGLIGIBLE_WAIT_S:
             self._services.driver.telemetry.metrics.count(Metric.LATE_COMMANDS, "waited to be read")
         return waited_s * MS_PER_S
--- a/quota_gateway/net/clients/connection.py
+++ b/quota_gateway/net/clients/connection.py
@@ -6,11 +6,11 @@
 import os
 import socket
 from collections import deque
-from typing import Protocol, cast
+from typing import TYPE_CHECKING, cast
 
 from quota_gateway.net.client_replies import FAILED_REPLY
-from quota_gateway.net.clients.buffer_budget import BufferBudget, BufferUsage
-from quota_gateway.net.clients.command_intake import CommandIntake, IntakeServices
+from quota_gateway.net.clients.buffer_budget import BufferUsage
+from quota_gateway.net.clients.command_intake import CommandIntake
 from quota_gateway.net.clients.connection_lifecycle import ConnectionLifecycle
 from quota_gateway.net.clients.connection_state import CloseReason, ConnectionState
 from quota_gateway.net.clients.pending_reply import PendingReply
@@ -22,23 +22,13 @@
 )
 from quota_gateway.net.clients.socket_state import has_hung_up, has_unread_bytes
 
+if TYPE_CHECKING:
+    from quota_gateway.net.clients.protocols import ConnectionOwner
+
 LINGER_S = 0.3  # before a rejected connection closes: a reset sooner could overtake the error line
 WRITE_STALL_TIMEOUT_S = 15.0  # without any progress of a client that does not read its replies
 
 
-class ConnectionOwner(IntakeServices, Protocol):
-    """What a connection needs of the listener that accepted it."""
-
-    budget: BufferBudget
-    is_stopping: bool
-
-    def connection_opened(self, connection: ClientConnection, command_due_for_s: float) -> None:
-        """Add a connection that the event loop serves now."""
-
-    def connection_closed(self, connection: ClientConnection) -> None:
-        """Remove a connection; its descriptor is free."""
-
-
 class ClientConnection(asyncio.Protocol):
     """One client's connection, from the event loop's first call until the loop has closed it."""
 
@@ -257,7 +247,7 @@
             command_due_for_s=self._owner.idle_connections.command_due_for_s(self),
             partial_command=bytes(self.intake.reader.buffer),
             silent_s=self._owner.loop.time() - self.intake.last_received_s,
-            waiting_since_s=self.intake.waiting_since_s,
+            waiting_since_s=self.intake.arrivals.waiting_since_s,
         )
         self.abort(CloseReason.HANDED_OVER)
         return ReleasedConnection(descriptor, resumed)
--- a/quota_gateway/net/clients/connection_admission.py
+++ b/quota_gateway/net/clients/connection_admission.py
@@ -6,14 +6,18 @@
 import logging
 import socket
 import time
+from typing import TYPE_CHECKING
 
 from quota_gateway.net.acceptor import Acceptor, AcceptorOwner
 from quota_gateway.net.clients.arrival import arrival_s
-from quota_gateway.net.clients.connection import ClientConnection, ConnectionOwner
+from quota_gateway.net.clients.connection import ClientConnection
 from quota_gateway.net.clients.resumed_connection import ResumedConnection
 from quota_gateway.net.transient_errors import errno_name
 from quota_gateway.telemetry import Metric
 
+if TYPE_CHECKING:
+    from quota_gateway.net.clients.protocols import ConnectionOwner
+
 log = logging.getLogger(__name__)
 
 
--- a/quota_gateway/net/clients/connection_sweeper.py
+++ b/quota_gateway/net/clients/connection_sweeper.py
@@ -3,24 +3,12 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Iterable
-from typing import Protocol
+from typing import TYPE_CHECKING
 
-from quota_gateway.net.clients.arrival import StallDetector
-from quota_gateway.net.clients.connection import ClientConnection
 from quota_gateway.net.clients.connection_admission import ConnectionAdmission
-from quota_gateway.net.clients.idle_connections import IdleConnections
 
-
-class SweptListener(Protocol):
-    """What the sweeper needs of the listener."""
-
-    idle_connections: IdleConnections
-    stalls: StallDetector
-
-    @property
-    def connections(self) -> Iterable[ClientConnection]:
-        """The connections that the event loop serves."""
+if TYPE_CHECKING:
+    from quota_gateway.net.clients.protocols import SweptListener
 
 
 class ConnectionSweeper:
--- a/quota_gateway/net/clients/idle_connections.py
+++ b/quota_gateway/net/clients/idle_connections.py
@@ -4,9 +4,11 @@
 
 import asyncio
 from collections import OrderedDict
-from collections.abc import Sized
 from itertools import islice
-from typing import Protocol
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from quota_gateway.net.clients.protocols import TrackedConnection
 
 COMMAND_READ_TIMEOUT_S = 2.7  # from connecting, or from the first byte of a command; the protocol has 3 s
 # How long a connection is spared from eviction:
@@ -16,42 +18,6 @@
 MAX_EVICTIONS_PER_CALL = 16
 
 
-class CommandProgress(Protocol):
-    """What has come on a connection so far; ``last_received_s`` is by the event loop's clock."""
-
-    has_sent_command: bool
-    last_received_s: float
-    request_count: int
-
-    def has_partial_command(self) -> bool:
-        """Whether bytes have come that were not taken as a command."""
-
-    def is_receiving_body(self) -> bool:
-        """Whether only the rest of a command's body is missing, and that is still coming."""
-
-
-class TrackedConnection(Protocol):
-    """What the tracking needs of a connection."""
-
-    @property
-    def is_closing(self) -> bool:
-        """Whether no more commands are taken."""
-
-    @property
-    def intake(self) -> CommandProgress:
-        """What has come on the connection."""
-
-    @property
-    def pending_replies(self) -> Sized:
-        """The replies that are not written yet."""
-
-    def time_out(self) -> None:
-        """End the connection after its command read timeout."""
-
-    def evict(self) -> bool:
-        """Close the connection unless a reply is pending or a command unread; whether it was closed."""
-
-
 class IdleConnections:
     """Tracks what each connection waits for; each is in one of these states, or in none while it is busy.
 
--- a/quota_gateway/net/clients/listener.py
+++ b/quota_gateway/net/clients/listener.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import socket
+from typing import TYPE_CHECKING
 
 from quota_gateway import model as api
 from quota_gateway.net.client_replies import LOADING_REPLY, PONG_REPLY
@@ -14,9 +15,11 @@
 from quota_gateway.net.clients.connection_admission import ConnectionAdmission
 from quota_gateway.net.clients.connection_sweeper import ConnectionSweeper
 from quota_gateway.net.clients.idle_connections import IdleConnections
-from quota_gateway.net.clients.request_handler import RequestHandler
 from quota_gateway.net.clients.resumed_connection import ResumedConnection
 
+if TYPE_CHECKING:
+    from quota_gateway.net.clients.protocols import RequestHandler
+
 __all__ = ["ClientConnection", "ClientListener", "ResumedConnection"]
 
 SWEEP_INTERVAL_S = 0.1  # short against the shortest timeout that the sweep enforces
--- a/quota_gateway/net/clients/pending_reply.py
+++ b/quota_gateway/net/clients/pending_reply.py
@@ -3,45 +3,14 @@
 from __future__ import annotations
 
 from collections import deque
-from typing import Protocol
+from typing import TYPE_CHECKING
 
 from quota_gateway.net.client_replies import FAILED_REPLY, encode_value_header
-from quota_gateway.net.clients.buffer_budget import BufferUsage
 from quota_gateway.net.clients.connection_state import CloseReason
 from quota_gateway.net.upstream.attempt import Attempt
 
-
-class ReplyOrder(Protocol):
-    """The replies of one connection."""
-
-    def is_first(self, reply: PendingReply) -> bool:
-        """Whether all replies before this one have been written."""
-
-
-class ReplyLifecycle(Protocol):
-    """The end of a connection."""
-
-    def close(self, reason: CloseReason) -> None:
-        """Close the connection; what was written still goes out."""
-
-
-class ReplyConnection(Protocol):
-    """What a pending reply needs of its connection."""
-
-    @property
-    def buffers(self) -> BufferUsage:
-        """The bytes that are buffered for the connection."""
-
-    @property
-    def replies(self) -> ReplyOrder:
-        """The replies of the connection."""
-
-    @property
-    def lifecycle(self) -> ReplyLifecycle:
-        """The end of the connection."""
-
-    def flush(self) -> None:
-        """Write the replies that are due."""
+if TYPE_CHECKING:
+    from quota_gateway.net.clients.protocols import ReplyConnection
 
 
 class PendingReply:
--- a/quota_gateway/net/clients/reply_writer.py
+++ b/quota_gateway/net/clients/reply_writer.py
@@ -4,17 +4,13 @@
 
 import asyncio
 from collections import deque
-from typing import Protocol
+from typing import TYPE_CHECKING
 
 from quota_gateway.net.clients.buffer_budget import BufferUsage
 from quota_gateway.net.clients.pending_reply import PendingReply
 
-
-class CommandBuffer(Protocol):
-    """What the writer needs of the connection's command intake."""
-
-    def has_partial_command(self) -> bool:
-        """Whether bytes have come that were not taken as a command."""
+if TYPE_CHECKING:
+    from quota_gateway.net.clients.protocols import CommandBuffer
 
 
 class ReplyWriter:
--- a/tests/net/clients/test_arrival.py
+++ b/tests/net/clients/test_arrival.py
@@ -6,7 +6,7 @@
 import pytest
 
 from quota_gateway.net import acceptor
-from quota_gateway.net.clients import arrival, command_intake
+from quota_gateway.net.clients import arrival
 from quota_gateway.net.clients.arrival import StallDetector, arrival_s, seconds_since_data
 from quota_gateway.net.clients.command_intake import MAX_PIPELINED_COMMANDS
 from tests.support.fake_upstream import FakeUpstream
@@ -33,7 +33,7 @@
 def clock(monkeypatch):
     """The clock by which waits are measured; the deadlines of requests go by another one."""
     settable = SettableTime()
-    for module in (acceptor, arrival, command_intake):
+    for module in (acceptor, arrival):
         monkeypatch.setattr(module, "time", settable)
     return settable
 
