--- a/tests/model/test_snapshot.py
+++ b/tests/model/test_snapshot.py
@@ -83,7 +83,7 @@
     customer = state.customers["ceiling", "c-2"]
     assert (customer.peer_in_flight, customer.in_flight) == (2, 0)
     assert (customer.usage, customer.usage_at_ms, customer.contended_until_ms) == (0.12, 4060.0, 5060.0)
-    assert (customer.offered, customer.offered_at_ms) == (1.0, 4060.0)
+    assert (customer.recent_demand, customer.recent_demand_at_ms) == (1.0, 4060.0)
     assert (customer.ceiling_level, customer.ceiling_at_ms) == (9.0, 4060.0)
     assert (customer.largest_units, customer.gateway_set_size) == (1, 2)
     assert state.endpoints[2] == EndpointRecord(4700.0, 1.0, Moment(-inf, 0), {})
