--- a/quota_gateway/net/admin/calls.py
+++ b/quota_gateway/net/admin/calls.py
@@ -4,7 +4,7 @@
 
 import logging
 from collections.abc import Awaitable, Callable
-from http import HTTPStatus
+from enum import Enum
 from typing import NamedTuple
 
 from quota_gateway.telemetry import Metrics
@@ -18,13 +18,22 @@
 ATTACH_TARGET = b"/_servers/attach"
 METRICS_TARGET = b"/_metrics"
 
-# RFC 9110's phrase: the standard library of Python 3.11 still has the older one
-REASON_PHRASES = {HTTPStatus.REQUEST_ENTITY_TOO_LARGE: "Content Too Large"}
-
 SetDetached = Callable[[str, bool], Awaitable[bool]]
 """Detaches (True) or attaches (False) the server of this name; returns whether it is known."""
 
 
+class AdminStatus(Enum):
+    """A status of HTTP: its code and its phrase by RFC 9110. The standard library's are slow to import."""
+
+    OK = (200, "OK")
+    BAD_REQUEST = (400, "Bad Request")
+    NOT_FOUND = (404, "Not Found")
+    METHOD_NOT_ALLOWED = (405, "Method Not Allowed")
+    CONTENT_TOO_LARGE = (413, "Content Too Large")
+    INTERNAL_SERVER_ERROR = (500, "Internal Server Error")
+    SERVICE_UNAVAILABLE = (503, "Service Unavailable")
+
+
 class AdminResponse(NamedTuple):
     """The response to one call.
 
@@ -33,16 +42,16 @@
         text: One line for a person, or the metrics for a scraper.
     """
 
-    status: HTTPStatus
+    status: AdminStatus
     text: str
 
     def encode(self) -> bytes:
         """Return the response as bytes of HTTP."""
         body = f"{self.text}\n".encode()
-        phrase = REASON_PHRASES.get(self.status, self.status.phrase)
+        code, phrase = self.status.value
         return (
             b"HTTP/1.1 %d %b\r\nContent-Type: text/plain; charset=utf-8\r\nContent-Length: %d\r\n"
-            b"Connection: close\r\n\r\n%b" % (self.status, phrase.encode(), len(body), body)
+            b"Connection: close\r\n\r\n%b" % (code, phrase.encode(), len(body), body)
         )
 
 
@@ -75,31 +84,31 @@
         if path == METRICS_TARGET:
             return self._render_metrics(method)
         if path not in (DETACH_TARGET, ATTACH_TARGET):
-            return AdminResponse(HTTPStatus.NOT_FOUND, "no such call")
+            return AdminResponse(AdminStatus.NOT_FOUND, "no such call")
         if method != b"POST":
-            return AdminResponse(HTTPStatus.METHOD_NOT_ALLOWED, "POST only")
+            return AdminResponse(AdminStatus.METHOD_NOT_ALLOWED, "POST only")
         name = _server_name(body)
         if name is None:
-            return AdminResponse(HTTPStatus.BAD_REQUEST, "the body is no id")
+            return AdminResponse(AdminStatus.BAD_REQUEST, "the body is no id")
         return await self._detach_or_attach(name, detached=path == DETACH_TARGET)
 
     def _readiness(self, method: bytes) -> AdminResponse:
         if method != b"GET":
-            return AdminResponse(HTTPStatus.METHOD_NOT_ALLOWED, "GET only")
+            return AdminResponse(AdminStatus.METHOD_NOT_ALLOWED, "GET only")
         if self.is_ready():
-            return AdminResponse(HTTPStatus.OK, "ready")
-        return AdminResponse(HTTPStatus.SERVICE_UNAVAILABLE, "not ready")
+            return AdminResponse(AdminStatus.OK, "ready")
+        return AdminResponse(AdminStatus.SERVICE_UNAVAILABLE, "not ready")
 
     def _render_metrics(self, method: bytes) -> AdminResponse:
         if method != b"GET":
-            return AdminResponse(HTTPStatus.METHOD_NOT_ALLOWED, "GET only")
-        return AdminResponse(HTTPStatus.OK, self.metrics.render())
+            return AdminResponse(AdminStatus.METHOD_NOT_ALLOWED, "GET only")
+        return AdminResponse(AdminStatus.OK, self.metrics.render())
 
     async def _detach_or_attach(self, name: str, detached: bool) -> AdminResponse:
         if not await self.set_detached(name, detached):
-            return AdminResponse(HTTPStatus.NOT_FOUND, "no such server")
+            return AdminResponse(AdminStatus.NOT_FOUND, "no such server")
         log.info("admin call carried out operation=%s server=%s", "detach" if detached else "attach", name)
-        return AdminResponse(HTTPStatus.OK, f"{name} is {'detached' if detached else 'attached'}")
+        return AdminResponse(AdminStatus.OK, f"{name} is {'detached' if detached else 'attached'}")
 
 
 def _server_name(body: bytes) -> str | None:
--- a/quota_gateway/net/admin/connection.py
+++ b/quota_gateway/net/admin/connection.py
@@ -4,12 +4,11 @@
 
 import asyncio
 import logging
-from http import HTTPStatus
 from typing import Protocol, cast
 
 import httptools
 
-from quota_gateway.net.admin.calls import AdminCalls, AdminResponse
+from quota_gateway.net.admin.calls import AdminCalls, AdminResponse, AdminStatus
 
 log = logging.getLogger(__name__)
 
@@ -58,12 +57,12 @@
             return
         self.received_bytes += len(data)
         if self.received_bytes > MAX_REQUEST_BYTES:
-            self.answer(AdminResponse(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the call is too long"))
+            self.answer(AdminResponse(AdminStatus.CONTENT_TOO_LARGE, "the call is too long"))
             return
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self.answer(AdminResponse(HTTPStatus.BAD_REQUEST, "not a call"))
+            self.answer(AdminResponse(AdminStatus.BAD_REQUEST, "not a call"))
 
     # ---- Events of the parser
 
@@ -89,7 +88,7 @@
             response = await self.calls.carry_out(method, path, self.body)
         except Exception:  # an operator gets a response whatever goes wrong
             log.exception("admin call failed")
-            response = AdminResponse(HTTPStatus.INTERNAL_SERVER_ERROR, "failed")
+            response = AdminResponse(AdminStatus.INTERNAL_SERVER_ERROR, "failed")
         self.answer(response)
 
     def answer(self, response: AdminResponse) -> None:
--- a/quota_gateway/net/upstream/attempt.py
+++ b/quota_gateway/net/upstream/attempt.py
@@ -3,16 +3,14 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
 from quota_gateway.model import AttemptStatus
 
 BodyConsumer = Callable[[bytes], None]  # takes the bytes of a large value, piece by piece
 
 
-@dataclass(slots=True)
-class UpstreamReply:
+class UpstreamReply(NamedTuple):
     """The outcome of an attempt.
 
     Attributes:
--- a/quota_gateway/net/upstream/reply_parser.py
+++ b/quota_gateway/net/upstream/reply_parser.py
@@ -1,4 +1,4 @@
-"""Meaning of a server's reply: status, value, figures on use and load reports."""
+"""The meaning of a server's reply: status, value, usage figures and load reports."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 log = logging.getLogger(__name__)
 
-MAX_USAGE_PERCENT = 100_000.0  # of a quota: a thousand times the quota is no real use
-MAX_LOAD_FIGURE = 1_000_000.0  # of any figure in a load report, whatever its unit: no server is that loaded
-MAX_UNITS_FACTOR = 10.0  # final units of a request over the largest guess: a guess is not that far out
+MAX_USAGE_PERCENT = 100_000.0  # of a quota; a higher figure is impossible
+MAX_LOAD_FIGURE = 1_000_000.0  # of any figure in a load report, whatever its unit
+MAX_UNITS_PER_GUESSED_UNIT = 10.0  # final units of a request, over the largest guess
 FIGURE_PATTERN = re.compile(r"[a-z_0-9]{1,20}=[0-9]{1,9}(\.[0-9]{1,20})?")
 
 ERROR_WORDS = frozenset({"ERR", "BUSY", "NOPERM", "SYNTAX"})  # first words of the protocol's error lines
@@ -25,7 +25,7 @@
 
 
 def _parse_figures(text: str) -> dict[str, float]:
-    """Parse ``a=1,b=2`` into numbers; empty if any part is of another form, negative or no number."""
+    """Parse ``a=1,b=2`` into numbers; return none if any part is of another form, negative or no number."""
     parts = text.split(",")
     if not all(FIGURE_PATTERN.fullmatch(part) for part in parts):
         return {}
@@ -45,7 +45,7 @@
 
     def __init__(self, load_report_fields: tuple[str, ...], max_request_units: float) -> None:
         self.load_report_fields = load_report_fields
-        self.max_final_units = MAX_UNITS_FACTOR * max_request_units
+        self.max_final_units = MAX_UNITS_PER_GUESSED_UNIT * max_request_units
 
     def parse(self, answer: RawReply) -> UpstreamReply:
         """Return what an answer means by the protocol's table.
@@ -56,11 +56,8 @@
         if isinstance(answer, str):
             return self._parse_error(answer)
         value, *reports = answer
-        reply = UpstreamReply(AttemptStatus.OK, value)
-        for report in reports:
-            if report is not None:
-                self._add_figures(reply, report.decode("latin-1"))
-        return reply
+        texts = [report.decode("latin-1") for report in reports if report is not None]
+        return self._make_reply(AttemptStatus.OK, value, texts)
 
     def _parse_error(self, line: str) -> UpstreamReply:
         word, *reports = line.split(" ")
@@ -69,19 +66,26 @@
         if word == SYNTAX_WORD:
             log.error("upstream rejected command syntax reply=%.200s", line)
         overloaded = word == OVERLOADED_WORD
-        reply = UpstreamReply(AttemptStatus.OVERLOADED if overloaded else AttemptStatus.ERROR)
+        return self._make_reply(
+            AttemptStatus.OVERLOADED if overloaded else AttemptStatus.ERROR, None, reports
+        )
+
+    def _make_reply(self, status: AttemptStatus, value: bytes | None, reports: list[str]) -> UpstreamReply:
+        usage_percent = final_units = load = None
         for report in reports:
-            self._add_figures(reply, report)
-        return reply
-
-    def _add_figures(self, reply: UpstreamReply, text: str) -> None:
-        figures = _parse_figures(text)
-        if figures.get("used", inf) <= MAX_USAGE_PERCENT:
-            reply.usage_percent = figures["used"]
-        if figures.get("cost", inf) <= self.max_final_units:
-            reply.final_units = figures["cost"]
+            figures = _parse_figures(report)
+            if figures.get("used", inf) <= MAX_USAGE_PERCENT:
+                usage_percent = figures["used"]
+            if figures.get("cost", inf) <= self.max_final_units:
+                final_units = figures["cost"]
+            load = self._load_report(figures) or load
+        return UpstreamReply(status, value, usage_percent, final_units, load)
+
+    def _load_report(self, figures: dict[str, float]) -> tuple[float, ...] | None:
+        """Return a figure for each of the fields wanted, None if one of them is missing or impossible."""
         load = {
             REPORT_FIELD.get(name, name): value for name, value in figures.items() if value <= MAX_LOAD_FIGURE
         }
         if self.load_report_fields and all(name in load for name in self.load_report_fields):
-            reply.load = tuple(load[name] for name in self.load_report_fields)
+            return tuple(load[name] for name in self.load_report_fields)
+        return None
--- a/tests/net/admin/test_detachments.py
+++ b/tests/net/admin/test_detachments.py
@@ -3,7 +3,6 @@
 import asyncio
 import logging
 from contextlib import asynccontextmanager
-from http import HTTPStatus
 
 import pytest
 
@@ -11,7 +10,7 @@
 from quota_gateway.net.admin import calls as admin_calls
 from quota_gateway.net.admin import connection as admin_connection
 from quota_gateway.net.admin import server as admin
-from quota_gateway.net.admin.calls import AdminResponse
+from quota_gateway.net.admin.calls import AdminResponse, AdminStatus
 from quota_gateway.net.admin.server import AdminServer
 from quota_gateway.net.discovery.client import EndpointRegistry
 from quota_gateway.net.upstream.pool import Attempt, UpstreamReply
@@ -254,7 +253,7 @@
 
 
 def test_response_of_a_gateway_that_is_not_ready():
-    response = AdminResponse(HTTPStatus.SERVICE_UNAVAILABLE, "not ready").encode()
+    response = AdminResponse(AdminStatus.SERVICE_UNAVAILABLE, "not ready").encode()
     assert response.startswith(b"HTTP/1.1 503 Service Unavailable\r\n")
     assert response.endswith(b"Content-Length: 10\r\nConnection: close\r\n\r\nnot ready\n")
 
