--- a/quota_gateway/net/upstream/connection.py
+++ b/quota_gateway/net/upstream/connection.py
@@ -84,7 +84,7 @@
 
     def _enter(self, state: ConnectionState) -> None:
         """Change the state; a closed connection stays closed."""
-        if not self.closed:
+        if self.state is not ConnectionState.CLOSED:
             self.state = state
 
     # ---- Connecting
--- a/quota_gateway/net/upstream/reply_receiver.py
+++ b/quota_gateway/net/upstream/reply_receiver.py
@@ -90,5 +90,6 @@
         self._change_buffered(-self._buffered_bytes)
 
     def _change_buffered(self, change_bytes: int) -> None:
-        self._buffered_bytes += change_bytes
-        self._count_buffered(change_bytes)
+        if change_bytes:
+            self._buffered_bytes += change_bytes
+            self._count_buffered(change_bytes)
