--- a/quota_gateway/model/timers.py
+++ b/quota_gateway/model/timers.py
@@ -2,54 +2,50 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from quota_gateway.model.actions import SetTimer
 from quota_gateway.model.events import TimerFired
 from quota_gateway.model.pending_request import PendingRequest
 
 
-@dataclass(slots=True, eq=False)
-class WaitOver:
+class WaitOver(NamedTuple):
     """A request has waited out its delay, or the time that a limit named: it may be scheduled again."""
 
     pending: PendingRequest
 
 
-@dataclass(slots=True, eq=False)
-class QueueTimeout:
+class QueueTimeout(NamedTuple):
     """A queued request can no longer be answered within its latency objective."""
 
     pending: PendingRequest
 
 
-@dataclass(slots=True, eq=False)
-class AttemptSlow:
+class AttemptSlow(NamedTuple):
     """An attempt has been in flight for as long as a slow response takes."""
 
     pending: PendingRequest
     attempt: int
 
 
-@dataclass(slots=True, eq=False)
-class AttemptLate:
+class AttemptLate(NamedTuple):
     """An attempt has been in flight for as long as the latency objective."""
 
     pending: PendingRequest
     attempt: int
 
 
-@dataclass(slots=True, eq=False)
-class DeadlineReached:
+class DeadlineReached(NamedTuple):
     """The final answer of a request is due."""
 
     pending: PendingRequest
 
 
-@dataclass(slots=True, eq=False)
 class PollDue:
     """Discovery is to be asked for endpoint updates."""
 
+    __slots__ = ()
+
 
 RequestTimer = WaitOver | QueueTimeout | AttemptSlow | AttemptLate | DeadlineReached
 Timer = RequestTimer | PollDue
--- a/quota_gateway/policy/admission.py
+++ b/quota_gateway/policy/admission.py
@@ -1,6 +1,6 @@
 """Admission: whether a request that arrives is admitted, delayed or rejected: docs/decisions/admission.md."""
 
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from quota_gateway.model.actions import AnswerReason
 from quota_gateway.model.customer_state import CustomerState
@@ -11,16 +11,14 @@
 from quota_gateway.policy.mechanisms import Mechanisms
 
 
-@dataclass(frozen=True, slots=True)
-class Admitted:
+class Admitted(NamedTuple):
     """The request goes on to scheduling, after ``delay_ms`` where it is above 0."""
 
     pending: PendingRequest
     delay_ms: float
 
 
-@dataclass(frozen=True, slots=True)
-class Rejected:
+class Rejected(NamedTuple):
     """The request is rejected; ``retry_after_ms`` says when it would be admitted, None gives no advice."""
 
     reason: AnswerReason
--- a/quota_gateway/policy/give_up.py
+++ b/quota_gateway/policy/give_up.py
@@ -1,21 +1,19 @@
 """Giving up: when a request that was admitted is answered without being served: docs/decisions/engine.md."""
 
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from quota_gateway.model.actions import AnswerReason
 from quota_gateway.model.pending_request import PendingRequest, RunningAttempt
 from quota_gateway.policy.mechanisms import Mechanisms
 
 
-@dataclass(frozen=True, slots=True)
-class GiveUp:
+class GiveUp(NamedTuple):
     """The request is answered now, by a rejection or a failure."""
 
     reason: AnswerReason
 
 
-@dataclass(frozen=True, slots=True)
-class Shed:
+class Shed(NamedTuple):
     """A queued request is answered to keep the queue within its bound."""
 
     pending: PendingRequest
--- a/quota_gateway/policy/retries.py
+++ b/quota_gateway/policy/retries.py
@@ -1,7 +1,7 @@
 """Retries: what follows a failed attempt, and one that is slow: docs/decisions/retries.md."""
 
-from dataclasses import dataclass
 from enum import Enum, auto
+from typing import NamedTuple
 
 from quota_gateway.model.actions import AnswerReason
 from quota_gateway.model.endpoint_state import EndpointState
@@ -14,16 +14,14 @@
 NEVER_EXECUTED = (AttemptStatus.OVERLOADED, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT)
 
 
-@dataclass(frozen=True, slots=True)
-class Retry:
+class Retry(NamedTuple):
     """Another attempt starts; it is charged to the retry budget unless it is free."""
 
     endpoint: EndpointState
     is_free: bool
 
 
-@dataclass(frozen=True, slots=True)
-class Hedge:
+class Hedge(NamedTuple):
     """A second attempt starts at this endpoint beside the slow one."""
 
     endpoint: EndpointState
--- a/quota_gateway/policy/scheduling.py
+++ b/quota_gateway/policy/scheduling.py
@@ -3,7 +3,7 @@
 See docs/decisions/scheduling.md.
 """
 
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from quota_gateway.model.actions import AnswerReason
 from quota_gateway.model.endpoint_state import EndpointState
@@ -12,15 +12,13 @@
 from quota_gateway.policy.mechanisms import Mechanisms
 
 
-@dataclass(frozen=True, slots=True)
-class StartNow:
+class StartNow(NamedTuple):
     """An attempt starts at this endpoint."""
 
     endpoint: EndpointState
 
 
-@dataclass(frozen=True, slots=True)
-class Wait:
+class Wait(NamedTuple):
     """The request is queued, for ``min_wait_ms`` at least where a limit names a time."""
 
     min_wait_ms: float | None = None
