--- a/quota_gateway/model/actions.py
+++ b/quota_gateway/model/actions.py
@@ -16,13 +16,13 @@
 class AnswerReason(Enum):
     """Why the engine gave a final answer that serves nothing; for metrics and logs alone.
 
-    The values are the labels that `_metrics` counts by; they stay, as dashboards name them. Which function
-    gives out each reason stands in docs/decisions/README.md.
+    The values are labels in `_metrics`, which dashboards name, so they never change. The table in
+    docs/decisions/README.md names the function that gives each reason.
     """
 
     UNSPECIFIED = "unspecified"
     UNKNOWN_CLASS_OR_PLAN = "unknown_class_or_plan"
-    RETRY_BELOW_ONE_REQUEST = "thin_retry"
+    RETRY_BELOW_ONE_REQUEST = "thin_retry"  # a marked retry, where the quota share is below one request
     UNKNOWN_CUSTOMER = "unknown_customer"
     OVER_QUOTA = "over_quota"
     NO_SLOT_IN_TIME = "no_place_in_time"
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final answer: nothing was done, a retry is harmless; not before ``retry_after_ms`` if above 0."""
+    """Final answer: not served; the client may safely send it again, after ``retry_after_ms`` if above 0."""
 
     request_id: str
     retry_after_ms: float = 0.0
--- a/quota_gateway/net/request_answers.py
+++ b/quota_gateway/net/request_answers.py
@@ -25,9 +25,10 @@
         self._telemetry = telemetry
 
     def reject(self, action: Reject) -> None:
-        """Tell the client that nothing was done, and after how many milliseconds it may retry.
+        """Tell the client that it may safely send the request again, and after how many milliseconds.
 
-        Becomes a failure where the guard has seen an attempt that may have run.
+        The reply is a failure where the guard does not allow a rejection; the answer is counted as
+        rejected all the same.
         """
         reply = encode_busy(action.retry_after_ms)
         request = self._requests.by_id.get(action.request_id)
--- a/quota_gateway/policy/admission.py
+++ b/quota_gateway/policy/admission.py
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """The request is rejected; ``retry_after_ms`` says when it would be admitted, None gives no advice."""
+    """The request is rejected; it would be admitted in ``retry_after_ms``, None for no Retry-After."""
 
     reason: AnswerReason
     retry_after_ms: float | None = None
@@ -69,8 +69,9 @@
     def _check_bucket(
         self, request: Request, request_class: RequestClass, plan: Plan, customer: CustomerState
     ) -> Admitted | Rejected:
-        draw = self._random.random()
-        pending = PendingRequest(request, request_class, plan, customer, self._clock.now_ms, draw)
+        slow_start_draw = self._random.random()
+        now_ms = self._clock.now_ms
+        pending = PendingRequest(request, request_class, plan, customer, now_ms, slow_start_draw)
         mean_ms = self._latencies.mean_ms(pending)
         delay_ms = self._bucket.offer(pending, mean_ms)
         if delay_ms is None:
--- a/quota_gateway/policy/give_up.py
+++ b/quota_gateway/policy/give_up.py
@@ -23,7 +23,7 @@
 
 
 class GiveUpRules:
-    """What ends a request besides admission, scheduling and failed attempts. None: it goes on."""
+    """Decides whether a timer or a full queue ends an admitted request; None if the request goes on."""
 
     def __init__(self, mechanisms: Mechanisms) -> None:
         self._concurrency = mechanisms.concurrency
@@ -32,23 +32,29 @@
         self._endpoints = mechanisms.endpoints
 
     def at_deadline(self, pending: PendingRequest) -> GiveUp | None:
-        """The client's deadline or the end of this process is near; a streamed reply has no deadline."""
+        """Give up: the client's deadline or the end of this process is near. A streamed reply goes on."""
         return None if pending.is_streaming else GiveUp(AnswerReason.DEADLINE)
 
     def at_queue_timeout(self, pending: PendingRequest) -> GiveUp | None:
-        """An attempt that starts now misses the objective; without a ready endpoint the deadline decides."""
+        """Give up a request without an attempt, as one started now would miss the latency objective.
+
+        While no endpoint is ready it stays queued, up to its deadline.
+        """
         has_ready_endpoint = any(endpoint.is_ready for endpoint in self._endpoints.by_id.values())
         is_waiting = pending.attempts == 0
         return GiveUp(AnswerReason.QUEUE_TIMEOUT) if is_waiting and has_ready_endpoint else None
 
     def on_late_attempt(self, pending: PendingRequest, attempt: RunningAttempt) -> GiveUp | None:
-        """An attempt in flight beyond the objective has also taken many times the mean latency."""
+        """Give up if an attempt in flight beyond the latency objective is also presumed lost."""
         if pending.is_streaming or not self._latencies.is_presumed_lost(pending, attempt.started_ms):
             return None
         return GiveUp(AnswerReason.ATTEMPT_PRESUMED_LOST)
 
     def on_enqueued(self) -> Shed | None:
-        """More requests are queued than may be in flight; before any endpoint is known the queue is open."""
+        """Shed the least valuable request if more are queued than the concurrency limit allows in flight.
+
+        Before any endpoint is known the queue has no bound.
+        """
         if not self._endpoints.by_id:
             return None
         pending = self._queue.to_shed(self._concurrency.limit)
--- a/quota_gateway/policy/in_flight_limit.py
+++ b/quota_gateway/policy/in_flight_limit.py
@@ -7,13 +7,13 @@
 from quota_gateway.model.settings import Plan, Settings
 from quota_gateway.policy.clock import DecayClock
 
-SMALL_GATEWAY_SET_SIZE = 4
-ROTATION_PERIOD_USAGE_PERIODS = 1.0
+SMALL_GATEWAY_SET_SIZE = 4  # gateways, at most
+ROTATION_PERIOD_USAGE_PERIODS = 1.0  # long beside an attempt
 CONTENTION_AFTER_REPORT_USAGE_PERIODS = 10.0
 CONTENTION_AFTER_OCCUPIED_SLOT_USAGE_PERIODS = 1.0
-ARRIVALS_DECAY_MS = 2000.0
-CONTENTION_ARRIVALS_PER_HEADROOM = 0.75
-INITIAL_HEADROOM_SHARE = 0.3
+ARRIVALS_DECAY_MS = 2000.0  # time constant: about how late a usage report is
+CONTENTION_ARRIVALS_PER_HEADROOM = 0.75  # decayed arrivals that the whole headroom of a cap allows
+INITIAL_HEADROOM_SHARE = 0.3  # of the cap, while no report has come
 
 
 class InFlightLimit:
@@ -51,7 +51,7 @@
         customer.contended_until_ms = max(customer.contended_until_ms, until_ms)
 
     def slot_wait_ms(self, pending: PendingRequest) -> float:
-        """Milliseconds until the rotation gives this gateway a slot under a cap with fewer than gateways."""
+        """Milliseconds until this gateway's turn in the rotation, where slots are fewer than gateways."""
         customer, slots = pending.customer, pending.plan.max_in_flight
         if not slots or slots >= customer.gateway_set_size or not self._are_slots_contended(pending):
             return 0.0
--- a/quota_gateway/policy/leaky_bucket.py
+++ b/quota_gateway/policy/leaky_bucket.py
@@ -9,10 +9,10 @@
 from quota_gateway.policy.clock import DecayClock
 from quota_gateway.policy.quota import MILLIUNITS_PER_UNIT, LocalQuota
 
-MAX_EXCESS_BURSTS = 2.0
+MAX_EXCESS_BURSTS = 2.0  # more is rejected; between one burst and this a request is delayed
 MAX_PRIORITY_BURST_INCREASE_SHARE = 0.25  # approached by classes of great priority weight
-LOWEST_PRIORITY_MAX_DELAY_OBJECTIVE_SHARE = 0.1
-HEADROOM_BURST_REQUESTS = 2.0
+LOWEST_PRIORITY_MAX_DELAY_OBJECTIVE_SHARE = 0.1  # of the shortest latency objective of all classes
+HEADROOM_BURST_REQUESTS = 2.0  # of the customer's largest size: as many may come together by chance
 
 
 class LeakyBucket:
@@ -95,7 +95,7 @@
     ) -> float | None:
         """Milliseconds until a rejected request would be admitted, delayed or not.
 
-        None where that is after ``latest_start_ms``, a clock time, or where no advice may be given.
+        None where that is after ``latest_start_ms``, a clock time, or where no Retry-After may be sent.
         """
         if not self._limits.can_send_retry_after:
             return None
--- a/quota_gateway/policy/quota.py
+++ b/quota_gateway/policy/quota.py
@@ -1,12 +1,12 @@
-"""The local quota of a customer, from late usage reports: docs/decisions/quota.md."""
+"""The local quota of a customer, by usage reports that come late: docs/decisions/quota.md."""
 
 from quota_gateway.model.customer_state import CustomerState
 from quota_gateway.model.settings import Plan, Settings
 from quota_gateway.policy.clock import DecayClock
 
 MILLIUNITS_PER_UNIT = 1000.0
-SHARE_INCREASE_PER_HEADROOM = 0.1
-REPORT_LIFETIME_USAGE_PERIODS = 4.0
+SHARE_INCREASE_PER_HEADROOM = 0.1  # small: reports are late, and all gateways grow on the same one
+REPORT_LIFETIME_USAGE_PERIODS = 4.0  # the period it is of, its lateness, and a gap in traffic
 
 
 class LocalQuota:
--- a/quota_gateway/policy/request_lifecycle.py
+++ b/quota_gateway/policy/request_lifecycle.py
@@ -59,7 +59,7 @@
 
 
 class RequestRules(NamedTuple):
-    """The questions that are asked on the way of a request."""
+    """The rules that decide at each step of a request's life."""
 
     admission: Admission
     scheduler: Scheduler
@@ -214,14 +214,14 @@
                 self._answer(pending, decision.reason)
 
     def on_stream_started(self, event: events.StreamStarted) -> None:
-        """The client gets this attempt's reply; the others are not waited for."""
+        """Cancel the other attempts of a request: the client gets this attempt's reply."""
         pending = self.requests.get(event.request_id)
         if pending:
             self._move(pending, START_STREAM)
             self._cancel_attempts(pending, kept=event.attempt)
 
     def on_client_disconnected(self, event: events.ClientDisconnected) -> None:
-        """No answer is owed any more."""
+        """Cancel the attempts of a request whose client has left: no answer is owed any more."""
         pending = self.requests.get(event.request_id)
         if pending and not pending.is_answered:
             self._close(pending)
@@ -261,7 +261,7 @@
                     self._output.append(actions.CancelAttempt(pending.request.request_id, number))
 
     def _drop_if_done(self, pending: PendingRequest) -> None:
-        """Forget a request that is answered; one that was never delivered leaves no excess."""
+        """Forget an answered request without attempts in flight; refund the units if none was delivered."""
         if not pending.is_answered:
             return
         request_id = pending.request.request_id
--- a/quota_gateway/policy/scheduling.py
+++ b/quota_gateway/policy/scheduling.py
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Wait:
-    """The request is queued, for ``min_wait_ms`` at least where a limit names a time."""
+    """The request is queued; if a limit says when it opens, for ``min_wait_ms`` at least."""
 
     min_wait_ms: float | None = None
 
@@ -57,7 +57,7 @@
         return StartNow(endpoint) if endpoint else WAIT_FOR_CAPACITY
 
     def _is_too_long(self, pending: PendingRequest, ceiling_wait_ms: float, slot_wait_ms: float) -> bool:
-        """Whether the ceiling's wait passes the deadline, or the rotation's the latest start."""
+        """Whether the hard ceiling opens after the deadline, or the slot after the latest start."""
         now_ms = self._clock.now_ms
         if ceiling_wait_ms >= pending.deadline_ms - now_ms:
             return True
@@ -66,7 +66,8 @@
     def choose_endpoint(self, pending: PendingRequest) -> EndpointState | None:
         """Choose the endpoint of a first attempt, or none while the concurrency limit is used up.
 
-        A fraction of the limit is open to the share of requests with a draw below it.
+        The limit is no whole number: a request may use its fractional part if its draw, from 0 to 1, is
+        below that part.
         """
         if not self._concurrency.has_capacity(pending.slow_start_draw):
             return None
--- a/quota_gateway/policy/unknown_customers.py
+++ b/quota_gateway/policy/unknown_customers.py
@@ -9,10 +9,10 @@
 from quota_gateway.policy.in_flight_limit import SMALL_GATEWAY_SET_SIZE
 from quota_gateway.policy.quota import LocalQuota
 
-INITIAL_ADMITTED_SHARE = 0.2
+INITIAL_ADMITTED_SHARE = 0.2  # of the requests of unknown customers, as all shares here: from 0 to 1
 MIN_ADMITTED_SHARE = 0.08  # customers that are never admitted are never reported
-ADMITTED_SHARE_LOG_STEP = 0.6
-TARGET_SHARE_OF_BREAK_EVEN_REPORTS = 0.5
+ADMITTED_SHARE_LOG_STEP = 0.6  # of the natural logarithm: suits a gateway that gets a few reports a second
+TARGET_SHARE_OF_BREAK_EVEN_REPORTS = 0.5  # of the share over quota at which they cost what others earn
 
 
 class UnknownCustomerAdmission:
@@ -25,7 +25,7 @@
         self.admitted_shares = {plan.name: INITIAL_ADMITTED_SHARE for plan in settings.plans}
 
     def admits(self, customer: CustomerState, plan: Plan) -> bool:
-        """Whether a request goes on to the quota; drawn at random where no report is recent enough."""
+        """Whether a request goes on to the leaky bucket; at random where no report is recent enough."""
         is_excess_harmless = plan.excess_cost <= plan.excess_value
         if customer.gateway_set_size <= SMALL_GATEWAY_SET_SIZE or is_excess_harmless:
             return True
