--- a/quota_gateway/model/endpoint_state.py
+++ b/quota_gateway/model/endpoint_state.py
@@ -1,4 +1,4 @@
-"""The state of an endpoint as one gateway sees it, and the records of which statistics are made."""
+"""The state of an endpoint as one gateway sees it, and the records of its statistics."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class DetachmentPeriod(NamedTuple):
-    """From when until when operators had an endpoint detached that is attached again."""
+    """The last detachment of an endpoint that is attached again, from start to end, as clock times."""
 
     since_ms: float
     until_ms: float
@@ -124,7 +124,7 @@
 
 
 class DetectedOutlier(NamedTuple):
-    """An endpoint that fails too often, the key of its failure record, and how its last attempt ended."""
+    """An endpoint that fails too often, the key of its failure record, and how its last attempt failed."""
 
     endpoint: EndpointState
     key: str
--- a/quota_gateway/policy/attempt_feedback.py
+++ b/quota_gateway/policy/attempt_feedback.py
@@ -8,7 +8,7 @@
 
 
 class AttemptFeedback:
-    """Accounts for attempts, and replaces and logs the outliers that they show."""
+    """Passes each attempt on to the mechanisms; logs outliers and puts a standby endpoint beside them."""
 
     def __init__(self, mechanisms: Mechanisms, log: DecisionLog) -> None:
         self._clock = mechanisms.clock
@@ -32,7 +32,7 @@
         return number
 
     def on_slow_timer(self, pending: PendingRequest, number: int) -> None:
-        """Count an attempt no more under the concurrency limit, whether it is in flight or has ended."""
+        """Free the slow attempt's place under the concurrency limit, whether it is in flight or has ended."""
         self._concurrency.on_end(pending.request.request_id, number)
 
     def on_slow_attempt(self, pending: PendingRequest, endpoint: EndpointState) -> None:
--- a/quota_gateway/policy/clock.py
+++ b/quota_gateway/policy/clock.py
@@ -56,8 +56,8 @@
     def remaining(self, updated: Moment) -> float:
         """Return the share of a statistic that remains, from 0 to 1.
 
-        It decays exponentially with time, but by no more than a factor of e for each round of attempts: as
-        many as there are endpoints.
+        It decays exponentially with time, but by no more than a factor of e for each round of attempts. A
+        round is as many attempts as there are endpoints, so that each could have been tried again.
         """
         updated_ms, attempts_then = updated
         elapsed_periods = (self.now_ms - updated_ms) / DECAY_MS
--- a/quota_gateway/policy/endpoints.py
+++ b/quota_gateway/policy/endpoints.py
@@ -57,7 +57,7 @@
         }
 
     def take_replacement(self, outlier: EndpointState, standby: Endpoints) -> EndpointState | None:
-        """Remove the nearest from those on standby, once for each outlier; None if there is none."""
+        """Take the nearest standby endpoint, once for each outlier; None if none is left or it has one."""
         if not standby or outlier.id in self._replaced_ids:
             return None
         self._replaced_ids.add(outlier.id)
--- a/quota_gateway/policy/load_balancing.py
+++ b/quota_gateway/policy/load_balancing.py
@@ -14,12 +14,12 @@
 
 IN_FLIGHT_PER_QUEUED_REQUEST = 1.0  # weight of a request that an endpoint reports as queued
 CROSS_ZONE_FACTOR_PER_COST_SHARE = 10.0  # added to the cost factor, times Settings.cross_zone_cost
-FAILURE_COST_MEAN_LATENCIES = 6.0
+FAILURE_COST_MEAN_LATENCIES = 6.0  # several, as a failed attempt loses most of the request's value
 COST_JITTER_SHARE = 0.1  # so that gateways with the same load reports do not choose alike
 SAMPLED_ENDPOINTS = 10
 MAX_FAST_ENDPOINTS_PER_CLASS = 10
 MAX_ENDPOINTS_WITHOUT_SAMPLING = SAMPLED_ENDPOINTS + MAX_FAST_ENDPOINTS_PER_CLASS
-SLOW_START_MAX_RANK_SHARE = 0.75  # of those compared: the rank within which a warming endpoint is chosen
+SLOW_START_MAX_RANK_SHARE = 0.75  # a warming endpoint is chosen if it ranks within this share of the best
 QUEUE_LENGTH_FIELD = "queue"  # of a load report, see Settings.load_report_fields
 
 #: Whether an endpoint recognizes the idempotency key of a request that the first endpoint has executed.
--- a/quota_gateway/policy/outliers.py
+++ b/quota_gateway/policy/outliers.py
@@ -9,10 +9,10 @@
 
 PRIOR_WEIGHT_OUTCOMES = 1.0  # weight of the failure rate over all endpoints in that of one endpoint
 OUTLIER_FAILURE_RATE = 0.5  # failures per outcome
-SLOW_ATTEMPT_REASON = "silent"
+SLOW_ATTEMPT_REASON = "silent"  # in the log: no reply yet
 
-#: The key under which a failed attempt counts: the narrowest that its status tells of. A status that is
-#: not listed tells nothing of the endpoint. A good response counts under all keys of its request.
+#: The key under which a failed attempt counts: the narrowest group of requests that its status concerns.
+#: A status that is not listed does not count. A success counts under all keys of its request.
 FAILURE_KEY_BY_STATUS: dict[AttemptStatus, Callable[[FailureKeys], str]] = {
     AttemptStatus.CONNECT_FAILED: lambda keys: keys.all_requests,
     AttemptStatus.RESET: lambda keys: keys.all_requests,
@@ -25,7 +25,8 @@
     """Failure rates with exponential decay, by key: of each endpoint and over all endpoints.
 
     Attributes:
-        totals: Records over all endpoints, by key; the key "" of all requests is kept by zone instead.
+        totals: Records over all endpoints, by key. The record of all requests, whose key is "", is kept
+            for each zone instead, under the name of the zone.
     """
 
     def __init__(self, clock: DecayClock) -> None:
@@ -47,7 +48,8 @@
     def failure_rate(self, endpoint: EndpointState, key: str) -> float:
         """Return the failures per outcome expected at an endpoint, from 0 to 1.
 
-        The rate over all endpoints counts as a prior. It leads while the endpoint has few recent outcomes.
+        The rate over all endpoints counts as a prior, at the weight of one outcome: it prevails while the
+        endpoint has few recent outcomes.
         """
         all_failures, all_outcomes, _ = self.totals.get(key or endpoint.zone, NO_RECORD)
         prior_rate = all_failures / (all_outcomes + 1.0)
@@ -64,7 +66,7 @@
         self._failures = failures
 
     def failure_probability(self, pending: PendingRequest, endpoint: EndpointState) -> float:
-        """Return the probability that the request fails at an endpoint: the worst under its keys."""
+        """Return the probability that the request fails at an endpoint: the highest rate under its keys."""
         return max([self._failures.failure_rate(endpoint, key) for key in pending.failure_keys])
 
     def is_outlier(self, endpoint: EndpointState) -> bool:
@@ -78,13 +80,13 @@
     def on_outcome(
         self, pending: PendingRequest, endpoint: EndpointState, status: AttemptStatus
     ) -> DetectedOutlier | None:
-        """Record the outcome of an attempt; return the endpoint if a failure shows it as an outlier."""
+        """Record the outcome of an attempt; return the outlier if its endpoint has failed and is one now."""
         if status is AttemptStatus.OK:
             for key in pending.failure_keys:
                 self._failures.record(endpoint, key, failed=False)
             return None
         if status is AttemptStatus.OVERLOADED and pending.had_error:
-            return None  # after an error the request is over: this tells nothing of the endpoint
+            return None  # after an error elsewhere any endpoint may reject it, whatever its load
         failure_key = FAILURE_KEY_BY_STATUS.get(status)
         return (
             self._on_failure(endpoint, failure_key(pending.failure_keys), status.value)
@@ -93,7 +95,7 @@
         )
 
     def on_slow_attempt(self, pending: PendingRequest, endpoint: EndpointState) -> DetectedOutlier | None:
-        """Record an attempt as failed that is slow and still in flight, ahead of its outcome."""
+        """Record a slow attempt in flight as failed, ahead of its outcome; return as ``on_outcome`` does."""
         return self._on_failure(endpoint, pending.failure_keys.request_class, SLOW_ATTEMPT_REASON)
 
     def _on_failure(self, endpoint: EndpointState, key: str, reason: str) -> DetectedOutlier | None:
