--- a/quota_gateway/net/handover/connection_handover.py
+++ b/quota_gateway/net/handover/connection_handover.py
@@ -14,8 +14,8 @@
 
 log = logging.getLogger(__name__)
 
-MAX_QUEUED_PACKETS = 8  # each with a descriptor, that wait for the kernel before more connections follow
-HANDOVER_INTERVAL_S = 0.005  # between two looks at which connections may be handed over
+MAX_QUEUED_PACKETS = 8  # each with a descriptor; while as many wait for the kernel no connection follows
+HANDOVER_INTERVAL_S = 0.005  # between two passes over the connections
 
 
 class ConnectionHandover:
@@ -33,7 +33,7 @@
         self._reported: DescriptorsInUse | None = None
 
     def run(self) -> None:
-        """Hand over all connections that are ready, and look again in a moment."""
+        """Hand over all connections without a pending reply, and again after each interval."""
         if not self.channel.closed:
             self._timer = self.loop.call_later(HANDOVER_INTERVAL_S, self.run)
         self.upstream_pool.close_all_idle()
@@ -51,7 +51,7 @@
     def _hand_over(self, client: ClientConnection) -> None:
         try:
             released = client.release()
-        except OSError as error:  # of descriptors, for a moment: it is looked at again
+        except OSError as error:  # short of descriptors: the next ``run`` tries again
             log.warning("connection not handed over reason=%r", error)
             return
         if released is None:
--- a/quota_gateway/net/handover/handover.py
+++ b/quota_gateway/net/handover/handover.py
@@ -1,7 +1,7 @@
 """The handover to a new version: two processes of one gateway and the channel between them.
 
-The process that serves listens at the rendezvous path. One that starts says hello there, and gets the state,
-the listening socket and, once it says that it serves, each client's connection on which no reply is pending.
+The previous process listens at the rendezvous path. The next one sends ``Hello`` there and gets the state and
+the listening socket; after its ``Serving`` it gets each client's connection on which no reply is pending.
 ``docs/decisions/handover.md`` has the reasons.
 """
 
@@ -52,7 +52,7 @@
         return self.sender.path
 
     def take_over(self, state: HandoverState, spare_bytes: int) -> None:
-        """Take the previous process's place, with both buffer limits lower by so many bytes until it ends."""
+        """Take the previous process's place; until it ends buffer limits are lower by ``spare_bytes``."""
         self.receiver.take_over(state, spare_bytes)
 
     def listen(self) -> None:
--- a/quota_gateway/net/handover/process_channel.py
+++ b/quota_gateway/net/handover/process_channel.py
@@ -26,8 +26,8 @@
 
 log = logging.getLogger(__name__)
 
-WRITE_RETRY_S = 0.005  # after the system was short of memory or descriptors
-MAX_DESCRIPTORS_PER_PACKET = 2  # one is expected, and one too many is noticed and closed
+WRITE_RETRY_S = 0.005  # after a write failed for want of memory or descriptors
+MAX_DESCRIPTORS_PER_PACKET = 2  # one is expected; a second one is received so that it can be closed
 
 MessageReceiver = Callable[[ReceivedMessage], None]
 
@@ -66,7 +66,7 @@
 
     @property
     def closed(self) -> bool:
-        """Whether either side has ended it."""
+        """Whether it is closed, by either side."""
         return self._state is ChannelState.CLOSED
 
     @property
@@ -107,10 +107,10 @@
             self.loop.remove_writer(self.sock)
 
     def _on_write_error(self, error: OSError) -> None:
-        """Try again where the system is short of something; else the peer process has ended.
+        """Retry later if the system is short of descriptors or memory; else the peer process has ended.
 
-        What that sent before is still to be read, up to its end. The error may be the reset itself, of which
-        the reader is not notified then.
+        What it sent before is still read, to the end. The loop may not call the reader for it: the kernel
+        reports a reset once, and this write may have been told.
         """
         if error.errno in SHORTAGE_ERRORS:
             self.loop.remove_writer(self.sock)
@@ -147,7 +147,7 @@
             self.loop.call_soon(self._read_after_reset)
 
     def _read_after_reset(self) -> None:
-        """Read on, up to the end, though the loop does not call any more."""
+        """Go on reading to the end: after a reset the loop does not call the reader any more."""
         if not self.closed:
             self._on_readable()
 
@@ -155,7 +155,7 @@
         """Read one packet.
 
         A reset says that the peer process ended with something unread. What it has sent, and its end, are
-        still to be read, now: the loop reports such an end once and calls no reader afterwards.
+        read now, as the loop reports a reset once and does not call the reader again.
         """
         try:
             return socket.recv_fds(self.sock, MAX_PACKET_BYTES, MAX_DESCRIPTORS_PER_PACKET)
@@ -188,7 +188,7 @@
             try:
                 self._receiver(message)
             except (ValueError, KeyError, TypeError, AttributeError, OSError) as error:
-                # beside a malformed message: a state that can't be written must not leave its process idle
+                # Not only malformed messages: a state that can't be encoded must not leave clients suspended.
                 self.close(f"malformed message: {error!r}")
             finally:
                 message.close()
@@ -201,7 +201,7 @@
     # ---- End
 
     def close(self, reason: str) -> None:
-        """End it: the peer process is dead, malformed, or not needed. The reason goes into the log."""
+        """Close it, log the reason, and call ``on_end``. Nothing happens if it is closed already."""
         if self.closed:
             return
         self._advance(ChannelState.CLOSED)
@@ -218,6 +218,6 @@
         self.on_end()
 
     def close_silently(self, reason: str) -> None:
-        """End it without a call to ``on_end``, as this process ends too."""
+        """Close it without a call to ``on_end``, as this process ends."""
         self.on_end = _ignore_end
         self.close(reason)
--- a/quota_gateway/net/handover/receiver.py
+++ b/quota_gateway/net/handover/receiver.py
@@ -1,4 +1,4 @@
-"""The starting process's side of a handover: asks for the state, then takes over connections."""
+"""The next process's side of a handover: asks for the state, then takes over connections."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 
 log = logging.getLogger(__name__)
 
-REQUEST_TIMEOUT_S = 1.0  # for requests that fail for a moment, over all retries
-REQUEST_RETRY_S = 0.02
+REQUEST_TIMEOUT_S = 1.0  # after it no failed request for the state is retried
+REQUEST_RETRY_S = 0.02  # between two requests: a shortage may be over at any moment
 OFFER_TIMEOUT_S = 1.5  # for the state, after hello: the start goes on without it
 
 
@@ -36,9 +36,10 @@
     Attributes:
         channel: To the previous process.
         listener: The listening socket for clients.
-        state: The policy engine's.
-        registry: The endpoint registry's.
-        clock_offset_ms: Of the clock of all times in both, where the previous process says it.
+        state: The state of the policy engine, as JSON.
+        registry: The state of the endpoint registry, as JSON.
+        clock_offset_ms: The offset of the clock by which times in both are given; None from a version that
+            does not send it.
     """
 
     channel: ProcessChannel
@@ -49,13 +50,13 @@
 
 
 async def request_handover(path: Path | None) -> HandoverState | None:
-    """Ask the process that serves for its state; see ``docs/decisions/handover.md``.
+    """Ask the previous process for its state; see ``docs/decisions/handover.md``.
 
     The request is retried where either process is short of descriptors or memory for a moment: a start
     without the state knows neither buckets nor detachments.
 
     Returns:
-        None if there is no such process, or it is silent or malformed: a start goes on without it.
+        None if there is no such process, or it is silent or malformed: this one starts without a handover.
     """
     loop = asyncio.get_running_loop()
     give_up_at = loop.time() + REQUEST_TIMEOUT_S
@@ -71,14 +72,14 @@
 
 
 class ChannelEndedError(Exception):
-    """The process that serves has ended the channel without a state."""
+    """The previous process has ended the channel without a state."""
 
 
 async def _request_once(path: Path) -> HandoverState | None:
-    """One request.
+    """Ask for the state once; None as in ``request_handover``.
 
     Raises:
-        OSError: The system is short of something.
+        OSError: The system is short of descriptors or memory.
         ChannelEndedError: The channel ended without a state.
     """
     sock = rendezvous.connect(path)
@@ -104,7 +105,12 @@
 
 
 def _state_from(channel: ProcessChannel, message: ReceivedMessage) -> HandoverState:
-    """What the offer holds; HandoverError or OSError if it is malformed, or its descriptor no listener."""
+    """Read the offer.
+
+    Raises:
+        HandoverError: It is malformed, or its descriptor is no listening socket.
+        OSError: Its descriptor is no socket.
+    """
     offer = read_offer(message.header, message.body)
     listener = message.take_socket()
     if not listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
@@ -114,7 +120,7 @@
 
 
 class HandoverReceiver:
-    """The new process's side of a handover, from the moment that it serves."""
+    """The next process's side of a handover, from the moment that it serves."""
 
     def __init__(
         self,
--- a/quota_gateway/net/handover/rendezvous.py
+++ b/quota_gateway/net/handover/rendezvous.py
@@ -39,7 +39,7 @@
     """Connect to the process that listens at the path; None if there is none, or Unix sockets are refused.
 
     Raises:
-        OSError: The system is short of something, or that process is busy; a later call may succeed.
+        OSError: Descriptors, memory or the process's backlog are short; a later call may succeed.
     """
     try:
         with _short_name(path) as name:
@@ -64,10 +64,10 @@
 
 
 def listen(path: Path) -> socket.socket | None:
-    """Listen at the path, in the place of whatever is there, dead or alive; None if Unix sockets are refused.
+    """Listen at the path, in place of whatever is there, in use or not; None if Unix sockets are refused.
 
     Raises:
-        OSError: The system is short of something, or the folder can't be written; a later call may succeed.
+        OSError: Descriptors, memory or disk are short, or the name is in use; a later call may succeed.
     """
     try:
         with _short_name(path) as name:
--- a/quota_gateway/net/handover/sender.py
+++ b/quota_gateway/net/handover/sender.py
@@ -1,7 +1,7 @@
-"""The serving process's side of a handover.
+"""The previous process's side of a handover.
 
-It listens at the rendezvous path, sends its state to the process that says hello there, then hands over the
-clients' connections.
+It listens at the rendezvous path, sends its state to the next process, which says hello there, then hands
+over the clients' connections.
 """
 
 from __future__ import annotations
@@ -30,13 +30,13 @@
 
 log = logging.getLogger(__name__)
 
-HELLO_TIMEOUT_S = 2.0  # after connecting: a silent process holds a descriptor
+HELLO_TIMEOUT_S = 2.0  # after a process has connected: a silent one holds a descriptor
 SERVING_TIMEOUT_S = 1.5  # after the state was sent: nobody accepts until the next process serves
-LISTEN_RETRY_S = 0.5  # where the path is not available for a moment
+LISTEN_RETRY_S = 0.5  # between two tries, where the path is not available for a moment
 
 
 class HandoverSender:
-    """The serving process's side of a handover; see ``docs/decisions/handover.md``."""
+    """The previous process's side of a handover; see ``docs/decisions/handover.md``."""
 
     def __init__(
         self,
@@ -70,7 +70,7 @@
     # ---- Listening
 
     def listen(self) -> None:
-        """Listen for a process that takes over. Whatever is at the path is replaced, dead or alive."""
+        """Listen for a process that takes over. Whatever is at the path is replaced, in use or not."""
         if self._is_refusing:
             return
         try:
@@ -95,7 +95,7 @@
             self.listener = None
 
     def refuse(self) -> None:
-        """Accept no further process from now on, also where the one that takes over dies."""
+        """Accept no further process from now on, even if the one that takes over dies."""
         self._is_refusing = True
         self.stop_listening()
 
@@ -121,7 +121,7 @@
     # ---- The state
 
     def _send_state(self, channel: ProcessChannel) -> None:
-        """Stop serving and send the state. No connection is handed over before the next process serves."""
+        """Stop accepting and reading, and send the state. Connections follow once the next process serves."""
         if self.clients.listening_socket is None:
             channel.close("this process has stopped listening")
             return
@@ -147,7 +147,7 @@
         )
 
     def _on_next_ended(self) -> None:
-        """Serve on as before: the next process has ended, or never served."""
+        """Serve on as before: the channel to the next process has ended, whether it served or not."""
         log.warning("handover aborted, serving resumed")
         if self._serving_timeout:
             self._serving_timeout.cancel()
@@ -181,7 +181,7 @@
             self._serving_timeout = None
         self._enter(SenderState.HANDING_OVER_CONNECTIONS)
         self.clients.acceptor.share()
-        self.stop_listening()  # the version after the next asks the one that serves now
+        self.stop_listening()  # the next process listens at the path from now on
         log.info("handover accepted connections=%d", len(self.clients.connections))
         assert self._connections
         self._connections.run()
--- a/quota_gateway/net/handover/states.py
+++ b/quota_gateway/net/handover/states.py
@@ -17,7 +17,7 @@
     NOT_LISTENING            the socket at the rendezvous path is made         LISTENING
     LISTENING                a process says hello, and gets the state          STATE_SENT
     STATE_SENT               it says that it serves                            HANDING_OVER_CONNECTIONS
-    STATE_SENT               its channel ends, or it is silent for too long    LISTENING
+    STATE_SENT               its channel ends, also for 1.5 s of silence       LISTENING
     HANDING_OVER_CONNECTIONS its channel ends                                  NOT_LISTENING
     ======================== ================================================= ========================
 
@@ -41,6 +41,6 @@
     =============== ========================================= ==============
     """
 
-    NOT_TAKING_OVER = "receiver_not_taking_over"  # there is no previous process, or it is not settled yet
+    NOT_TAKING_OVER = "receiver_not_taking_over"  # there is no previous process, or no state from it yet
     SERVING = "receiver_serving"  # the previous process hands its connections over
     PREVIOUS_ENDED = "receiver_previous_ended"
