--- a/quota_gateway/policy/concurrency.py
+++ b/quota_gateway/policy/concurrency.py
@@ -6,11 +6,11 @@
 from quota_gateway.policy.latency import FAST_RESPONSE_OBJECTIVE_SHARE
 
 INITIAL_CONCURRENCY_PER_SERVER = 6.0  # over all gateways
-LIMIT_INCREASE_PER_FAST_RESPONSE = 0.035
-LIMIT_DECREASE_PER_SLOW_RESPONSE = 0.3
+LIMIT_INCREASE_PER_FAST_RESPONSE = 0.035  # attempts
+LIMIT_DECREASE_PER_SLOW_RESPONSE = 0.3  # attempts; below a limit of 1 this share of the limit
 MIN_LIMIT_ATTEMPTS = 0.3  # above 0, as only responses can raise it again
-SLOW_RESPONSE_OBJECTIVE_SHARE = 0.5
-LIMIT_USED_UP_MARGIN_ATTEMPTS = 2
+SLOW_RESPONSE_OBJECTIVE_SHARE = 0.5  # an attempt is slow after this share of the latency objective
+LIMIT_USED_UP_MARGIN_ATTEMPTS = 2  # the limit counts as used up with so many attempts less in flight
 
 
 class ConcurrencyLimit:
@@ -30,7 +30,7 @@
         self.limit = INITIAL_CONCURRENCY_PER_SERVER * endpoint_count / gateways
 
     def has_capacity(self, draw: float = 0.0) -> bool:
-        """Whether one more fits; the limit's fraction admits that share of the requests, by their draw."""
+        """Whether one more attempt fits; the limit's fractional part is for requests with a draw below it."""
         return len(self.in_flight) < self.limit - draw
 
     def on_start(self, request_id: str, attempt: int) -> None:
--- a/quota_gateway/policy/retries.py
+++ b/quota_gateway/policy/retries.py
@@ -63,11 +63,11 @@
 
     def may_retry(self, pending: PendingRequest, status: AttemptStatus, attempt: RunningAttempt) -> bool:
         """Note a failed attempt; return whether another one may follow."""
-        is_over = status is AttemptStatus.OVERLOADED and pending.had_error
+        may_have_ended = status is AttemptStatus.OVERLOADED and pending.had_error
         pending.had_error = pending.had_error or status is AttemptStatus.ERROR
         if status not in NEVER_EXECUTED:
             pending.first_executed = pending.first_executed or attempt
-        if is_over or status is AttemptStatus.NOT_SENT or self._clock.now_ms >= pending.deadline_ms:
+        if may_have_ended or status is AttemptStatus.NOT_SENT or self._clock.now_ms >= pending.deadline_ms:
             return False
         return self._budget.allows(pending, is_free=_is_free_after(status))
 
--- a/quota_gateway/policy/retry_budget.py
+++ b/quota_gateway/policy/retry_budget.py
@@ -3,8 +3,8 @@
 from quota_gateway.model.pending_request import PendingRequest
 from quota_gateway.model.settings import GatewayLimits
 
-RETRY_TOKENS_PER_FIRST_ATTEMPT = 0.2
-MAX_RETRY_TOKENS = 10.0
+RETRY_TOKENS_PER_FIRST_ATTEMPT = 0.2  # one retry or hedged request for five first attempts
+MAX_RETRY_TOKENS = 10.0  # as many retries in a row are allowed, also after a start
 
 
 class RetryBudget:
