--- a/quota_gateway/model/actions.py
+++ b/quota_gateway/model/actions.py
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
-    """Start an attempt at a server. A ``timeout_ms`` of 0 means as long as the client waits."""
+    """Start an attempt at a server; with a ``timeout_ms`` of 0 it may take as long as the client waits."""
 
     request_id: str
     server: int
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final answer: nothing was done, a retry is harmless; not before ``retry_after_ms`` if above 0."""
+    """Final answer: a retry is harmless, after ``retry_after_ms`` or, if that is 0, at any time."""
 
     request_id: str
     retry_after_ms: float = 0.0
@@ -110,7 +110,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetServerDetached:
-    """Keep every attempt whose first byte is not written yet from a server, or no longer."""
+    """While ``detached``, send a server no attempt of which no byte has been written yet."""
 
     server: int
     detached: bool
@@ -140,7 +140,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IncrementCounter:
-    """Add to a shared counter; a new name is forgotten after ``lifetime_ms``."""
+    """Add to a counter shared by all gateways; it is deleted ``lifetime_ms`` after the first addition."""
 
     name: int
     amount: float
--- a/quota_gateway/model/customer_state.py
+++ b/quota_gateway/model/customer_state.py
@@ -11,8 +11,9 @@
     Attributes:
         excess: Milliunits in the leaky bucket, as of ``excess_at_ms``.
         largest_units: Units of the largest request seen.
-        usage: Use by all gateways as a share of the quota, as last reported at ``usage_at_ms``.
-        contended_until_ms: Until when the slots under its in-flight cap are rotated.
+        gateway_set_size: Number of gateways through which its requests come, as the last request said.
+        usage: Use by all gateways, as last reported at ``usage_at_ms``; 1 is the whole quota.
+        contended_until_ms: Clock time until which the slots under its in-flight cap rotate.
         recent_demand: What was asked lately, rejected or not, as of ``recent_demand_at_ms``: units under a
             rate, requests under a cap.
         in_flight: Attempts in flight from this process.
--- a/quota_gateway/model/endpoint_state.py
+++ b/quota_gateway/model/endpoint_state.py
@@ -9,7 +9,7 @@
 
 
 class Moment(NamedTuple):
-    """The time stamp of a statistic: milliseconds, and the attempts that this gateway had started."""
+    """The time stamp of a statistic: clock time, and the number of attempts that this gateway had started."""
 
     at_ms: float
     attempts: int
@@ -31,7 +31,7 @@
 
 
 class DetachmentPeriod(NamedTuple):
-    """From when until when operators had an endpoint detached that is attached again."""
+    """The clock times at which operators detached an endpoint and attached it again."""
 
     since_ms: float
     until_ms: float
@@ -60,7 +60,7 @@
         started_ms: Time of its last start, 0 if long past.
         distance: Its distance from this gateway, from 0 to 1, see ``Subset.distance``.
         in_flight: Attempts in flight, by request id and number of the attempt.
-        relative_latency: Its latency relative to the mean of the requests' class and size, 1 on average.
+        relative_latency: Its latency divided by the mean of the requests' class and size; 1 on average.
         relative_latency_at: When that was updated.
         queue_length: Requests that it last reported as queued.
         queue_length_at: When that was reported.
@@ -109,11 +109,11 @@
         self.is_ready = self.is_listed
 
     def export(self) -> EndpointRecord:
-        """Return what is handed over to the next process."""
+        """Return the record that is handed over to the next process."""
         return EndpointRecord(self.started_ms, self.relative_latency, self.relative_latency_at, self.failures)
 
     def restore(self, record: EndpointRecord) -> None:
-        """Restore what the previous process knew; the later of both starts holds."""
+        """Restore what the previous process knew; of the two times of its last start the later one counts."""
         self.started_ms = max(self.started_ms, record.started_ms)
         self.relative_latency = record.relative_latency
         self.relative_latency_at = record.relative_latency_at
--- a/quota_gateway/model/events.py
+++ b/quota_gateway/model/events.py
@@ -131,9 +131,9 @@
         attempt: Number of the attempt, from 0.
         server: The server of the attempt.
         status: How it ended.
-        latency_ms: From its start on.
-        closed: Whether the request has had its final answer.
-        usage_percent: The customer's usage over all gateways, late, in percent of its rate.
+        latency_ms: Time from the start of the attempt to its end.
+        closed: Whether the client has had the final answer of the request.
+        usage_percent: The customer's usage over all gateways, reported late, in percent of its quota.
         final_units: The units that the request has really taken.
         load: The server's load report, a value for each of ``Settings.load_report_fields``.
     """
@@ -168,7 +168,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer set with ``SetTimer`` has fallen due."""
+    """A timer set with ``SetTimer`` is due."""
 
     token: int
 
@@ -227,7 +227,7 @@
     Attributes:
         plan: The customer's plan.
         customer: The customer.
-        in_flight: Attempts in flight from the other process.
+        in_flight: Number of attempts in flight from the other process.
         excess_change: Change of the leaky bucket's excess, in milliunits.
     """
 
--- a/quota_gateway/model/pending_request.py
+++ b/quota_gateway/model/pending_request.py
@@ -49,19 +49,24 @@
     """A request that is delayed, queued or in flight, or answered with attempts still in flight.
 
     Attributes:
+        request: The event by which it arrived.
+        request_class: Its class.
+        plan: Its customer's plan.
+        customer: The state of its customer.
         state: Where it is on its way.
-        arrived_ms: When it arrived.
-        deadline_ms: When its final answer is due at the latest.
+        arrived_ms: Clock time of its arrival.
+        deadline_ms: Clock time at which its final answer is due at the latest.
         attempts: How many attempts have been started.
         in_flight: Attempts in flight, by number.
         tried_endpoints: Ids of the endpoints that an attempt was started at.
         size: Units, rounded up: latencies are kept for each size.
         failure_keys: Keys of the failure records that it counts for.
-        slow_start_draw: Drawn once for the request, 0 to 1: says which warming endpoint it may go to.
+        slow_start_draw: Drawn at random once for the request, from 0 to below 1: decides which warming
+            endpoint it may go to, and whether a fraction of the concurrency limit admits it.
         was_delivered: Whether an endpoint may have received an attempt whole.
         had_error: Whether an endpoint has answered, but with an error.
-        timer_tokens: Timers that are for this request alone.
-        is_contended: Whether other gateways seem to use the slots under the in-flight cap.
+        timer_tokens: Tokens of the timers that were set for this request.
+        is_contended: Whether, at its arrival, other gateways seemed to use the slots under the in-flight cap.
         first_executed: The first attempt that may have been executed.
     """
 
@@ -126,7 +131,7 @@
         return self.state is RequestState.STREAMING or self.state is RequestState.ANSWERED_BY_STREAM
 
     def start_attempt(self, endpoint: EndpointState, now_ms: float) -> int:
-        """Account for a new attempt, here and at its endpoint and customer; its number."""
+        """Account for a new attempt, here and at its endpoint and customer; return its number, from 0."""
         number = self.attempts
         self.attempts += 1
         self.tried_endpoints.add(endpoint.id)
@@ -136,7 +141,11 @@
         return number
 
     def end_attempt(self, number: int, status: AttemptStatus) -> RunningAttempt:
-        """Account for the end of an attempt in flight."""
+        """Account for the end of an attempt in flight, and return it.
+
+        Raises:
+            KeyError: No attempt of this number is in flight.
+        """
         attempt = self.in_flight.pop(number)
         attempt.endpoint.in_flight.discard((self.request.request_id, number))
         self.customer.in_flight -= 1
--- a/quota_gateway/model/settings.py
+++ b/quota_gateway/model/settings.py
@@ -7,7 +7,7 @@
 
 from quota_gateway.model.validation import FieldError, require, require_numbers, require_positive
 
-#: After which servers close an idle connection, where the settings do not tell.
+#: Time after which servers close an idle connection, where the settings do not give one.
 DEFAULT_IDLE_MS = 30_000.0
 
 
@@ -40,7 +40,7 @@
 
     Attributes:
         name: Unique name, as clients send it.
-        latency_objective_ms: Replies later than this earn only ``value_after_objective``.
+        latency_objective_ms: Time from arrival; later replies earn only ``value_after_objective``.
         deadline_ms: The longest that any client waits.
         idempotency: Whether, and where, an attempt may be repeated.
         priority_weight: Value of one unit that is served within the objective.
@@ -89,9 +89,9 @@
         rate: Units a second that drain from the customer's leaky bucket.
         burst: Units that the bucket holds.
         max_in_flight: Attempts that a customer may have in flight at once.
-        weight: Factor on ``RequestClass.priority_weight``.
-        excess_value: Value of a unit that was served beyond the quota.
-        excess_cost: Cost of a unit that was served beyond the quota.
+        weight: Factor on ``RequestClass.priority_weight`` for its customers.
+        excess_value: Value of a unit served beyond the quota, relative to one within it.
+        excess_cost: Cost of a unit served beyond the quota, on the same scale.
         ceiling_rate: Units a second of the hard ceiling, which may never be passed.
         ceiling_burst: Units at once of the hard ceiling.
         ceiling_slack: Units by which the ceiling may be passed by chance.
@@ -130,9 +130,9 @@
         can_message_peers: Whether gateways may send each other messages.
         can_send_retry_after: Whether a rejection may say when to come back.
         max_open: Connections that may be open at once.
-        connect_timeout_ms: For a connection to a server to come up.
+        connect_timeout_ms: Time in which a connection to a server must be established.
         max_retry_after_ms: The longest time that a rejection may name.
-        connection_idle_ms: After which servers close an idle connection.
+        connection_idle_ms: Time after which servers close an idle connection.
     """
 
     max_attempts: int = 1
@@ -156,13 +156,13 @@
     """The figures by which draining, slow start and overload are judged.
 
     Attributes:
-        answer_slack_ms: By which a final answer may be late.
-        drain_grace_ms: After which a draining endpoint gets no new attempts at the latest.
+        answer_slack_ms: Time by which a final answer may be late.
+        drain_grace_ms: Time after which a draining endpoint gets no new attempts at the latest.
         initial_capacity_share: Share of its full capacity that a server has when it starts.
         warm_up_ms: Time in which its capacity rises evenly to the full.
-        overload_factor: Multiple of its present capacity that makes a server that warms up collapse.
+        overload_factor: Load that makes a warming server collapse, as a multiple of its present capacity.
         overload_window_ms: Window over which that load is summed.
-        poll_deadline_ms: Within which discovery has to be polled.
+        poll_deadline_ms: Time within which discovery must be polled.
     """
 
     answer_slack_ms: float = 0.0
@@ -196,11 +196,11 @@
         contract: Draining, slow start and overload.
         discovery: How endpoint updates arrive.
         load_report_fields: Names of the figures in a server's load report, in order.
-        usage_period_ms: Period over which a usage report measures.
-        max_request_units: The most units that one request may ask.
+        usage_period_ms: Period that a usage report covers.
+        max_request_units: The most units that one request may ask for.
         reports_final_units: Whether a reply tells the units that the request has really taken.
-        has_counter: Whether a counter shared by all gateways is at hand.
-        counter_timeout_ms: For a call of that counter.
+        has_counter: Whether there is a counter shared by all gateways.
+        counter_timeout_ms: Timeout of a call of that counter.
         tick_ms: Resolution of timers.
         cross_zone_cost: Cost of an attempt in another zone, as a share of a request's value.
     """
--- a/quota_gateway/model/snapshot.py
+++ b/quota_gateway/model/snapshot.py
@@ -86,9 +86,9 @@
         attempts: Attempts started so far.
         admitted_shares: By plan, the share of unknown customers that is admitted.
         concurrency_limit: Attempts that may be in flight; infinite before the first endpoint update.
-        retry_tokens: Retries that the budget holds.
-        started_at_ms: Time of the gateway's first event.
-        detached: By number, since when operators have had an endpoint detached, in milliseconds.
+        retry_tokens: Tokens in the retry budget; a retry costs one.
+        started_at_ms: Clock time of the gateway's first event.
+        detached: By number, the clock time at which operators detached an endpoint.
         attached: By number, the last detachment of an endpoint that operators have attached again.
         latencies: Mean latencies by class and size.
     """
@@ -127,7 +127,7 @@
 
     @classmethod
     def from_json(cls, state: dict[str, Any], settings: Settings, now_ms: float) -> EngineState:
-        """Read what another process has left; plans and classes not known here are passed over.
+        """Read what another process has left; plans and classes not known here are ignored.
 
         Args:
             state: What ``to_json`` of this version or an earlier one has made.
@@ -279,7 +279,7 @@
     """Read a number, perhaps infinite.
 
     Raises:
-        StateError: It is none.
+        StateError: It is not a number.
     """
     if isinstance(value, bool) or not isinstance(value, (int, float)) or value != value:
         raise StateError(f"state snapshot is malformed: {value!r} is no number")
--- a/quota_gateway/model/timers.py
+++ b/quota_gateway/model/timers.py
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True, eq=False)
 class WaitOver:
-    """A request has waited out its delay, or the time that a limit named: it may be scheduled again."""
+    """A request's delay is over, or the time for which a limit made it wait: it may be scheduled."""
 
     pending: PendingRequest
 
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True, eq=False)
 class AttemptSlow:
-    """An attempt has been in flight for as long as a slow response takes."""
+    """An attempt has been in flight for so long that its response would be slow."""
 
     pending: PendingRequest
     attempt: int
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True, eq=False)
 class AttemptLate:
-    """An attempt has been in flight for as long as the latency objective."""
+    """An attempt has been in flight for the whole latency objective or longer."""
 
     pending: PendingRequest
     attempt: int
@@ -65,7 +65,7 @@
         self.armed: dict[int, Timer] = {}
 
     def arm(self, delay_ms: float, timer: Timer) -> SetTimer:
-        """Set a timer that fires after ``delay_ms`` milliseconds; one for a request is noted there."""
+        """Set a timer that fires after ``delay_ms``; a request keeps the tokens of its timers."""
         self._last_token += 1
         token = self._last_token
         self.armed[token] = timer
@@ -78,7 +78,7 @@
         return self.armed.pop(event.token, None)
 
     def drop(self, pending: PendingRequest) -> None:
-        """Forget the timers of a request, which would keep it until the last of them is due."""
+        """Forget the timers of a request, as they would keep it in memory until the last of them is due."""
         for token in pending.timer_tokens:
             self.armed.pop(token, None)
         pending.timer_tokens.clear()
