--- a/quota_gateway/policy/admission.py
+++ b/quota_gateway/policy/admission.py
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """The request is rejected; ``retry_after_ms`` says when it would be admitted, None gives no advice."""
+    """The request is rejected; it would be admitted after ``retry_after_ms``, None gives no Retry-After."""
 
     reason: AnswerReason
     retry_after_ms: float | None = None
--- a/quota_gateway/policy/attempt_feedback.py
+++ b/quota_gateway/policy/attempt_feedback.py
@@ -1,4 +1,4 @@
-"""What the mechanisms learn from attempts: their start, slowness and outcome."""
+"""What the mechanisms learn from attempts: from their start, from slow ones, and from their outcome."""
 
 from quota_gateway.model.endpoint_state import DetectedOutlier, EndpointState
 from quota_gateway.model.events import AttemptStatus, Outcome
@@ -8,7 +8,7 @@
 
 
 class AttemptFeedback:
-    """Accounts for attempts, and replaces and logs the outliers that they show."""
+    """Accounts for attempts; logs the outliers that they show, and puts a standby endpoint beside each."""
 
     def __init__(self, mechanisms: Mechanisms, log: DecisionLog) -> None:
         self._clock = mechanisms.clock
@@ -32,15 +32,15 @@
         return number
 
     def on_slow_timer(self, pending: PendingRequest, number: int) -> None:
-        """Count an attempt no more under the concurrency limit, whether it is in flight or has ended."""
+        """Stop counting an attempt under the concurrency limit, if it is still in flight, as it is slow."""
         self._concurrency.on_end(pending.request.request_id, number)
 
     def on_slow_attempt(self, pending: PendingRequest, endpoint: EndpointState) -> None:
-        """Count an attempt in flight that is slow as a failure of its endpoint."""
+        """Count a slow attempt in flight as a failure of its endpoint, ahead of its outcome."""
         self._on_outlier(self._outliers.on_slow_attempt(pending, endpoint))
 
     def on_outcome(self, pending: PendingRequest, attempt: RunningAttempt, event: Outcome) -> None:
-        """Learn from the end of an attempt."""
+        """Update limits, failure rates, load and latencies by the outcome of an attempt."""
         endpoint = attempt.endpoint
         self._concurrency.on_end(event.request_id, event.attempt)
         self._on_outlier(self._outliers.on_outcome(pending, endpoint, event.status))
--- a/quota_gateway/policy/clock.py
+++ b/quota_gateway/policy/clock.py
@@ -4,14 +4,14 @@
 
 from quota_gateway.model.endpoint_state import Moment
 
-DECAY_MS = 4000.0  # time constant; statistics decay so that a failed endpoint gets attempts again
+DECAY_MS = 4000.0  # in which a statistic decays by a factor of e, so that a failed endpoint is tried again
 
 
 class DecayClock:
-    """The time of the current event, and the counts that bound the decay of statistics under low load.
+    """The time of the current event, and the counts that slow the decay of statistics under low load.
 
     Attributes:
-        now_ms: Time of the current event.
+        now_ms: Time of the current event; minus infinity before the first.
         started_at_ms: Time of the first event of this gateway, over all its processes.
         attempts: Attempts started by this gateway so far.
         endpoint_count: Endpoints known.
@@ -29,7 +29,7 @@
         """Set the time of the next event.
 
         Raises:
-            ValueError: The time goes back, or is no number.
+            ValueError: The time is before that of the last event, or is not a number.
         """
         if not now_ms >= self.now_ms:
             raise ValueError(f"now_ms: {now_ms!r} is before {self.now_ms!r}")
@@ -54,10 +54,10 @@
         return Moment(self.now_ms, self.attempts)
 
     def remaining(self, updated: Moment) -> float:
-        """Return the share of a statistic that remains, from 0 to 1.
+        """Return the share of a statistic that remains now, from 0 to 1.
 
-        It decays exponentially with time, but by no more than a factor of e for each round of attempts: as
-        many as there are endpoints.
+        It decays by a factor of e in each ``DECAY_MS``, or in each round of attempts if that takes longer. A
+        round is as many attempts of this gateway as there are endpoints: each may have been tried once.
         """
         updated_ms, attempts_then = updated
         elapsed_periods = (self.now_ms - updated_ms) / DECAY_MS
--- a/quota_gateway/policy/customer_table.py
+++ b/quota_gateway/policy/customer_table.py
@@ -7,11 +7,11 @@
 from quota_gateway.policy.hard_ceiling import HardCeiling
 from quota_gateway.policy.quota import LocalQuota
 
-MAX_EVICTIONS_PER_REQUEST = 2  # above the one customer that a request may add
+MAX_EVICTIONS_PER_REQUEST = 2  # more than the one customer that a request may add: the table can shrink
 
 
 class CustomerTable:
-    """Customer states in least-recently-used order. Evicts those that equal a new one."""
+    """An LRU table of customer states. Evicts those whose loss changes nothing: they equal a new one."""
 
     def __init__(
         self, settings: Settings, clock: DecayClock, quota: LocalQuota, ceiling: HardCeiling
@@ -37,7 +37,11 @@
         return customer
 
     def _evict_unused(self, current: CustomerState) -> None:
-        """Evict customers that equal a new one, from the least recently used on; keep the current one."""
+        """Evict customers that equal a new one, from the least recently used on; keep the current one.
+
+        One that does not equal a new one yet is moved to the end, so as not to protect those behind it. One
+        that does, but was charged or reported within the lifetime of a report, ends the search.
+        """
         for _ in range(MAX_EVICTIONS_PER_REQUEST):
             key = next(iter(self.by_key))
             customer = self.by_key[key]
@@ -48,10 +52,10 @@
             is_recent = idle_ms < self._quota.report_lifetime_ms
             is_drained = customer.excess <= plan.rate / customer.gateway_set_size * idle_ms
             initial_level = self._ceiling.initial_level(plan, customer.gateway_set_size)
-            is_full = self._ceiling.level(customer, plan) >= initial_level
-            is_unused = is_drained and is_full and not customer.total_in_flight()
-            if is_recent and is_unused:
-                return  # those behind it were used later
+            is_ceiling_full = self._ceiling.level(customer, plan) >= initial_level
+            is_like_new = is_drained and is_ceiling_full and not customer.total_in_flight()
+            if is_recent and is_like_new:
+                return  # those behind it were used later still
             del self.by_key[key]
-            if is_recent or not is_unused:
+            if is_recent or not is_like_new:
                 self.by_key[key] = customer
--- a/quota_gateway/policy/customer_usage.py
+++ b/quota_gateway/policy/customer_usage.py
@@ -1,4 +1,4 @@
-"""What a customer uses of its quota, here and in the peer process, as notified and reported."""
+"""What customers use of their quotas: by usage reports, and by notices from the peer process."""
 
 from quota_gateway.model import events
 from quota_gateway.model.actions import Action, NotifyPeerProcess
@@ -9,7 +9,7 @@
 class CustomerUsage:
     """Keeps the usage of customers current; limits hold over both processes of this gateway.
 
-    Where queued requests may start now, a method returns True.
+    The methods that handle an event of the peer process return whether queued requests may start now.
 
     Attributes:
         has_peer_process: Whether another process of this gateway is notified of each change.
@@ -32,11 +32,11 @@
             self._output.append(NotifyPeerProcess(usage))
 
     def settle(self, pending: PendingRequest, final_units: float) -> None:
-        """Correct the excess by the units that a request has really used."""
+        """Correct the excess by the units that a request has really used, and notify the peer process."""
         self.notify_peer(pending, self._bucket.settle(pending, final_units))
 
     def on_usage_report(self, pending: PendingRequest, usage_percent: float) -> None:
-        """Take over a usage report over all gateways, in percent of the quota."""
+        """Store a usage report, which is over all gateways and in percent of the customer's quota."""
         customer, usage = pending.customer, usage_percent / 100.0
         self._unknown_customers.on_usage_report(customer, pending.plan, usage)
         customer.usage = usage
@@ -44,7 +44,7 @@
         self._in_flight_limit.on_usage_report(customer, usage)
 
     def on_peer_usage(self, event: events.PeerProcessUsage) -> bool:
-        """Take over what the peer process uses of a customer's quota, if the customer is known."""
+        """Store what the peer process uses of a customer's quota, if the customer is known."""
         customer = self._customers.by_key.get((event.plan, event.customer))
         if customer is None:
             return False
--- a/quota_gateway/policy/endpoint_events.py
+++ b/quota_gateway/policy/endpoint_events.py
@@ -8,11 +8,11 @@
 from quota_gateway.policy.decision_log import DecisionLog
 from quota_gateway.policy.mechanisms import Mechanisms
 
-POLL_RETRY_DEADLINE_SHARE = 0.5  # so that one call may fail
+POLL_RETRY_DEADLINE_SHARE = 0.5  # of the time in which discovery must be polled, so that one call may fail
 
 
 class EndpointEvents:
-    """Takes over what is said of endpoints; where queued requests may start now, a method returns True."""
+    """Applies what is said of endpoints; returns whether queued requests may start now where that can be."""
 
     def __init__(
         self,
@@ -31,14 +31,14 @@
         self._log = log
 
     def on_update(self, event: events.EndpointUpdate) -> bool:
-        """Take over an update from discovery."""
-        is_stale = event.kind in (UpdateKind.CACHED, UpdateKind.FAILED)
-        if is_stale and self._settings.discovery is DiscoveryMode.ASK:
+        """Apply an update from discovery; return whether queued requests may start now."""
+        must_poll = event.kind in (UpdateKind.CACHED, UpdateKind.FAILED)
+        if must_poll and self._settings.discovery is DiscoveryMode.ASK:
             self._arm_poll(event.kind)
         if event.kind is UpdateKind.FAILED:
             return False
         self._endpoints.update(event)
-        if event.kind is UpdateKind.CACHED or not self._concurrency.limit:  # the first update may be empty
+        if event.kind is UpdateKind.CACHED or not self._concurrency.limit:  # 0: the first list was empty
             self._concurrency.set_initial(self._endpoints.listed_count, self._settings.gateways)
         return True
 
@@ -52,7 +52,7 @@
         self._output.append(Subscribe(True))
 
     def on_health_check(self, event: events.HealthCheckResult) -> None:
-        """Take over the load report of a health check."""
+        """Store the load report of a health check."""
         endpoint = self._endpoints.by_id.get(event.server)
         if endpoint:
             self._balancer.on_load_report(endpoint, event.load)
@@ -64,7 +64,7 @@
         self._output.append(SetServerDetached(server, True))
 
     def attach(self, server: int) -> bool:
-        """Put a detached server back into service."""
+        """Put a detached server back into service; return whether it was detached."""
         self._output.append(SetServerDetached(server, False))
         is_attached = self._endpoints.attach(server)
         if is_attached:
--- a/quota_gateway/policy/endpoints.py
+++ b/quota_gateway/policy/endpoints.py
@@ -12,7 +12,7 @@
 
 
 class Selection:
-    """The ready endpoints to work with, and those on standby with the nearest last."""
+    """The ready endpoints to work with, and the other ready ones, on standby with the nearest last."""
 
     __slots__ = ("ready", "standby")
 
@@ -37,7 +37,7 @@
         self._sorted_by_distance = []
 
     def select(self, by_id: dict[int, EndpointState], subset_size: int) -> Selection:
-        """Select as many as the subset has, and replacements, from all known endpoints."""
+        """Select the ready endpoints of the subset, and replacements for its outliers."""
         if len(by_id) <= subset_size:
             return Selection([state for state in by_id.values() if state.is_ready], [])
         if not self._sorted_by_distance:
@@ -57,7 +57,7 @@
         }
 
     def take_replacement(self, outlier: EndpointState, standby: Endpoints) -> EndpointState | None:
-        """Remove the nearest from those on standby, once for each outlier; None if there is none."""
+        """Take the nearest endpoint from standby, once for each outlier; None if there is none to take."""
         if not standby or outlier.id in self._replaced_ids:
             return None
         self._replaced_ids.add(outlier.id)
@@ -95,11 +95,11 @@
 
     @property
     def subset_radius(self) -> float:
-        """The distance of the farthest endpoint that is worked with; infinity where all are."""
+        """The distance of the last endpoint to work with, the farthest; infinity with none on standby."""
         return self.ready[-1].distance if self.standby else inf
 
     def update(self, event: EndpointUpdate) -> None:
-        """Apply an update from discovery, and select anew."""
+        """Apply an update from discovery, and select again."""
         if event.kind in (UpdateKind.SNAPSHOT, UpdateKind.CACHED):
             listed = {endpoint.server for endpoint in event.endpoints}
             self._remove(number for number in list(self.by_id) if number not in listed)
@@ -134,7 +134,7 @@
                 self._selector.on_membership_change()
 
     def _apply_detachment(self, state: EndpointState) -> None:
-        """Apply what operators did to an endpoint, of which discovery may not know."""
+        """Apply what operators did to an endpoint, as discovery may not know of it."""
         if state.id in self.detached:
             state.is_ready = False
         elif state.id in self.attached:
@@ -145,7 +145,7 @@
                 del self.attached[state.id]
 
     def select(self) -> None:
-        """Select the endpoints to work with, after a change of any."""
+        """Select the endpoints to work with again, as one of them has changed."""
         self._clock.set_endpoint_count(len(self.by_id))
         subset_size = self.subset.size(self.listed_count)
         selection = self._selector.select(self.by_id, subset_size)
@@ -196,7 +196,7 @@
         return True
 
     def restore(self, records: dict[int, EndpointRecord], attached: dict[int, DetachmentPeriod]) -> None:
-        """Restore what the previous process knew of its endpoints, and select anew."""
+        """Restore what the previous process knew of its endpoints, and select again."""
         self.attached.update(attached)
         for number, state in self.by_id.items():
             if number in records:
--- a/quota_gateway/policy/engine.py
+++ b/quota_gateway/policy/engine.py
@@ -25,7 +25,7 @@
 
 
 class PolicyEngine:
-    """Hands each event of one gateway to its owner and returns the actions that follow.
+    """Hands each event of one gateway to the object that handles its kind; returns the actions that follow.
 
     Feed events in order; carry out the actions in order.
     """
@@ -83,7 +83,11 @@
         return self.usage.has_peer_process
 
     def handle(self, now_ms: float, event: events.Event) -> list[Action]:
-        """Decide on one event at this time, in milliseconds.
+        """Decide on one event; return the actions that follow, in order.
+
+        Args:
+            now_ms: Time of the event by the caller's clock, in milliseconds.
+            event: The event.
 
         Raises:
             ValueError: The time is before that of an earlier event.
--- a/quota_gateway/policy/give_up.py
+++ b/quota_gateway/policy/give_up.py
@@ -23,7 +23,7 @@
 
 
 class GiveUpRules:
-    """What ends a request besides admission, scheduling and failed attempts. None: it goes on."""
+    """What ends a request besides admission, scheduling and failed attempts; None where it goes on."""
 
     def __init__(self, mechanisms: Mechanisms) -> None:
         self._concurrency = mechanisms.concurrency
@@ -32,23 +32,23 @@
         self._endpoints = mechanisms.endpoints
 
     def at_deadline(self, pending: PendingRequest) -> GiveUp | None:
-        """The client's deadline or the end of this process is near; a streamed reply has no deadline."""
+        """Give up as the client's deadline or the end of this process is near, unless a reply is streamed."""
         return None if pending.is_streaming else GiveUp(AnswerReason.DEADLINE)
 
     def at_queue_timeout(self, pending: PendingRequest) -> GiveUp | None:
-        """An attempt that starts now misses the objective; without a ready endpoint the deadline decides."""
+        """Give up a waiting request that will miss its objective; without a ready endpoint it waits on."""
         has_ready_endpoint = any(endpoint.is_ready for endpoint in self._endpoints.by_id.values())
         is_waiting = pending.attempts == 0
         return GiveUp(AnswerReason.QUEUE_TIMEOUT) if is_waiting and has_ready_endpoint else None
 
     def on_late_attempt(self, pending: PendingRequest, attempt: RunningAttempt) -> GiveUp | None:
-        """An attempt in flight beyond the objective has also taken many times the mean latency."""
+        """Give up if an attempt in flight beyond the objective is presumed lost and nothing is streamed."""
         if pending.is_streaming or not self._latencies.is_presumed_lost(pending, attempt.started_ms):
             return None
         return GiveUp(AnswerReason.ATTEMPT_PRESUMED_LOST)
 
     def on_enqueued(self) -> Shed | None:
-        """More requests are queued than may be in flight; before any endpoint is known the queue is open."""
+        """Shed one if more are queued than may be in flight; without any known endpoint there is no bound."""
         if not self._endpoints.by_id:
             return None
         pending = self._queue.to_shed(self._concurrency.limit)
--- a/quota_gateway/policy/in_flight_limit.py
+++ b/quota_gateway/policy/in_flight_limit.py
@@ -7,13 +7,13 @@
 from quota_gateway.model.settings import Plan, Settings
 from quota_gateway.policy.clock import DecayClock
 
-SMALL_GATEWAY_SET_SIZE = 4
-ROTATION_PERIOD_USAGE_PERIODS = 1.0
-CONTENTION_AFTER_REPORT_USAGE_PERIODS = 10.0
-CONTENTION_AFTER_OCCUPIED_SLOT_USAGE_PERIODS = 1.0
-ARRIVALS_DECAY_MS = 2000.0
-CONTENTION_ARRIVALS_PER_HEADROOM = 0.75
-INITIAL_HEADROOM_SHARE = 0.3
+SMALL_GATEWAY_SET_SIZE = 4  # gateways; in larger sets reports and rotation come too late for a client
+ROTATION_PERIOD_USAGE_PERIODS = 1.0  # length of a rotation period
+CONTENTION_AFTER_REPORT_USAGE_PERIODS = 10.0  # how long contention is assumed after a report of it
+CONTENTION_AFTER_OCCUPIED_SLOT_USAGE_PERIODS = 1.0  # less, as two requests may meet here by chance
+ARRIVALS_DECAY_MS = 2000.0  # in which the count of arrivals decays by a factor of e: how late a report is
+CONTENTION_ARRIVALS_PER_HEADROOM = 0.75  # recent arrivals here that a cap that is not used at all allows
+INITIAL_HEADROOM_SHARE = 0.3  # of the cap, assumed free of a customer without a report
 
 
 class InFlightLimit:
@@ -24,17 +24,20 @@
         self._clock = clock
 
     def has_free_slot(self, pending: PendingRequest, quota_share: float) -> bool:
-        """Whether an attempt fits into this gateway's share of the cap, which is one at least."""
+        """Whether an attempt fits into this gateway's share of the cap, which is one attempt or more."""
         cap = pending.plan.max_in_flight
         return not cap or pending.customer.total_in_flight() < max(1, int(cap * quota_share))
 
     def on_usage_report(self, customer: CustomerState, usage: float) -> None:
-        """Note contention where a report shows more in flight than the cap allows."""
+        """Note contention where a report shows usage above 1, which is more than the cap allows."""
         if usage > 1.0:
             self._mark_contended(customer, CONTENTION_AFTER_REPORT_USAGE_PERIODS)
 
     def on_arrival(self, customer: CustomerState, plan: Plan) -> bool:
-        """Count a request under a cap; return whether other gateways seem to use the slots."""
+        """Count a request; return whether its frequency here tells that other gateways use the slots too.
+
+        Always False for a plan that has no cap, or has a rate besides.
+        """
         if customer.total_in_flight():
             self._mark_contended(customer, CONTENTION_AFTER_OCCUPIED_SLOT_USAGE_PERIODS)
         if not plan.max_in_flight or plan.rate:
@@ -51,15 +54,21 @@
         customer.contended_until_ms = max(customer.contended_until_ms, until_ms)
 
     def slot_wait_ms(self, pending: PendingRequest) -> float:
-        """Milliseconds until the rotation gives this gateway a slot under a cap with fewer than gateways."""
-        customer, slots = pending.customer, pending.plan.max_in_flight
-        if not slots or slots >= customer.gateway_set_size or not self._are_slots_contended(pending):
+        """Milliseconds until the rotation gives this gateway a slot; 0 where slots do not rotate.
+
+        Slots rotate under contention, where the cap has fewer of them than the customer's gateway set has
+        gateways. Time is divided into rotation periods by the clock that all gateways share. In each period
+        as many neighboring gateways of the set as there are slots may use one each; with the next period they
+        move on by one gateway.
+        """
+        customer, cap = pending.customer, pending.plan.max_in_flight
+        if not cap or cap >= customer.gateway_set_size or not self._are_slots_contended(pending):
             return 0.0
         period_ms = ROTATION_PERIOD_USAGE_PERIODS * self._settings.usage_period_ms
         period, elapsed_ms = divmod(self._clock.now_ms, period_ms)
         position = (self._settings.index - pending.request.first_gateway) % self._settings.gateways
         periods_ahead = int(position - period) % customer.gateway_set_size
-        return 0.0 if periods_ahead < slots else (periods_ahead - slots + 1) * period_ms - elapsed_ms
+        return 0.0 if periods_ahead < cap else (periods_ahead - cap + 1) * period_ms - elapsed_ms
 
     def _are_slots_contended(self, pending: PendingRequest) -> bool:
         """Whether slots rotate: by arrivals in a large gateway set, else by reports and occupied slots."""
--- a/quota_gateway/policy/latency.py
+++ b/quota_gateway/policy/latency.py
@@ -1,4 +1,4 @@
-"""Latency statistics: docs/decisions/load_balancing.md."""
+"""Latency statistics, as exponentially weighted moving averages: docs/decisions/load_balancing.md."""
 
 from collections.abc import Sequence
 
@@ -8,11 +8,11 @@
 from quota_gateway.policy.clock import DecayClock
 
 INITIAL_LATENCY_OBJECTIVE_SHARE = 0.2  # mean latency before any response, as a share of the objective
-MIN_LATENCY_SAMPLE_WEIGHT = 0.03  # of one response in a mean latency
+MIN_LATENCY_SAMPLE_WEIGHT = 0.03  # of one response in a mean latency; fewer responses weigh more each
 RELATIVE_LATENCY_SAMPLE_WEIGHT = 0.15  # of one response in an endpoint's relative latency
-ATTEMPT_LOST_AFTER_MEAN_LATENCIES = 8.0
-FAST_RESPONSE_OBJECTIVE_SHARE = 0.3  # faster responses raise the concurrency limit
-AVERAGE_RELATIVE_LATENCY = 1.0
+ATTEMPT_LOST_AFTER_MEAN_LATENCIES = 8.0  # time in flight, in mean latencies of the request
+FAST_RESPONSE_OBJECTIVE_SHARE = 0.3  # of the latency objective; faster responses raise the limit
+AVERAGE_RELATIVE_LATENCY = 1.0  # of an endpoint that is as fast as the mean
 
 
 class LatencyStatistics:
@@ -23,21 +23,21 @@
         self.means: dict[str, dict[int, LatencyMean]] = {item.name: {} for item in classes}
 
     def mean_ms(self, pending: PendingRequest) -> float:
-        """Return the mean latency for the request's class and size, or its initial value."""
+        """Return the mean latency in milliseconds for the request's class and size, or its initial value."""
         mean = self.means[pending.request_class.name].get(pending.size)
         if mean:
             return mean.mean_ms
         return INITIAL_LATENCY_OBJECTIVE_SHARE * pending.request_class.latency_objective_ms
 
     def size_extra_ms(self, pending: PendingRequest) -> float:
-        """Return by how much a request of this size is slower than the smallest of its class."""
+        """Return by how many milliseconds a request of this size is slower than the smallest of its class."""
         means = self.means[pending.request_class.name]
         if pending.size not in means:
             return 0.0
         return max(0.0, means[pending.size].mean_ms - means[min(means)].mean_ms)
 
     def latest_start_ms(self, pending: PendingRequest) -> float:
-        """Return the time until which an attempt can start and still meet the latency objective."""
+        """Return the clock time until which an attempt can start and still meet the latency objective."""
         return pending.arrived_ms + pending.request_class.latency_objective_ms - self.mean_ms(pending)
 
     def is_presumed_lost(self, pending: PendingRequest, started_ms: float) -> bool:
@@ -45,7 +45,7 @@
         return self._clock.now_ms - started_ms >= ATTEMPT_LOST_AFTER_MEAN_LATENCIES * self.mean_ms(pending)
 
     def record(self, pending: PendingRequest, endpoint: EndpointState, latency_ms: float) -> None:
-        """Update the mean of the class and size and the endpoint's relative latency by a good response."""
+        """Update the mean of class and size and the endpoint's relative latency by a successful response."""
         mean_ms = self._update_mean(pending, latency_ms)
         relative_latency = current_relative_latency(endpoint, self._clock)
         deviation = latency_ms / mean_ms - relative_latency
@@ -53,7 +53,7 @@
         endpoint.relative_latency_at = self._clock.moment()
 
     def _update_mean(self, pending: PendingRequest, latency_ms: float) -> float:
-        """Update the mean by a response and return it; the initial value counts as one response."""
+        """Update the mean by a response and return it; its initial value weighs as much as one response."""
         mean_ms = self.mean_ms(pending)
         means = self.means[pending.request_class.name]
         responses = (means[pending.size].responses if pending.size in means else 0) + 1
--- a/quota_gateway/policy/leaky_bucket.py
+++ b/quota_gateway/policy/leaky_bucket.py
@@ -1,6 +1,6 @@
 """The leaky bucket of a customer's rate: docs/decisions/leaky_bucket.md.
 
-Excess and burst are in milliunits; a rate in units a second is a rate in milliunits a millisecond.
+Excess and burst are in milliunits. A rate in units a second is the same number in milliunits a millisecond.
 """
 
 from quota_gateway.model.customer_state import CustomerState
@@ -9,10 +9,10 @@
 from quota_gateway.policy.clock import DecayClock
 from quota_gateway.policy.quota import MILLIUNITS_PER_UNIT, LocalQuota
 
-MAX_EXCESS_BURSTS = 2.0
-MAX_PRIORITY_BURST_INCREASE_SHARE = 0.25  # approached by classes of great priority weight
-LOWEST_PRIORITY_MAX_DELAY_OBJECTIVE_SHARE = 0.1
-HEADROOM_BURST_REQUESTS = 2.0
+MAX_EXCESS_BURSTS = 2.0  # excess beyond so many bursts is rejected, between one and this delayed
+MAX_PRIORITY_BURST_INCREASE_SHARE = 0.25  # of the burst; approached as the priority weight grows
+LOWEST_PRIORITY_MAX_DELAY_OBJECTIVE_SHARE = 0.1  # of the shortest latency objective
+HEADROOM_BURST_REQUESTS = 2.0  # that may come together by chance; also the bursts that full headroom adds
 
 
 class LeakyBucket:
@@ -28,9 +28,14 @@
         self._shortest_objective_ms = min(item.latency_objective_ms for item in settings.classes)
 
     def offer(self, pending: PendingRequest, mean_latency_ms: float) -> float | None:
-        """Add a request's units to the bucket; return its delay in milliseconds.
+        """Add a request's units to the bucket, if they fit.
 
-        None rejects the request, whose units are not in the bucket then.
+        Args:
+            pending: The request.
+            mean_latency_ms: Mean latency of requests of its class and size.
+
+        Returns:
+            The delay of the request in milliseconds, 0 for none; None rejects it, and the excess stays.
         """
         customer, plan = pending.customer, pending.plan
         if not plan.rate:
@@ -51,17 +56,21 @@
         return delay_ms
 
     def _excess_with(self, pending: PendingRequest, rate: float) -> float:
-        """The excess now with the request's units in it; below 0 where the bucket was empty before now."""
+        """The excess now with the request's units added, perhaps below 0.
+
+        What drains is not bounded by what was in the bucket: after an idle time, long enough to drain the
+        request's units too, the request leaves no excess.
+        """
         customer = pending.customer
         drained = rate * (self._clock.now_ms - customer.excess_at_ms)
         return customer.excess - drained + MILLIUNITS_PER_UNIT * pending.request.units
 
     def _burst(self, customer: CustomerState, plan: Plan) -> float:
-        """This gateway's even share of the burst, which holds one request at least."""
+        """This gateway's even share of the burst in milliunits, which holds one request at least."""
         return max(plan.burst / customer.gateway_set_size, customer.largest_units) * MILLIUNITS_PER_UNIT
 
     def _count_demand(self, customer: CustomerState, plan: Plan, units: float) -> None:
-        """Add units to the customer's recent demand, rejected or not."""
+        """Add units, rejected or not, to the recent demand, which drains at the even share of the rate."""
         now_ms = self._clock.now_ms
         elapsed_ms = now_ms - customer.recent_demand_at_ms
         drained = plan.rate * elapsed_ms / customer.gateway_set_size / MILLIUNITS_PER_UNIT
@@ -69,7 +78,7 @@
         customer.recent_demand_at_ms = now_ms
 
     def _headroom_factor(self, customer: CustomerState, plan: Plan) -> float:
-        """By how much headroom increases the burst of a share below one request with little demand."""
+        """The factor on the burst by headroom; 1 for much demand or a share of one request or more."""
         if not self._quota.share_is_below_one_request(customer, plan):
             return 1.0
         if customer.recent_demand > HEADROOM_BURST_REQUESTS * customer.largest_units:
@@ -78,14 +87,17 @@
         return 1.0 + HEADROOM_BURST_REQUESTS * self._quota.headroom(customer, lifetime_ms)
 
     def _priority_factor(self, request_class: RequestClass) -> float:
-        """By how much the burst is larger for a class: not at all for the lowest weight."""
-        if not self._lowest_weight:
+        """The factor on the burst by priority weight: 1 for the lowest weight, or if all are the same."""
+        if not self._lowest_weight:  # None: all weigh the same; 0: no ratio to it
             return 1.0
         relative_weight = self._lowest_weight / request_class.priority_weight
         return 1.0 + MAX_PRIORITY_BURST_INCREASE_SHARE * (1.0 - relative_weight)
 
     def _max_delay_ms(self, request_class: RequestClass, mean_latency_ms: float) -> float:
-        """The longest delay with a reply within the shortest objective; less for the lowest weight."""
+        """The longest delay in milliseconds with which a reply still meets the shortest objective.
+
+        It is less for the lowest priority weight. It may be below 0.
+        """
         if request_class.priority_weight == self._lowest_weight:
             return LOWEST_PRIORITY_MAX_DELAY_OBJECTIVE_SHARE * self._shortest_objective_ms
         return self._shortest_objective_ms - mean_latency_ms
@@ -95,7 +107,7 @@
     ) -> float | None:
         """Milliseconds until a rejected request would be admitted, delayed or not.
 
-        None where that is after ``latest_start_ms``, a clock time, or where no advice may be given.
+        None where that is after ``latest_start_ms``, a clock time, or if the settings permit no Retry-After.
         """
         if not self._limits.can_send_retry_after:
             return None
@@ -104,8 +116,8 @@
         burst = self._burst(customer, plan) * self._priority_factor(pending.request_class)
         excess = self._excess_with(pending, rate)
         max_delay_ms = max(0.0, self._max_delay_ms(pending.request_class, mean_latency_ms))
-        delay_ms = min(burst / rate, pending.request.timeout_ms, max_delay_ms)
-        wait_ms = max(0.0, (excess - burst) / rate - delay_ms)
+        permitted_delay_ms = min(burst / rate, pending.request.timeout_ms, max_delay_ms)
+        wait_ms = max(0.0, (excess - burst) / rate - permitted_delay_ms)
         if wait_ms > latest_start_ms - self._clock.now_ms:
             return None
         return min(self._limits.max_retry_after_ms, wait_ms)
--- a/quota_gateway/policy/load_balancing.py
+++ b/quota_gateway/policy/load_balancing.py
@@ -1,4 +1,4 @@
-"""Load balancing: which endpoint gets an attempt: docs/decisions/load_balancing.md."""
+"""Load balancing, by the least cost of a random sample: docs/decisions/load_balancing.md."""
 
 from collections.abc import Callable
 from math import ceil
@@ -14,16 +14,16 @@
 
 IN_FLIGHT_PER_QUEUED_REQUEST = 1.0  # weight of a request that an endpoint reports as queued
 CROSS_ZONE_FACTOR_PER_COST_SHARE = 10.0  # added to the cost factor, times Settings.cross_zone_cost
-FAILURE_COST_MEAN_LATENCIES = 6.0
+FAILURE_COST_MEAN_LATENCIES = 6.0  # cost of an attempt that fails, in mean latencies of the request
 COST_JITTER_SHARE = 0.1  # so that gateways with the same load reports do not choose alike
-SAMPLED_ENDPOINTS = 10
+SAMPLED_ENDPOINTS = 10  # compared for each attempt, where the power of two choices compares two
 MAX_FAST_ENDPOINTS_PER_CLASS = 10
 MAX_ENDPOINTS_WITHOUT_SAMPLING = SAMPLED_ENDPOINTS + MAX_FAST_ENDPOINTS_PER_CLASS
 SLOW_START_MAX_RANK_SHARE = 0.75  # of those compared: the rank within which a warming endpoint is chosen
 QUEUE_LENGTH_FIELD = "queue"  # of a load report, see Settings.load_report_fields
 
 #: Whether an endpoint recognizes the idempotency key of a request that the first endpoint has executed.
-SCOPE_RULES: dict[IdempotencyScope, Callable[[EndpointState, EndpointState], bool]] = {
+IS_KEY_RECOGNIZED_BY_SCOPE: dict[IdempotencyScope, Callable[[EndpointState, EndpointState], bool]] = {
     IdempotencyScope.ALL: lambda _first, _other: True,
     IdempotencyScope.ZONE: lambda first, other: other.zone == first.zone,
     IdempotencyScope.CELL: lambda first, other: other.zone == first.zone and other.cell == first.cell,
@@ -45,10 +45,10 @@
         is_key_expired = self._clock.now_ms - started_ms >= request_class.idempotency_window_ms
         if request_class.idempotency is Idempotency.NON_IDEMPOTENT or is_key_expired:
             return False
-        return SCOPE_RULES[request_class.idempotency_scope](first_endpoint, endpoint)
+        return IS_KEY_RECOGNIZED_BY_SCOPE[request_class.idempotency_scope](first_endpoint, endpoint)
 
     def endpoints_for_retry(self, pending: PendingRequest, ready: Endpoints) -> Endpoints:
-        """Return those not tried yet; for a keyed request that has tried all of its group, the group."""
+        """Return those of the group not tried yet; if all are tried, the whole group for a keyed request."""
         group = [endpoint for endpoint in ready if self.contains(pending, endpoint)]
         untried = [endpoint for endpoint in group if endpoint.id not in pending.tried_endpoints]
         is_keyed = pending.request_class.idempotency is Idempotency.KEYED
@@ -103,7 +103,7 @@
     def _find_candidates(
         self, pending: PendingRequest, ready: Endpoints, warming: Endpoints, subset_radius: float
     ) -> Endpoints:
-        """All permitted endpoints; of many a random sample, with fast and with warming ones."""
+        """All permitted endpoints; of many a random sample, the fast ones and those that warm up."""
         is_retry = pending.attempts > 0
         permitted = self._idempotency_group.endpoints_for_retry(pending, ready) if is_retry else ready
         if len(permitted) <= MAX_ENDPOINTS_WITHOUT_SAMPLING:
@@ -114,7 +114,7 @@
         return self._random.sample(permitted, SAMPLED_ENDPOINTS) + extra
 
     def _filter_eligible(self, candidates: Endpoints, slow_start_pick: EndpointState | None) -> Endpoints:
-        """Those that are ready, and of those that warm up only the one that slow start has picked."""
+        """The candidates that are ready; of those that warm up, only the one that slow start has picked."""
         capacity_share = self._slow_start.capacity_share
         return [
             endpoint
@@ -131,7 +131,7 @@
         failure_probability = self._outliers.failure_probability(pending, endpoint)
         if capacity_share < 1.0 and failure_probability < OUTLIER_FAILURE_RATE:
             failure_probability = 0.0  # slow start already limits its requests
-        # A warming endpoint is slow in proportion to its missing capacity: the share takes that out again.
+        # The relative latency of a warming endpoint already shows its missing capacity: the wait counts less.
         wait_cost = capacity_share * (capacity_share + waiting)
         failure_cost = (1.0 + waiting) * FAILURE_COST_MEAN_LATENCIES * failure_probability
         cost = latency * (wait_cost + failure_cost)
--- a/quota_gateway/policy/mechanisms.py
+++ b/quota_gateway/policy/mechanisms.py
@@ -1,4 +1,4 @@
-"""The mechanisms that the decisions of one gateway are made with: docs/decisions/engine.md."""
+"""The mechanisms by which one gateway decides: docs/decisions/engine.md."""
 
 from random import Random
 
--- a/quota_gateway/policy/outliers.py
+++ b/quota_gateway/policy/outliers.py
@@ -7,12 +7,12 @@
 from quota_gateway.model.pending_request import FailureKeys, PendingRequest
 from quota_gateway.policy.clock import DecayClock
 
-PRIOR_WEIGHT_OUTCOMES = 1.0  # weight of the failure rate over all endpoints in that of one endpoint
-OUTLIER_FAILURE_RATE = 0.5  # failures per outcome
-SLOW_ATTEMPT_REASON = "silent"
+PRIOR_WEIGHT_OUTCOMES = 1.0  # outcomes that the rate over all endpoints counts as in that of one endpoint
+OUTLIER_FAILURE_RATE = 0.5  # failures per outcome, from 0 to 1; an endpoint with this rate is an outlier
+SLOW_ATTEMPT_REASON = "silent"  # in the log; a slow attempt in flight has no status yet
 
 #: The key under which a failed attempt counts: the narrowest that its status tells of. A status that is
-#: not listed tells nothing of the endpoint. A good response counts under all keys of its request.
+#: not listed tells nothing of the endpoint. A successful response counts under all keys of its request.
 FAILURE_KEY_BY_STATUS: dict[AttemptStatus, Callable[[FailureKeys], str]] = {
     AttemptStatus.CONNECT_FAILED: lambda keys: keys.all_requests,
     AttemptStatus.RESET: lambda keys: keys.all_requests,
@@ -47,7 +47,8 @@
     def failure_rate(self, endpoint: EndpointState, key: str) -> float:
         """Return the failures per outcome expected at an endpoint, from 0 to 1.
 
-        The rate over all endpoints counts as a prior. It leads while the endpoint has few recent outcomes.
+        The rate over all endpoints counts as a prior, which weighs most while the endpoint has few recent
+        outcomes. To that rate one success is added, so that it is defined, and low, while little is known.
         """
         all_failures, all_outcomes, _ = self.totals.get(key or endpoint.zone, NO_RECORD)
         prior_rate = all_failures / (all_outcomes + 1.0)
@@ -64,7 +65,7 @@
         self._failures = failures
 
     def failure_probability(self, pending: PendingRequest, endpoint: EndpointState) -> float:
-        """Return the probability that the request fails at an endpoint: the worst under its keys."""
+        """Return the probability that the request fails at an endpoint: the highest rate under its keys."""
         return max([self._failures.failure_rate(endpoint, key) for key in pending.failure_keys])
 
     def is_outlier(self, endpoint: EndpointState) -> bool:
@@ -93,7 +94,7 @@
         )
 
     def on_slow_attempt(self, pending: PendingRequest, endpoint: EndpointState) -> DetectedOutlier | None:
-        """Record an attempt as failed that is slow and still in flight, ahead of its outcome."""
+        """Record a slow attempt in flight as failed; return the endpoint if that shows it as an outlier."""
         return self._on_failure(endpoint, pending.failure_keys.request_class, SLOW_ATTEMPT_REASON)
 
     def _on_failure(self, endpoint: EndpointState, key: str, reason: str) -> DetectedOutlier | None:
--- a/quota_gateway/policy/pending_queue.py
+++ b/quota_gateway/policy/pending_queue.py
@@ -22,7 +22,7 @@
         self.requests.pop(request_id, None)
 
     def to_shed(self, limit: float) -> PendingRequest | None:
-        """The request to shed where more are queued than may be in flight, one at least."""
+        """The least valuable request, if more are queued than ``limit`` attempts (or 1, if that is more)."""
         is_over_limit = len(self.requests) > max(1.0, limit)
         return min(self.requests.values(), key=self._value) if is_over_limit else None
 
@@ -31,5 +31,6 @@
         return sorted(self.requests.values(), key=self._value, reverse=True)
 
     def _value(self, pending: PendingRequest) -> float:
+        """The value per expected work: weighted units per millisecond of mean latency."""
         weight = pending.request_class.priority_weight * pending.plan.weight
         return weight * pending.request.units / self._latencies.mean_ms(pending)
--- a/quota_gateway/policy/request_lifecycle.py
+++ b/quota_gateway/policy/request_lifecycle.py
@@ -59,7 +59,7 @@
 
 
 class RequestRules(NamedTuple):
-    """The questions that are asked on the way of a request."""
+    """The rules that decide what becomes of a request."""
 
     admission: Admission
     scheduler: Scheduler
@@ -94,7 +94,7 @@
         self.requests: dict[str, PendingRequest] = {}
 
     def on_request(self, request: events.Request) -> None:
-        """Admit or reject a request; ignore one that is pending, as a rejection would be its answer."""
+        """Admit or reject a request; ignore one whose id is pending: a rejection would answer the first."""
         if request.request_id in self.requests:
             return
         decision = self._rules.admission.admit(request)
@@ -150,7 +150,7 @@
         self._timers.arm_slow_attempt(pending, number)
 
     def on_timer(self, timer: RequestTimer) -> None:
-        """Go on with a request for which a timer has fired."""
+        """Handle a timer of a request that has fired."""
         pending = timer.pending
         match timer:
             case AttemptSlow():
@@ -185,7 +185,7 @@
             self._give_up(pending, self._rules.give_up.on_late_attempt(pending, attempt))
 
     def on_outcome(self, event: events.Outcome) -> None:
-        """Take over how an attempt ended; retry a failed one, or answer its request."""
+        """Learn from how an attempt ended; retry a failed one, or answer its request."""
         pending = self.requests.get(event.request_id)
         if pending is None or event.attempt not in pending.in_flight:
             return
@@ -214,20 +214,20 @@
                 self._answer(pending, decision.reason)
 
     def on_stream_started(self, event: events.StreamStarted) -> None:
-        """The client gets this attempt's reply; the others are not waited for."""
+        """Cancel the other attempts, where that is permitted: the client gets the reply of this one."""
         pending = self.requests.get(event.request_id)
         if pending:
             self._move(pending, START_STREAM)
             self._cancel_attempts(pending, kept=event.attempt)
 
     def on_client_disconnected(self, event: events.ClientDisconnected) -> None:
-        """No answer is owed any more."""
+        """Close the request of a client that has gone: no answer is owed any more."""
         pending = self.requests.get(event.request_id)
         if pending and not pending.is_answered:
             self._close(pending)
 
     def on_shutdown_started(self, event: events.ShutdownStarted) -> None:
-        """Answer requests before the end of the process whose clients would wait for longer."""
+        """Move each deadline that is after the end of the process forward to that end."""
         shutdown = self._timers.shutdown
         shutdown.on_shutdown_started(event)
         for pending in list(self.requests.values()):
@@ -261,7 +261,7 @@
                     self._output.append(actions.CancelAttempt(pending.request.request_id, number))
 
     def _drop_if_done(self, pending: PendingRequest) -> None:
-        """Forget a request that is answered; one that was never delivered leaves no excess."""
+        """Forget an answered request with no attempt in flight; one never delivered leaves no excess."""
         if not pending.is_answered:
             return
         request_id = pending.request.request_id
--- a/quota_gateway/policy/request_timers.py
+++ b/quota_gateway/policy/request_timers.py
@@ -16,7 +16,7 @@
 from quota_gateway.policy.latency import LatencyStatistics
 from quota_gateway.policy.shutdown import ShutdownDeadline
 
-ANSWER_MARGIN_TICKS = 2.0  # a timer may fire one tick late
+ANSWER_MARGIN_TICKS = 2.0  # a timer may fire one tick late, and one is to spare
 
 
 class RequestTimers:
@@ -48,11 +48,11 @@
         self._arm(delay_ms, WaitOver(pending))
 
     def arm_wait(self, pending: PendingRequest, min_wait_ms: float) -> None:
-        """Set the timer of a wait that a limit has named: a tick later, as the limit may not open earlier."""
+        """Set the timer of a wait that a limit requires, a tick longer, so as not to fire before its end."""
         self._arm(min_wait_ms + self._tick_ms, WaitOver(pending))
 
     def arm_queue_timeout(self, pending: PendingRequest) -> None:
-        """Set the timer of the latest start that leaves an answer within the objective."""
+        """Set the timer of the latest start with which an answer still meets the objective."""
         time_left_ms = self._latencies.latest_start_ms(pending) - self._clock.now_ms
         self._arm(max(0.0, time_left_ms), QueueTimeout(pending))
 
@@ -65,7 +65,7 @@
         self._arm(slow_ms, AttemptSlow(pending, attempt))
 
     def arm_late_attempt(self, pending: PendingRequest, attempt: int) -> None:
-        """Set the timer of what is left of the objective to an attempt that has just become slow."""
+        """Set the timer after which an attempt that has just become slow has missed the objective."""
         late_ms = (1.0 - SLOW_RESPONSE_OBJECTIVE_SHARE) * pending.request_class.latency_objective_ms
         self._arm(late_ms, AttemptLate(pending, attempt))
 
--- a/quota_gateway/policy/retries.py
+++ b/quota_gateway/policy/retries.py
@@ -62,7 +62,7 @@
         return Retry(endpoint, is_free=_is_free_after(status))
 
     def may_retry(self, pending: PendingRequest, status: AttemptStatus, attempt: RunningAttempt) -> bool:
-        """Note a failed attempt; return whether another one may follow."""
+        """Record the failed attempt in ``pending``; return whether another attempt may follow."""
         is_over = status is AttemptStatus.OVERLOADED and pending.had_error
         pending.had_error = pending.had_error or status is AttemptStatus.ERROR
         if status not in NEVER_EXECUTED:
@@ -72,7 +72,7 @@
         return self._budget.allows(pending, is_free=_is_free_after(status))
 
     def after_slowness(self, pending: PendingRequest, attempt: RunningAttempt) -> Hedge | KeepOrMove:
-        """Decide on a slow attempt in flight: it is repeated if it is suspect and may be repeated."""
+        """Decide on a slow attempt in flight: a suspect one is hedged, or cancelled and retried."""
         if not (self._is_suspect(pending, attempt) and _may_hedge(pending)):
             return KeepOrMove.KEEP_WAITING
         pending.first_executed = pending.first_executed or attempt
@@ -97,18 +97,18 @@
 
 
 def _is_free_after(status: AttemptStatus) -> bool:
-    """Whether a retry costs nothing of the budget: no endpoint has had any work of the attempt before."""
+    """Whether a retry takes no token of the budget: the attempt before cost no endpoint any work."""
     return status is AttemptStatus.CONNECT_FAILED
 
 
 def _may_hedge(pending: PendingRequest) -> bool:
-    """Whether an attempt may be repeated while it is in flight, which at most one other is."""
+    """Whether a second attempt may start beside the one in flight; with two in flight already, none may."""
     is_repeatable = pending.request_class.idempotency is not Idempotency.NON_IDEMPOTENT
     return is_repeatable and not pending.is_answered and len(pending.in_flight) <= 1
 
 
 def is_retry_harmless(pending: PendingRequest) -> bool:
-    """Whether the client may safely send the request again: it is rejected then, and failed otherwise."""
+    """Whether the client may safely send the request again: if so it is rejected, else it fails."""
     idempotency, scope = pending.request_class.idempotency, pending.request_class.idempotency_scope
     is_keyed_everywhere = idempotency is Idempotency.KEYED and scope is IdempotencyScope.ALL
     was_not_executed = pending.first_executed is None and not pending.in_flight
--- a/quota_gateway/policy/retry_budget.py
+++ b/quota_gateway/policy/retry_budget.py
@@ -3,19 +3,19 @@
 from quota_gateway.model.pending_request import PendingRequest
 from quota_gateway.model.settings import GatewayLimits
 
-RETRY_TOKENS_PER_FIRST_ATTEMPT = 0.2
-MAX_RETRY_TOKENS = 10.0
+RETRY_TOKENS_PER_FIRST_ATTEMPT = 0.2  # one retry or hedged request costs one token
+MAX_RETRY_TOKENS = 10.0  # the budget is full at the start
 
 
 class RetryBudget:
-    """A token bucket that first attempts fill and further ones empty; bounds the load that failures add."""
+    """A token bucket that first attempts fill and further ones empty: it bounds the load that retries add."""
 
     def __init__(self, limits: GatewayLimits) -> None:
         self._max_attempts = limits.max_attempts
         self.tokens = MAX_RETRY_TOKENS
 
     def on_start(self, attempt: int, is_free: bool) -> None:
-        """Fill the budget by a first attempt, charge a further one to it unless it is free."""
+        """Add tokens for a first attempt (number 0); take one for a further attempt unless it is free."""
         if attempt == 0:
             self.tokens = min(MAX_RETRY_TOKENS, self.tokens + RETRY_TOKENS_PER_FIRST_ATTEMPT)
         elif not is_free:
--- a/quota_gateway/policy/scheduling.py
+++ b/quota_gateway/policy/scheduling.py
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Wait:
-    """The request is queued, for ``min_wait_ms`` at least where a limit names a time."""
+    """The request is queued, for ``min_wait_ms`` at least; None if no limit tells how long."""
 
     min_wait_ms: float | None = None
 
@@ -57,7 +57,7 @@
         return StartNow(endpoint) if endpoint else WAIT_FOR_CAPACITY
 
     def _is_too_long(self, pending: PendingRequest, ceiling_wait_ms: float, slot_wait_ms: float) -> bool:
-        """Whether the ceiling's wait passes the deadline, or the rotation's the latest start."""
+        """Whether the ceiling's wait ends after the deadline, or the rotation's after the latest start."""
         now_ms = self._clock.now_ms
         if ceiling_wait_ms >= pending.deadline_ms - now_ms:
             return True
@@ -66,7 +66,7 @@
     def choose_endpoint(self, pending: PendingRequest) -> EndpointState | None:
         """Choose the endpoint of a first attempt, or none while the concurrency limit is used up.
 
-        A fraction of the limit is open to the share of requests with a draw below it.
+        A limit with a fraction, such as 4.3, is 5 for the requests with a draw below that fraction, else 4.
         """
         if not self._concurrency.has_capacity(pending.slow_start_draw):
             return None
--- a/quota_gateway/policy/shutdown.py
+++ b/quota_gateway/policy/shutdown.py
@@ -1,4 +1,4 @@
-"""The end of this process, as far as it bounds deadlines: docs/decisions/engine.md."""
+"""The bound that the end of this process sets on deadlines: docs/decisions/engine.md."""
 
 from quota_gateway.model.events import ShutdownStarted
 from quota_gateway.policy.clock import DecayClock
@@ -12,13 +12,13 @@
         self._ends_at_ms: float | None = None
 
     def on_shutdown_started(self, event: ShutdownStarted) -> None:
-        """Set the end."""
+        """Set the time at which the process ends, from now on."""
         self._ends_at_ms = self._clock.now_ms + event.within_ms
 
     def precedes(self, deadline_ms: float) -> bool:
-        """Whether the process ends before this deadline."""
+        """Whether the process ends before this clock time; False before its shutdown has started."""
         return self._ends_at_ms is not None and self._ends_at_ms < deadline_ms
 
     def bound(self, deadline_ms: float) -> float:
-        """The deadline, or the end of the process if that comes first."""
+        """The earlier of this deadline and the end of the process, both clock times in milliseconds."""
         return deadline_ms if self._ends_at_ms is None else min(deadline_ms, self._ends_at_ms)
--- a/quota_gateway/policy/slow_start.py
+++ b/quota_gateway/policy/slow_start.py
@@ -4,7 +4,7 @@
 from quota_gateway.model.settings import ServiceRules
 from quota_gateway.policy.clock import DecayClock
 
-OVERLOAD_BUDGET_SHARE = 0.5  # of the overload factor; the rest is left for bursts
+OVERLOAD_BUDGET_SHARE = 0.5  # of the overload factor that is planned for; the rest is left for bursts
 
 
 class SlowStart:
@@ -15,7 +15,7 @@
         self._clock = clock
 
     def capacity_share(self, endpoint: EndpointState) -> float:
-        """Return the share of its full capacity that an endpoint has at least, from 0 to 1."""
+        """Return the share of its full capacity, from 0 to 1, that an endpoint has at least."""
         age_ms = self._clock.now_ms - endpoint.started_ms
         if endpoint.started_ms <= 0 or age_ms >= self._rules.warm_up_ms:
             return 1.0
@@ -33,8 +33,9 @@
     def pick(self, draw: float, ready: Endpoints, warming: Endpoints) -> EndpointState | None:
         """Pick the warming endpoint that a request may be sent to.
 
-        Each warming endpoint owns a range of draws, as wide as its share of the capacity of all ready
-        endpoints. The front of the range is open to requests.
+        The draws from 0 to 1 are divided: each warming endpoint in turn owns a range, as wide as its share of
+        the capacity of all ready endpoints; the rest belongs to no warming endpoint. Only requests with a
+        draw in the first part of a range may go to its endpoint, see ``_open_share``.
 
         Args:
             draw: ``PendingRequest.slow_start_draw``; the pick stays the same for it as endpoints warm up.
@@ -42,7 +43,7 @@
             warming: Those of them that warm up.
 
         Returns:
-            The endpoint, or None where the draw is in no open part.
+            The endpoint, or None where the draw is in none of these first parts.
         """
         total_capacity = sum(self.capacity_share(endpoint) for endpoint in ready)
         open_share = self._open_share(total_capacity, len(ready))
@@ -58,6 +59,6 @@
         return None
 
     def _open_share(self, total_capacity: float, ready_count: int) -> float:
-        """The share of its range of draws that a warming endpoint can serve within the overload budget."""
+        """The first part of a range, as a share of it, that fits into the overload budget of its endpoint."""
         load_factor = OVERLOAD_BUDGET_SHARE * self._rules.overload_factor
         return min(1.0, load_factor * total_capacity / ready_count)
--- a/quota_gateway/policy/state_transfer.py
+++ b/quota_gateway/policy/state_transfer.py
@@ -11,7 +11,7 @@
 
 
 class StateTransfer:
-    """Collects the state of all mechanisms, and hands a received one out to them."""
+    """Collects the state of all mechanisms for a snapshot, and restores them from one."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         self._log = log
 
     def export(self) -> None:
-        """Give out a snapshot; from now on the other process is notified of each change."""
+        """Give out a snapshot; from now on the peer process is notified of each change."""
         self._usage.has_peer_process = True
         mechanisms = self._mechanisms
         endpoints = mechanisms.endpoints
@@ -50,10 +50,10 @@
         self._output.append(StateSnapshot(state.to_json()))
 
     def restore(self, event: RestoreState) -> None:
-        """Take over the state of the previous process.
+        """Restore the state of the previous process.
 
         Raises:
-            StateError: Any part of it is malformed; none is taken over.
+            StateError: Any part of it is malformed; nothing is restored then.
         """
         mechanisms = self._mechanisms
         state = EngineState.from_json(event.state, self._settings, mechanisms.clock.now_ms)
--- a/quota_gateway/policy/subset.py
+++ b/quota_gateway/policy/subset.py
@@ -1,4 +1,4 @@
-"""The subset of the listed servers that a gateway works with: docs/decisions/subset.md."""
+"""Deterministic subsetting: which listed servers a gateway works with: docs/decisions/subset.md."""
 
 from __future__ import annotations
 
@@ -8,12 +8,13 @@
 
 from quota_gateway.policy.concurrency import INITIAL_CONCURRENCY_PER_SERVER
 
-SERVERS_PER_CONCURRENT_ATTEMPT = 4.0  # of this gateway's even share of the initial concurrency
-MIN_SUBSET_SIZE = 256  # servers
-RETAINED_NAMES_PER_SUBSET_SERVER = 2  # the subset and as many on standby
-RING_SIZE = 1 << 32
-# The multiples of these fractions, of the golden ratio and of the root of two, spread evenly over a ring for
-# any number of gateways. They differ, so that neighbors on one ring are none on the other.
+SERVERS_PER_CONCURRENT_ATTEMPT = 4.0  # for each attempt of the even share of the initial concurrency
+MIN_SUBSET_SIZE = 256  # servers; fewer save little, and a lost region could leave too few
+RETAINED_NAMES_PER_SUBSET_SERVER = 2  # the subset, and as many servers on standby
+RING_SIZE = 1 << 32  # positions on a hash ring
+# From each gateway to the next, on each ring. Multiples of these fractions (golden ratio - 1, root of 2 - 1)
+# spread evenly over a ring for any number of gateways. The fractions differ, so that neighbors on one ring
+# are not neighbors on the other.
 RING_STEPS = int(0.6180339887498949 * RING_SIZE), int(0.4142135623730951 * RING_SIZE)
 NAME_DIGEST = Struct("<2I")  # the position of a server's name on each ring
 
--- a/quota_gateway/policy/unknown_customers.py
+++ b/quota_gateway/policy/unknown_customers.py
@@ -9,14 +9,14 @@
 from quota_gateway.policy.in_flight_limit import SMALL_GATEWAY_SET_SIZE
 from quota_gateway.policy.quota import LocalQuota
 
-INITIAL_ADMITTED_SHARE = 0.2
-MIN_ADMITTED_SHARE = 0.08  # customers that are never admitted are never reported
-ADMITTED_SHARE_LOG_STEP = 0.6
-TARGET_SHARE_OF_BREAK_EVEN_REPORTS = 0.5
+INITIAL_ADMITTED_SHARE = 0.2  # of the requests of unknown customers, before any report
+MIN_ADMITTED_SHARE = 0.08  # above 0, as only admitted customers are reported, and reports raise it again
+ADMITTED_SHARE_LOG_STEP = 0.6  # change of the logarithm of the share by a report at full deviation
+TARGET_SHARE_OF_BREAK_EVEN_REPORTS = 0.5  # half, as reports are late
 
 
 class UnknownCustomerAdmission:
-    """Admits a share of the unknown customers of plans under which every gateway would admit one request."""
+    """Admits a share of the requests of unknown customers, where each gateway would admit one at least."""
 
     def __init__(self, settings: Settings, clock: DecayClock, random: Random, quota: LocalQuota) -> None:
         self._clock = clock
@@ -25,7 +25,11 @@
         self.admitted_shares = {plan.name: INITIAL_ADMITTED_SHARE for plan in settings.plans}
 
     def admits(self, customer: CustomerState, plan: Plan) -> bool:
-        """Whether a request goes on to the quota; drawn at random where no report is recent enough."""
+        """Whether a request goes on to the quota.
+
+        Drawn at random for a customer without a recent usage report, in a large gateway set, under a plan
+        whose use beyond the quota costs more than it is worth.
+        """
         is_excess_harmless = plan.excess_cost <= plan.excess_value
         if customer.gateway_set_size <= SMALL_GATEWAY_SET_SIZE or is_excess_harmless:
             return True
@@ -38,7 +42,11 @@
         return self._random.random() < self.admitted_shares[plan.name]
 
     def on_usage_report(self, customer: CustomerState, plan: Plan, usage: float) -> None:
-        """Move the admitted share of a plan by a usage report of one customer."""
+        """Move the admitted share of a plan by a usage report (1 is the whole quota) of one customer.
+
+        The share falls by a report of a customer over quota and rises by any other. It is steady where the
+        reports over quota are half of those at which they cost as much as the others earn.
+        """
         if customer.gateway_set_size <= SMALL_GATEWAY_SET_SIZE:
             return
         relative_cost = 1.0 + max(0.0, plan.excess_cost - plan.excess_value)
