--- a/quota_gateway/model/timers.py
+++ b/quota_gateway/model/timers.py
@@ -10,7 +10,7 @@
 
 
 class WaitOver(NamedTuple):
-    """A request has waited out its delay, or the time that a limit named: it may be scheduled again."""
+    """A request's delay is over, or the time for which a limit made it wait: it may be scheduled."""
 
     pending: PendingRequest
 
@@ -22,14 +22,14 @@
 
 
 class AttemptSlow(NamedTuple):
-    """An attempt has been in flight for as long as a slow response takes."""
+    """An attempt has been in flight for so long that its response would be slow."""
 
     pending: PendingRequest
     attempt: int
 
 
 class AttemptLate(NamedTuple):
-    """An attempt has been in flight for as long as the latency objective."""
+    """An attempt has been in flight for the whole latency objective or longer."""
 
     pending: PendingRequest
     attempt: int
@@ -61,7 +61,7 @@
         self.armed: dict[int, Timer] = {}
 
     def arm(self, delay_ms: float, timer: Timer) -> SetTimer:
-        """Set a timer that fires after ``delay_ms`` milliseconds; one for a request is noted there."""
+        """Set a timer that fires after ``delay_ms``; a request keeps the tokens of its timers."""
         self._last_token += 1
         token = self._last_token
         self.armed[token] = timer
@@ -74,7 +74,7 @@
         return self.armed.pop(event.token, None)
 
     def drop(self, pending: PendingRequest) -> None:
-        """Forget the timers of a request, which would keep it until the last of them is due."""
+        """Forget the timers of a request, as they would keep it in memory until the last of them is due."""
         for token in pending.timer_tokens:
             self.armed.pop(token, None)
         pending.timer_tokens.clear()
--- a/quota_gateway/policy/admission.py
+++ b/quota_gateway/policy/admission.py
@@ -19,7 +19,7 @@
 
 
 class Rejected(NamedTuple):
-    """The request is rejected; it would be admitted in ``retry_after_ms``, None for no Retry-After."""
+    """The request is rejected; it would be admitted after ``retry_after_ms``, None gives no Retry-After."""
 
     reason: AnswerReason
     retry_after_ms: float | None = None
--- a/quota_gateway/policy/decision_log.py
+++ b/quota_gateway/policy/decision_log.py
@@ -2,11 +2,11 @@
 
 from quota_gateway.model.actions import Action, LogMessage
 
-MAX_REMEMBERED_LINES = 100  # bounds memory: names of classes and plans come from clients
+MAX_REMEMBERED_LINES = 100  # bounds the memory for them
 
 
 class DecisionLog:
-    """Writes lines to the log, where asked to only once for each text."""
+    """Writes log lines; of those that repeat, each once in the life of the engine."""
 
     def __init__(self, output: list[Action]) -> None:
         self._output = output
--- a/quota_gateway/policy/outliers.py
+++ b/quota_gateway/policy/outliers.py
@@ -7,12 +7,12 @@
 from quota_gateway.model.pending_request import FailureKeys, PendingRequest
 from quota_gateway.policy.clock import DecayClock
 
-PRIOR_WEIGHT_OUTCOMES = 1.0  # weight of the failure rate over all endpoints in that of one endpoint
-OUTLIER_FAILURE_RATE = 0.5  # failures per outcome
-SLOW_ATTEMPT_REASON = "silent"  # in the log: no reply yet
+PRIOR_WEIGHT_OUTCOMES = 1.0  # outcomes that the rate over all endpoints counts as in that of one endpoint
+OUTLIER_FAILURE_RATE = 0.5  # failures per outcome, from 0 to 1; an endpoint with this rate is an outlier
+SLOW_ATTEMPT_REASON = "silent"  # in the log; a slow attempt in flight has no status yet
 
-#: The key under which a failed attempt counts: the narrowest group of requests that its status concerns.
-#: A status that is not listed does not count. A success counts under all keys of its request.
+#: The key under which a failed attempt counts: the narrowest that its status tells of. A status that is
+#: not listed tells nothing of the endpoint. A successful response counts under all keys of its request.
 FAILURE_KEY_BY_STATUS: dict[AttemptStatus, Callable[[FailureKeys], str]] = {
     AttemptStatus.CONNECT_FAILED: lambda keys: keys.all_requests,
     AttemptStatus.RESET: lambda keys: keys.all_requests,
@@ -48,8 +48,8 @@
     def failure_rate(self, endpoint: EndpointState, key: str) -> float:
         """Return the failures per outcome expected at an endpoint, from 0 to 1.
 
-        The rate over all endpoints counts as a prior, at the weight of one outcome: it prevails while the
-        endpoint has few recent outcomes.
+        The rate over all endpoints counts as a prior, which weighs most while the endpoint has few recent
+        outcomes. To that rate one success is added, so that it is defined, and low, while little is known.
         """
         all_failures, all_outcomes, _ = self.totals.get(key or endpoint.zone, NO_RECORD)
         prior_rate = all_failures / (all_outcomes + 1.0)
@@ -95,7 +95,7 @@
         )
 
     def on_slow_attempt(self, pending: PendingRequest, endpoint: EndpointState) -> DetectedOutlier | None:
-        """Record a slow attempt in flight as failed, ahead of its outcome; return as ``on_outcome`` does."""
+        """Record a slow attempt in flight as failed; return the endpoint if that shows it as an outlier."""
         return self._on_failure(endpoint, pending.failure_keys.request_class, SLOW_ATTEMPT_REASON)
 
     def _on_failure(self, endpoint: EndpointState, key: str, reason: str) -> DetectedOutlier | None:
