--- a/quota_gateway/model/actions.py
+++ b/quota_gateway/model/actions.py
@@ -25,7 +25,7 @@
     RETRY_BELOW_ONE_REQUEST = "thin_retry"  # a marked retry, where the quota share is below one request
     UNKNOWN_CUSTOMER = "unknown_customer"
     OVER_QUOTA = "over_quota"
-    NO_SLOT_IN_TIME = "no_place_in_time"
+    NO_CAPACITY_IN_TIME = "no_place_in_time"
     SHED = "shed"
     QUEUE_TIMEOUT = "queue_timeout"
     ATTEMPT_PRESUMED_LOST = "attempt_lost"
--- a/quota_gateway/model/pending_request.py
+++ b/quota_gateway/model/pending_request.py
@@ -61,7 +61,7 @@
         tried_endpoints: Ids of the endpoints that an attempt was started at.
         size: Units, rounded up: latencies are kept for each size.
         failure_keys: Keys of the failure records that it counts for.
-        slow_start_draw: Drawn at random once for the request, from 0 to below 1: decides which warming
+        random_draw: Drawn at random once for the request, from 0 to below 1: decides which warming
             endpoint it may go to, and whether a fraction of the concurrency limit admits it.
         was_delivered: Whether an endpoint may have received an attempt whole.
         had_error: Whether an endpoint has answered, but with an error.
@@ -81,10 +81,10 @@
         "in_flight",
         "is_contended",
         "plan",
+        "random_draw",
         "request",
         "request_class",
         "size",
-        "slow_start_draw",
         "state",
         "timer_tokens",
         "tried_endpoints",
@@ -98,7 +98,7 @@
         plan: Plan,
         customer: CustomerState,
         now_ms: float,
-        slow_start_draw: float,
+        random_draw: float,
     ) -> None:
         self.request = request
         self.request_class = request_class
@@ -111,7 +111,7 @@
         self.failure_keys = FailureKeys("", class_key, f"{class_key} of plan {plan.name}")
         self.state = RequestState.ADMITTED
         self.attempts = 0
-        self.slow_start_draw = slow_start_draw
+        self.random_draw = random_draw
         self.in_flight: dict[int, RunningAttempt] = {}
         self.tried_endpoints: set[int] = set()
         self.was_delivered = False
--- a/quota_gateway/policy/admission.py
+++ b/quota_gateway/policy/admission.py
@@ -67,9 +67,9 @@
     def _check_bucket(
         self, request: Request, request_class: RequestClass, plan: Plan, customer: CustomerState
     ) -> Admitted | Rejected:
-        slow_start_draw = self._random.random()
+        random_draw = self._random.random()
         now_ms = self._clock.now_ms
-        pending = PendingRequest(request, request_class, plan, customer, now_ms, slow_start_draw)
+        pending = PendingRequest(request, request_class, plan, customer, now_ms, random_draw)
         mean_ms = self._latencies.mean_ms(pending)
         delay_ms = self._bucket.offer(pending, mean_ms)
         if delay_ms is None:
--- a/quota_gateway/policy/attempt_feedback.py
+++ b/quota_gateway/policy/attempt_feedback.py
@@ -25,7 +25,7 @@
         """Charge a new attempt to ceiling, retry budget and concurrency limit; return its number."""
         number = pending.start_attempt(endpoint, self._clock.now_ms)
         if number == 0:
-            self._ceiling.draw(pending)
+            self._ceiling.charge(pending)
         self._retry_budget.on_start(number, is_free)
         self._clock.on_attempt()
         self._concurrency.on_start(pending.request.request_id, number)
--- a/quota_gateway/policy/hard_ceiling.py
+++ b/quota_gateway/policy/hard_ceiling.py
@@ -33,7 +33,7 @@
         missing = pending.request.units - self.level(customer, plan)
         return max(0.0, missing) * 1000.0 * customer.gateway_set_size / plan.ceiling_rate
 
-    def draw(self, pending: PendingRequest) -> None:
+    def charge(self, pending: PendingRequest) -> None:
         """Take the request's units out of the share of the bucket."""
         plan, customer = pending.plan, pending.customer
         if plan.ceiling_rate:
--- a/quota_gateway/policy/load_balancing.py
+++ b/quota_gateway/policy/load_balancing.py
@@ -93,7 +93,7 @@
             The endpoint, or None where there is none that the request may be sent to.
         """
         candidates = self._find_candidates(pending, ready, warming, subset_radius)
-        slow_start_pick = self._slow_start.pick(pending.slow_start_draw, ready, warming) if warming else None
+        slow_start_pick = self._slow_start.pick(pending.random_draw, ready, warming) if warming else None
         eligible = self._filter_eligible(candidates, slow_start_pick)
         ranked = sorted(eligible, key=lambda endpoint: self.cost(pending, endpoint))
         if slow_start_pick in ranked[: ceil(SLOW_START_MAX_RANK_SHARE * len(ranked))]:
--- a/quota_gateway/policy/request_lifecycle.py
+++ b/quota_gateway/policy/request_lifecycle.py
@@ -21,7 +21,7 @@
 from quota_gateway.policy.give_up import GiveUp, GiveUpRules
 from quota_gateway.policy.pending_queue import PendingQueue
 from quota_gateway.policy.request_timers import RequestTimers
-from quota_gateway.policy.retries import Hedge, KeepOrMove, Retry, RetryRules, is_retry_harmless
+from quota_gateway.policy.retries import Hedge, InFlightDecision, Retry, RetryRules, is_retry_harmless
 from quota_gateway.policy.scheduling import Scheduler, StartNow, Wait
 
 Transition = dict[RequestState, RequestState]  # from each state in which it may happen to the next one
@@ -176,7 +176,7 @@
         match decision:
             case Hedge():
                 self.start_attempt(pending, decision.endpoint)
-            case KeepOrMove.CANCEL_AND_RETRY:
+            case InFlightDecision.CANCEL_AND_RETRY:
                 self._output.append(actions.CancelAttempt(pending.request.request_id, number))
 
     def _on_late_attempt(self, pending: PendingRequest, number: int) -> None:
--- a/quota_gateway/policy/retries.py
+++ b/quota_gateway/policy/retries.py
@@ -27,7 +27,7 @@
     endpoint: EndpointState
 
 
-class KeepOrMove(Enum):
+class InFlightDecision(Enum):
     """What becomes of the attempt in flight: it goes on, or it is cancelled so that a retry follows."""
 
     KEEP_WAITING = auto()
@@ -49,11 +49,11 @@
 
     def after_failure(
         self, pending: PendingRequest, status: AttemptStatus, attempt: RunningAttempt
-    ) -> Retry | GiveUp | KeepOrMove:
+    ) -> Retry | GiveUp | InFlightDecision:
         """Decide what follows an attempt that has ended with this status, which is not OK."""
         may_retry = self.may_retry(pending, status, attempt)
         if pending.in_flight or pending.is_streaming:
-            return KeepOrMove.KEEP_WAITING
+            return InFlightDecision.KEEP_WAITING
         endpoint = self._choose_endpoint(pending) if may_retry else None
         if endpoint is None:
             return GiveUp(AnswerReason.NO_FURTHER_ATTEMPT)
@@ -69,19 +69,19 @@
             return False
         return self._budget.allows(pending, is_free=_is_free_after(status))
 
-    def after_slowness(self, pending: PendingRequest, attempt: RunningAttempt) -> Hedge | KeepOrMove:
+    def after_slowness(self, pending: PendingRequest, attempt: RunningAttempt) -> Hedge | InFlightDecision:
         """Decide on a slow attempt in flight: a suspect one is hedged, or cancelled and retried."""
         if not (self._is_suspect(pending, attempt) and _may_hedge(pending)):
-            return KeepOrMove.KEEP_WAITING
+            return InFlightDecision.KEEP_WAITING
         pending.first_executed = pending.first_executed or attempt
         if not self._budget.allows(pending) or not self._concurrency.has_capacity():
-            return KeepOrMove.KEEP_WAITING
+            return InFlightDecision.KEEP_WAITING
         other = self._choose_endpoint(pending)
         if other and other is not attempt.endpoint and self._limits.may_duplicate:
             return Hedge(other)
         if other and self._limits.can_cancel:
-            return KeepOrMove.CANCEL_AND_RETRY
-        return KeepOrMove.KEEP_WAITING
+            return InFlightDecision.CANCEL_AND_RETRY
+        return InFlightDecision.KEEP_WAITING
 
     def _is_suspect(self, pending: PendingRequest, attempt: RunningAttempt) -> bool:
         """Whether the attempt is presumed lost, or its endpoint an outlier for requests of this class."""
--- a/quota_gateway/policy/scheduling.py
+++ b/quota_gateway/policy/scheduling.py
@@ -45,7 +45,7 @@
         ceiling_wait_ms = self._ceiling.wait_ms(pending)
         slot_wait_ms = self._in_flight_limit.slot_wait_ms(pending)
         if ceiling_wait_ms is None or self._is_too_long(pending, ceiling_wait_ms, slot_wait_ms):
-            return GiveUp(AnswerReason.NO_SLOT_IN_TIME)
+            return GiveUp(AnswerReason.NO_CAPACITY_IN_TIME)
         min_wait_ms = max(ceiling_wait_ms, slot_wait_ms)
         if min_wait_ms:
             return Wait(min_wait_ms)
@@ -66,7 +66,7 @@
 
         A limit with a fraction, such as 4.3, is 5 for the requests with a draw below that fraction, else 4.
         """
-        if not self._concurrency.has_capacity(pending.slow_start_draw):
+        if not self._concurrency.has_capacity(pending.random_draw):
             return None
         endpoints = self._endpoints
         return self._balancer.choose(pending, endpoints.ready, endpoints.warming, endpoints.subset_radius)
--- a/quota_gateway/policy/slow_start.py
+++ b/quota_gateway/policy/slow_start.py
@@ -38,7 +38,7 @@
         draw in the first part of a range may go to its endpoint, see ``_open_share``.
 
         Args:
-            draw: ``PendingRequest.slow_start_draw``; the pick stays the same for it as endpoints warm up.
+            draw: ``PendingRequest.random_draw``; the pick stays the same for it as endpoints warm up.
             ready: The endpoints to work with; not empty.
             warming: Those of them that warm up.
 
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -21,7 +21,7 @@
 from quota_gateway.policy.give_up import GiveUp, GiveUpRules, Shed
 from quota_gateway.policy.mechanisms import Mechanisms
 from quota_gateway.policy.request_lifecycle import ANSWER, DELAY, ENQUEUE, START_ATTEMPT, START_STREAM
-from quota_gateway.policy.retries import Hedge, KeepOrMove, Retry, RetryRules
+from quota_gateway.policy.retries import Hedge, InFlightDecision, Retry, RetryRules
 from quota_gateway.policy.scheduling import WAIT_FOR_CAPACITY, Scheduler, StartNow, Wait
 from quota_gateway.policy.shutdown import ShutdownDeadline
 from tests.support.engine_harness import SETTINGS
@@ -94,7 +94,7 @@
     scheduler = Scheduler(mechanisms)
     assert scheduler.schedule(admit(admission, plan="ceiling")) == Wait(100.0)  # 10 units a second, none yet
     too_large = admit(admission, plan="ceiling", units=21.0)  # the ceiling holds 20
-    assert scheduler.schedule(too_large) == GiveUp(AnswerReason.NO_SLOT_IN_TIME)
+    assert scheduler.schedule(too_large) == GiveUp(AnswerReason.NO_CAPACITY_IN_TIME)
 
 
 def test_failed_attempt_is_retried_at_an_endpoint_not_tried_yet_and_free_if_none_was_connected(
@@ -119,10 +119,10 @@
     number = start_attempt(mechanisms, pending)
     attempt = pending.in_flight[number]
     mechanisms.clock.advance(2000.0)
-    assert rules.after_slowness(pending, attempt) is KeepOrMove.KEEP_WAITING
+    assert rules.after_slowness(pending, attempt) is InFlightDecision.KEEP_WAITING
     mechanisms.clock.advance(4200.0)  # eight times the mean latency of 400 ms
     hedge = Hedge(mechanisms.endpoints.by_id[2])
-    expected = hedge if is_hedged else KeepOrMove.CANCEL_AND_RETRY
+    expected = hedge if is_hedged else InFlightDecision.CANCEL_AND_RETRY
     assert rules.after_slowness(pending, attempt) == expected
 
 
