--- a/tests/unit/test_documentation.py
+++ b/tests/unit/test_documentation.py
@@ -83,6 +83,20 @@
     assert not faults, "docs/glossary.md names what is not there:\n" + "\n".join(faults)
 
 
+def test_every_row_of_the_glossary_names_a_place_that_exists():
+    rows = [line for line in page("glossary.md").splitlines() if line.startswith("| ")][1:]
+    rows = [row for row in rows if not row.startswith("| ---")]
+    assert len(rows) > 90, "docs/glossary.md has lost rows"
+    faults = [row for row in rows if not any(names_a_place(span) for span in CODE_SPAN.findall(row))]
+    assert not faults, "rows of docs/glossary.md that name no place:\n" + "\n".join(faults)
+
+
+def names_a_place(span: str) -> bool:
+    """Tell whether a span of the glossary is a module or a folder of the project."""
+    folders = (ROOT / span, ROOT / "quota_gateway" / span)
+    return find_module(span) is not None or ("/" in span and any(folder.is_dir() for folder in folders))
+
+
 @pytest.mark.parametrize(
     "span",
     [
