--- a/quota_gateway/net/handover/connection_handover.py
+++ b/quota_gateway/net/handover/connection_handover.py
@@ -1,4 +1,4 @@
-"""The clients' connections of the previous process, which it hands over one by one."""
+"""The handover of client connections, one by one, from this process to the next."""
 
 from __future__ import annotations
 
@@ -14,14 +14,15 @@
 
 log = logging.getLogger(__name__)
 
-MAX_QUEUED_PACKETS = 8  # each with a descriptor; while as many wait for the kernel no connection follows
-HANDOVER_INTERVAL_S = 0.005  # between two passes over the connections
+# Each queued packet holds a descriptor. While so many are queued, no connection is handed over.
+MAX_QUEUED_PACKETS = 8
+HANDOVER_INTERVAL_S = 0.005  # time between two passes over the connections
 
 
 class ConnectionHandover:
     """Hands each connection over to the next process as soon as no reply is pending on it.
 
-    It also reports how many descriptors this process still has of the limits that both processes share.
+    It also reports how many descriptors this process still uses of the limits that both processes share.
     """
 
     def __init__(self, channel: ProcessChannel, clients: ClientListener, upstream_pool: UpstreamPool) -> None:
@@ -33,7 +34,7 @@
         self._reported: DescriptorsInUse | None = None
 
     def run(self) -> None:
-        """Hand over all connections without a pending reply, and again after each interval."""
+        """Hand over all connections without a pending reply, now and every ``HANDOVER_INTERVAL_S``."""
         if not self.channel.closed:
             self._timer = self.loop.call_later(HANDOVER_INTERVAL_S, self.run)
         self.upstream_pool.close_all_idle()
@@ -44,14 +45,14 @@
         self.report_descriptors()
 
     def cancel(self) -> None:
-        """Hand over no further connection."""
+        """Stop handing over connections."""
         if self._timer:
             self._timer.cancel()
 
     def _hand_over(self, client: ClientConnection) -> None:
         try:
             released = client.release()
-        except OSError as error:  # short of descriptors: the next ``run`` tries again
+        except OSError as error:  # the system is short of descriptors; the next ``run`` retries
             log.warning("connection not handed over reason=%r", error)
             return
         if released is None:
@@ -67,7 +68,7 @@
         self.channel.send(ChannelMessage(to_header(connection), resumed.partial_command, descriptor))
 
     def report_descriptors(self) -> None:
-        """Send the numbers of descriptors in use, where they have changed."""
+        """Send the numbers of descriptors in use to the next process if they have changed."""
         in_use = DescriptorsInUse(self.clients.descriptors_in_use, self.upstream_pool.descriptors_in_use)
         if in_use != self._reported and not self.channel.closed:
             self._reported = in_use
--- a/quota_gateway/net/handover/handover.py
+++ b/quota_gateway/net/handover/handover.py
@@ -1,8 +1,8 @@
-"""The handover to a new version: two processes of one gateway and the channel between them.
+"""The handover from one process of a gateway to the next, for instance to a new version.
 
-The previous process listens at the rendezvous path. The next one sends ``Hello`` there and gets the state and
-the listening socket; after its ``Serving`` it gets each client's connection on which no reply is pending.
-``docs/decisions/handover.md`` has the reasons.
+The previous process listens at the rendezvous path. The next process sends ``Hello`` there and receives the
+state and the listening socket. After it has sent ``Serving``, it receives each client connection on which no
+reply is pending. ``docs/decisions/handover.md`` has the reasons.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 class Handover:
-    """Both sides of a handover: a process may take over from one and hand over to another."""
+    """Both sides of a handover: a process may take over from one process and hand over to another."""
 
     def __init__(
         self,
@@ -52,23 +52,23 @@
         return self.sender.path
 
     def take_over(self, state: HandoverState, spare_bytes: int) -> None:
-        """Take the previous process's place; until it ends buffer limits are lower by ``spare_bytes``."""
+        """Take over from the previous process; until it ends, buffer limits are lower by ``spare_bytes``."""
         self.receiver.take_over(state, spare_bytes)
 
     def listen(self) -> None:
-        """Listen for a process that takes over."""
+        """Listen for the next process."""
         self.sender.listen()
 
     def refuse(self) -> None:
-        """Let no further process take over."""
+        """Refuse all further processes that ask to take over."""
         self.sender.refuse()
 
     def is_sending(self) -> bool:
-        """Whether something is still to be sent to a peer process."""
+        """Return whether packets to a peer process are still queued."""
         return any(channel.queued_packets for channel in self.peers.channels())
 
     def close(self) -> None:
-        """Close the listener and all channels, as this process ends."""
+        """Close the listener and all channels because this process ends."""
         self.sender.stop_listening()
         for channel in self.peers.channels():
             channel.close_silently("this process ends")
--- a/quota_gateway/net/handover/message_json.py
+++ b/quota_gateway/net/handover/message_json.py
@@ -24,7 +24,7 @@
     Serving,
 )
 
-PROTOCOL_VERSION = 1  # a process of another protocol version is neither asked for its state nor given one
+PROTOCOL_VERSION = 1  # processes of different protocol versions do not exchange state
 
 Json = dict[str, Any]
 PeerMessage = (
@@ -49,7 +49,7 @@
 
 
 class MessageKind(Enum):
-    """What a message says, by the word in its ``kind``."""
+    """The kind of a message; the value is the ``kind`` in its header."""
 
     HELLO = "hello"
     OFFER = "estate"
@@ -62,7 +62,7 @@
 
     @staticmethod
     def of(header: Json) -> MessageKind | None:
-        """Return the kind of a message, None for one that only a later version knows.
+        """Return the kind of a message, None for a kind that this version does not know.
 
         Raises:
             HandoverError: The header has no kind.
@@ -95,10 +95,10 @@
     """One field of a message.
 
     Attributes:
-        name: Of the field in the code.
-        key: Of the field in the JSON.
-        convert: Converts a JSON value; raises ValueError, TypeError or OverflowError.
-        default: The value of a field that may be missing, and is then not written either. None: required.
+        name: Name of the field in the code.
+        key: Key of the field in the JSON.
+        convert: Converts a JSON value; raises ValueError, TypeError or OverflowError if it is malformed.
+        default: Value of a missing field; a field with this value is not written. None: a required field.
     """
 
     name: str
@@ -107,7 +107,11 @@
     default: Any = None
 
     def read(self, kind: MessageKind, document: Json) -> Any:
-        """Return the value; HandoverError that names kind, key and value where it is missing or malformed."""
+        """Return the value of the field in a JSON document.
+
+        Raises:
+            HandoverError: The field is missing or malformed; the message names kind, key and value.
+        """
         if self.key not in document:
             if self.default is None:
                 raise HandoverError(f"{kind.value}: {self.key} is missing")
@@ -120,7 +124,7 @@
 
 
 class MessageFormat(NamedTuple):
-    """The header of a message: its kind, the protocol version where it is named, and the fields."""
+    """The header of a message: its kind, its fields, and whether it names the protocol version."""
 
     kind: MessageKind
     fields: tuple[JsonField, ...] = ()
@@ -129,7 +133,7 @@
 
 MESSAGE_FORMATS: dict[type[PeerMessage], MessageFormat] = {
     Hello: MessageFormat(MessageKind.HELLO, names_version=True),
-    HandoverOffer: MessageFormat(MessageKind.OFFER, names_version=True),  # its fields are in the body
+    HandoverOffer: MessageFormat(MessageKind.OFFER, names_version=True),  # the fields are in the body
     Serving: MessageFormat(MessageKind.SERVING),
     HandedOverConnection: MessageFormat(
         MessageKind.CONNECTION,
@@ -176,7 +180,7 @@
 }
 OFFER_STATE = JsonField("state", "state", dict)
 OFFER_REGISTRY = JsonField("registry", "roster", dict)
-OFFER_CLOCK_OFFSET_MS = JsonField("clock_offset_ms", "clock", _finite)  # may be missing
+OFFER_CLOCK_OFFSET_MS = JsonField("clock_offset_ms", "clock", _finite)  # optional: not every version sends it
 
 
 def to_header(message: PeerMessage) -> Json:
@@ -196,7 +200,7 @@
     """Read a message of this type.
 
     Raises:
-        HandoverError: It is malformed, or of another protocol version.
+        HandoverError: The message is malformed, or of another protocol version.
     """
     message_format = MESSAGE_FORMATS[message_type]
     if message_format.names_version:
@@ -207,13 +211,13 @@
 
 def _check_kind_and_version(kind: MessageKind, header: Json) -> None:
     if header.get("kind") != kind.value:
-        raise HandoverError(f"{kind.value}: kind={header.get('kind')!r:.200} instead")
+        raise HandoverError(f"{kind.value}: kind={header.get('kind')!r:.200} is another kind of message")
     if header.get("version") != PROTOCOL_VERSION:
         raise HandoverError(f"{kind.value}: version={header.get('version')!r:.200} is not {PROTOCOL_VERSION}")
 
 
 def encode_offer_body(offer: HandoverOffer) -> bytes:
-    """Return the body of an offer. It is apart from the header, as the state may be long."""
+    """Return the body of an offer. The state is not in the header because it may be long."""
     body: Json = {OFFER_STATE.key: offer.state, OFFER_REGISTRY.key: offer.registry}
     if offer.clock_offset_ms is not None:
         body[OFFER_CLOCK_OFFSET_MS.key] = offer.clock_offset_ms
@@ -224,7 +228,7 @@
     """Read an offer.
 
     Raises:
-        HandoverError: It is another message, of another protocol version or malformed.
+        HandoverError: The message is of another kind or protocol version, or malformed.
     """
     kind = MessageKind.OFFER
     _check_kind_and_version(kind, header)
@@ -233,7 +237,7 @@
     except ValueError as error:
         raise HandoverError(f"{kind.value}: the body is not JSON: {error}") from error
     if not isinstance(document, dict):
-        raise HandoverError(f"{kind.value}: the body is no object: {document!r:.200}")
+        raise HandoverError(f"{kind.value}: the body is not an object: {document!r:.200}")
     names_clock = OFFER_CLOCK_OFFSET_MS.key in document
     return HandoverOffer(
         state=OFFER_STATE.read(kind, document),
--- a/quota_gateway/net/handover/packets.py
+++ b/quota_gateway/net/handover/packets.py
@@ -1,7 +1,8 @@
-"""The form of messages on a process channel, without sockets.
+"""The packet format of messages on a process channel, without sockets.
 
-A message is a header as a line of JSON, raw bytes and at most one descriptor. It travels in packets that the
-kernel keeps whole: a first byte that says whether more follow, then a piece of the message.
+A message has a header, which is one line of JSON, a body of raw bytes and at most one descriptor. It is sent
+in packets, which the kernel delivers whole. The first byte of a packet says whether more packets of the
+message follow; the rest is a piece of the message.
 """
 
 from __future__ import annotations
@@ -13,11 +14,11 @@
 
 from quota_gateway.errors import HandoverError
 
-PIECE_BYTES = 60 * 1024  # of a message in a packet: the kernel's buffer for a Unix socket holds some of them
+PIECE_BYTES = 60 * 1024  # message bytes per packet; the kernel's socket buffer holds several packets
 MAX_PACKET_BYTES = PIECE_BYTES + 1
-MAX_MESSAGE_BYTES = 32 * 1024 * 1024  # a message without end is malformed
-MORE_FOLLOWS = b"+"  # the first byte of a packet
-LAST_PACKET = b"."
+MAX_MESSAGE_BYTES = 32 * 1024 * 1024  # a longer message is malformed, as it may never end
+MORE_FOLLOWS = b"+"  # first byte of all packets of a message except the last
+LAST_PACKET = b"."  # first byte of the last packet of a message
 
 
 def close_descriptor(descriptor: int | None) -> None:
@@ -27,7 +28,7 @@
 
 
 class ChannelMessage(NamedTuple):
-    """A message to send; its descriptor is the channel's from then on."""
+    """A message to send. The channel that sends it takes over its descriptor."""
 
     header: dict[str, Any]
     body: bytes = b""
@@ -35,14 +36,14 @@
 
 
 class Packet(NamedTuple):
-    """What the kernel is given at once; the descriptor is open until the kernel has taken it."""
+    """A packet to send. Its descriptor stays open until the kernel has taken the packet."""
 
     data: bytes
     descriptor: int | None
 
 
 def split_into_packets(message: ChannelMessage) -> list[Packet]:
-    """Split a message; its descriptor goes with the first packet."""
+    """Split a message into packets; its descriptor is sent with the first one."""
     data = json.dumps(message.header).encode() + b"\n" + message.body
     packets = []
     descriptor = message.descriptor
@@ -55,7 +56,7 @@
 
 
 class ReceivedMessage:
-    """A message that was received. It owns its descriptor until that is taken, and closes it otherwise."""
+    """A received message. It owns its descriptor until ``take_socket`` or ``close`` is called."""
 
     __slots__ = ("body", "descriptor", "header")
 
@@ -65,11 +66,11 @@
         self.descriptor = descriptor
 
     def take_socket(self) -> socket.socket:
-        """Return the descriptor as a socket, which is the caller's from now on.
+        """Return the descriptor as a socket, which the caller then owns.
 
         Raises:
-            HandoverError: The message came without a descriptor, or it has been taken.
-            OSError: The descriptor is no socket; it is still the message's.
+            HandoverError: The message has no descriptor, or it was taken already.
+            OSError: The descriptor is not a socket; the message still owns it.
         """
         if self.descriptor is None:
             raise HandoverError(f"{self.header.get('kind')!r:.200}: descriptor is missing")
@@ -78,13 +79,13 @@
         return sock
 
     def close(self) -> None:
-        """Close the descriptor if nobody has taken it."""
+        """Close the descriptor unless it was taken."""
         close_descriptor(self.descriptor)
         self.descriptor = None
 
 
 class MessageAssembler:
-    """Puts packets together to messages. It owns the descriptor of a message that is not complete yet."""
+    """Assembles messages from packets. It owns the descriptor of a message that is not complete yet."""
 
     __slots__ = ("_descriptor", "_pieces")
 
@@ -93,7 +94,7 @@
         self._descriptor: int | None = None
 
     def add_descriptors(self, descriptors: list[int]) -> None:
-        """Keep the first descriptor of the message, and close all others."""
+        """Keep the first descriptor of the message and close all others."""
         for descriptor in descriptors:
             if self._descriptor is None:
                 self._descriptor = descriptor
@@ -101,10 +102,10 @@
                 os.close(descriptor)
 
     def add_packet(self, data: bytes, is_truncated: bool) -> ReceivedMessage | None:
-        """Return the message that this packet completes, if it does.
+        """Add a packet; return the message if this packet completes it, else None.
 
         Raises:
-            HandoverError: The packet or the message is malformed, or the message is too long.
+            HandoverError: The packet or the header is malformed, or the message is too long.
         """
         mark = data[:1]
         self._pieces.append(data[1:])
@@ -131,6 +132,6 @@
         return ReceivedMessage(header, body, descriptor)
 
     def close(self) -> None:
-        """Close the descriptor of a message that was not completed."""
+        """Close the descriptor of a message that is not complete."""
         close_descriptor(self._descriptor)
         self._descriptor = None
--- a/quota_gateway/net/handover/peer_messages.py
+++ b/quota_gateway/net/handover/peer_messages.py
@@ -1,7 +1,7 @@
 """The messages between two processes of one gateway, as typed values.
 
-``message_json.py`` maps them to JSON. ``PeerProcessUsage`` of the model is a message too. They are named
-tuples, as these are cheaper to define at each start than dataclasses; see ``docs/decisions/handover.md``.
+``message_json.py`` maps them to JSON. ``PeerProcessUsage`` of the model is a message too. The messages are
+named tuples, which are cheaper to define at each start than dataclasses; see ``docs/decisions/handover.md``.
 """
 
 from __future__ import annotations
@@ -14,12 +14,13 @@
 
 
 class HandoverOffer(NamedTuple):
-    """The state of the previous process; its listening socket comes with the message.
+    """The state of the previous process. Its listening socket for clients is sent with the message.
 
     Attributes:
-        state: The policy engine's.
-        registry: The endpoint registry's.
-        clock_offset_ms: Of the clock of all times in both; None from a version that doesn't say.
+        state: State of the policy engine, as JSON.
+        registry: State of the endpoint registry, as JSON.
+        clock_offset_ms: Offset of the clock to which all times in both states refer; None from a version
+            that does not send it.
     """
 
     state: dict[str, Any]
@@ -28,18 +29,18 @@
 
 
 class Serving(NamedTuple):
-    """The next process serves: connections may be handed over to it."""
+    """Tells that the next process serves, so that connections may be handed over to it."""
 
 
 class HandedOverConnection(NamedTuple):
-    """A client's connection that is handed over; its descriptor and partial command come with the message.
+    """A client connection that is handed over. Its descriptor and partial command are sent with the message.
 
     Attributes:
-        has_sent_command: Whether the client has ever sent a command.
-        request_count: Requests on this connection so far.
-        command_due_for_s: For how long a command has been due.
-        waited_s: For how long nothing has been read on it.
-        silent_s: Since the last byte of its partial command came.
+        has_sent_command: Whether the client has ever sent a complete command.
+        request_count: Number of requests on this connection so far.
+        command_due_for_s: Seconds for which a command has been due.
+        waited_s: Seconds for which nothing has been read from the connection.
+        silent_s: Seconds since the last byte of the partial command came.
     """
 
     has_sent_command: bool
@@ -50,20 +51,25 @@
 
 
 class DescriptorsInUse(NamedTuple):
-    """How many descriptors the previous process still has of the limits that both processes share."""
+    """How many descriptors the previous process still uses of the limits that both processes share.
+
+    Attributes:
+        clients: Number of descriptors for client connections.
+        upstream: Number of descriptors for upstream connections.
+    """
 
     clients: int
     upstream: int
 
 
 class DetachmentRequest(NamedTuple):
-    """An operator's call, to be carried out by the peer process as well.
+    """An admin call that detaches or attaches a server, for the peer process to carry out as well.
 
     Attributes:
-        name: The server's, as discovery has it.
-        detached: Whether it is to be detached, or attached again.
-        known: Whether the sender knows the server; the receiver relies on it.
-        number: Of the request, repeated in the reply.
+        name: Name of the server, as discovery has it.
+        detached: True to detach the server, False to attach it again.
+        known: Whether the sender knows the server. If so, the receiver accepts a name that it does not know.
+        number: Number of the request, which the reply repeats.
     """
 
     name: str
@@ -73,10 +79,10 @@
 
 
 class DetachmentReply(NamedTuple):
-    """The peer process has carried out a detachment request.
+    """Tells that the peer process has carried out a detachment request.
 
     Attributes:
-        number: Of the request.
+        number: Number of the request.
         known: Whether the peer process knows the server.
     """
 
--- a/quota_gateway/net/handover/peer_processes.py
+++ b/quota_gateway/net/handover/peer_processes.py
@@ -1,4 +1,4 @@
-"""The peer processes of this gateway during an upgrade: the requests and notifications to them."""
+"""The peer processes of this gateway during an upgrade, with the requests and notifications to them."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from quota_gateway.net.handover.peer_messages import DetachmentReply, DetachmentRequest
 from quota_gateway.net.handover.process_channel import ChannelMessage, ProcessChannel
 
-DETACHMENT_TIMEOUT_S = 0.4  # for the peer process to carry out a detachment: an operator waits 1 s in all
+DETACHMENT_TIMEOUT_S = 0.4  # wait for the peer process's reply; an operator waits 1 s for the whole call
 
 UsageListener = Callable[[PeerProcessUsage], None]
 
 
 class PeerProcesses:
-    """The channels to the previous process and to the next one, where there are any."""
+    """The channels to the previous and to the next process, as far as there are any."""
 
     def __init__(self) -> None:
         self.previous: ProcessChannel | None = None
@@ -25,24 +25,24 @@
         self._last_request_number = 0
 
     def channels(self) -> list[ProcessChannel]:
-        """The channels that are open."""
+        """Return the channels to all peer processes."""
         return [channel for channel in (self.previous, self.next) if channel]
 
     def notify_usage(self, usage: PeerProcessUsage) -> None:
-        """Notify the peer process of what is in flight for a customer here."""
+        """Notify all peer processes of a customer's usage in this process."""
         for channel in self.channels():
             channel.send(ChannelMessage(to_header(usage)))
 
     async def set_detached(self, name: str, detached: bool, known: bool) -> bool:
-        """Have the peer process, if there is one, detach or attach a server.
+        """Ask the peer process, if there is one, to detach or attach a server.
 
         Args:
-            name: The server's name, as discovery has it.
-            detached: Whether it is to be detached, or attached again.
+            name: Name of the server, as discovery has it.
+            detached: True to detach the server, False to attach it again.
             known: Whether this process knows the server.
 
         Returns:
-            Whether the peer process knows the server; False if it has not replied in time.
+            Whether the peer process knows the server; False if there is none or it has not replied in time.
         """
         pending = [self._request_detachment(channel, name, detached, known) for channel in self.channels()]
         if not pending:
@@ -61,13 +61,13 @@
         return reply
 
     def on_detachment_reply(self, reply: DetachmentReply) -> None:
-        """Settle the request that the peer process has carried out."""
+        """Complete the pending request that this reply answers."""
         pending = self._pending.pop(reply.number, None)
         if pending and not pending.done():
             pending.set_result(reply)
 
     def on_process_ended(self) -> None:
-        """Settle all requests: a process that has ended replies to none."""
+        """Complete all pending requests, as a process that has ended does not reply."""
         for number, pending in self._pending.items():
             if not pending.done():
                 pending.set_result(DetachmentReply(number, known=False))
--- a/quota_gateway/net/handover/peer_requests.py
+++ b/quota_gateway/net/handover/peer_requests.py
@@ -1,4 +1,4 @@
-"""The messages that either process of an upgrade may send, whichever of them is the new one."""
+"""Handles the messages that the previous and the next process may both send during an upgrade."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class PeerRequestHandler:
-    """Carries out the messages that both sides of a handover take."""
+    """Handles the messages that both sides of a handover accept."""
 
     def __init__(self, driver: Driver, detachments: Detachments, peers: PeerProcesses) -> None:
         self.driver = driver
@@ -20,7 +20,7 @@
         self.peers = peers
 
     def handle(self, channel: ProcessChannel, message: ReceivedMessage) -> None:
-        """Carry out a message; one of a kind that only one side takes, or that is unknown, has no effect.
+        """Handle a message. Messages that only one side accepts, and those of unknown kinds, are ignored.
 
         Raises:
             HandoverError: The message is malformed.
--- a/quota_gateway/net/handover/process_channel.py
+++ b/quota_gateway/net/handover/process_channel.py
@@ -1,4 +1,4 @@
-"""A channel between two processes of one gateway: whole messages in order, over a Unix socket."""
+"""A channel between two processes of one gateway: it carries whole messages in order over a Unix socket."""
 
 from __future__ import annotations
 
@@ -26,17 +26,17 @@
 
 log = logging.getLogger(__name__)
 
-WRITE_RETRY_S = 0.005  # after a write failed for want of memory or descriptors
+WRITE_RETRY_S = 0.005  # delay after a write that failed for lack of memory or descriptors
 MAX_DESCRIPTORS_PER_PACKET = 2  # one is expected; a second one is received so that it can be closed
 
 MessageReceiver = Callable[[ReceivedMessage], None]
 
 
 class ChannelState(IntEnum):
-    """What a channel still does. A channel only goes forwards through these states, and may skip some."""
+    """The state of a channel. A channel only advances through these states, and may skip some."""
 
-    OPEN = 0  # sends and receives
-    RESET = 1  # the peer process has ended with something unread; what it sent is still read
+    OPEN = 0  # messages are sent and received
+    RESET = 1  # the peer process has ended with unread data; what it sent is still read
     SEND_FAILED = 2  # nothing is sent any more; what the peer process sent is still read
     CLOSED = 3
 
@@ -46,7 +46,7 @@
 
 
 class ProcessChannel:
-    """One connection between two processes: whole messages in order, each with a descriptor at most.
+    """A connection between two processes for whole messages, in order, each with at most one descriptor.
 
     ``on_end`` is called once, when the channel is closed by either side.
     """
@@ -58,7 +58,7 @@
         self._state = ChannelState.OPEN
         self._outgoing: deque[Packet] = deque()
         self._assembler = MessageAssembler()
-        self._received: deque[ReceivedMessage] = deque()  # for which there was no receiver yet
+        self._received: deque[ReceivedMessage] = deque()  # messages that came before the receiver was set
         self._receiver: MessageReceiver | None = None
         self._message_or_end = asyncio.Event()
         sock.setblocking(False)
@@ -66,12 +66,12 @@
 
     @property
     def closed(self) -> bool:
-        """Whether it is closed, by either side."""
+        """Whether either side has closed the channel."""
         return self._state is ChannelState.CLOSED
 
     @property
     def queued_packets(self) -> int:
-        """How many packets wait for the kernel to take them."""
+        """Number of packets that the kernel has not taken yet."""
         return len(self._outgoing)
 
     def _advance(self, state: ChannelState) -> None:
@@ -80,7 +80,7 @@
     # ---- Sending
 
     def send(self, message: ChannelMessage) -> None:
-        """Queue a message. Its descriptor is this channel's from now on, and closed once it is sent."""
+        """Queue a message. The channel takes over its descriptor, and closes it once it is sent."""
         if self._state >= ChannelState.SEND_FAILED:
             close_descriptor(message.descriptor)
             return
@@ -109,8 +109,8 @@
     def _on_write_error(self, error: OSError) -> None:
         """Retry later if the system is short of descriptors or memory; else the peer process has ended.
 
-        What it sent before is still read, to the end. The loop may not call the reader for it: the kernel
-        reports a reset once, and this write may have been told.
+        What the peer process sent before is still read to the end. The event loop may not call the reader
+        again: the kernel reports a reset only once, and may have reported it to this write.
         """
         if error.errno in SHORTAGE_ERRORS:
             self.loop.remove_writer(self.sock)
@@ -135,8 +135,8 @@
             return
         except OSError as error:
             if error.errno in SHORTAGE_ERRORS:
-                return  # the loop calls again, as what was sent is still there
-            self.close(f"can't be read: {error!r}")
+                return  # the event loop calls again, as the data is still unread
+            self.close(f"read failed: {error!r}")
             return
         self._assembler.add_descriptors(descriptors)
         if not data:
@@ -147,15 +147,15 @@
             self.loop.call_soon(self._read_after_reset)
 
     def _read_after_reset(self) -> None:
-        """Go on reading to the end: after a reset the loop does not call the reader any more."""
+        """Read on to the end, as the event loop does not call the reader again after a reset."""
         if not self.closed:
             self._on_readable()
 
     def _receive(self) -> tuple[bytes, list[int], int, Any]:
-        """Read one packet.
+        """Receive one packet.
 
-        A reset says that the peer process ended with something unread. What it has sent, and its end, are
-        read now, as the loop reports a reset once and does not call the reader again.
+        A reset means that the peer process ended with unread data. What it has sent, and the end, are read
+        now, as the event loop reports a reset once and does not call the reader again.
         """
         try:
             return socket.recv_fds(self.sock, MAX_PACKET_BYTES, MAX_DESCRIPTORS_PER_PACKET)
@@ -175,9 +175,10 @@
             self._deliver()
 
     def set_receiver(self, receiver: MessageReceiver) -> None:
-        """Deliver messages to this receiver from now on, those that have come already first.
+        """Deliver messages to this receiver from now on, beginning with those received already.
 
-        A receiver that raises ends the channel. The descriptor of a message is closed unless it takes it.
+        The channel is closed if the receiver raises. The descriptor of a message is closed unless the
+        receiver takes it.
         """
         self._receiver = receiver
         self._deliver()
@@ -188,20 +189,21 @@
             try:
                 self._receiver(message)
             except (ValueError, KeyError, TypeError, AttributeError, OSError) as error:
-                # Not only malformed messages: a state that can't be encoded must not leave clients suspended.
+                # Other errors close the channel too: a state that can't be encoded must not leave clients
+                # suspended.
                 self.close(f"malformed message: {error!r}")
             finally:
                 message.close()
 
     async def first_message(self) -> ReceivedMessage | None:
-        """Return the first message, which the caller has to close, or None when the channel ended."""
+        """Return the first message, which the caller has to close, or None if the channel ended before it."""
         await self._message_or_end.wait()
         return self._received.popleft() if self._received else None
 
     # ---- End
 
     def close(self, reason: str) -> None:
-        """Close it, log the reason, and call ``on_end``. Nothing happens if it is closed already."""
+        """Close the channel, log the reason and call ``on_end``, unless the channel is closed already."""
         if self.closed:
             return
         self._advance(ChannelState.CLOSED)
@@ -218,6 +220,6 @@
         self.on_end()
 
     def close_silently(self, reason: str) -> None:
-        """Close it without a call to ``on_end``, as this process ends."""
+        """Close the channel without a call to ``on_end`` because this process ends."""
         self.on_end = _ignore_end
         self.close(reason)
--- a/quota_gateway/net/handover/receiver.py
+++ b/quota_gateway/net/handover/receiver.py
@@ -1,4 +1,4 @@
-"""The next process's side of a handover: asks for the state, then takes over connections."""
+"""The next process's side of a handover: it requests the state, then takes over connections."""
 
 from __future__ import annotations
 
@@ -25,21 +25,21 @@
 
 log = logging.getLogger(__name__)
 
-REQUEST_TIMEOUT_S = 1.0  # after it no failed request for the state is retried
-REQUEST_RETRY_S = 0.02  # between two requests: a shortage may be over at any moment
-OFFER_TIMEOUT_S = 1.5  # for the state, after hello: the start goes on without it
+REQUEST_TIMEOUT_S = 1.0  # limit of the retries of failed requests for the state
+REQUEST_RETRY_S = 0.02  # delay between two requests; a shortage may end at any moment
+OFFER_TIMEOUT_S = 1.5  # wait for the state after Hello; the start then goes on without it
 
 
 class HandoverState(NamedTuple):
-    """What the previous process has handed over, and the channel to it.
+    """What the previous process has handed over, and the channel to that process.
 
     Attributes:
-        channel: To the previous process.
+        channel: Channel to the previous process.
         listener: The listening socket for clients.
         state: The state of the policy engine, as JSON.
         registry: The state of the endpoint registry, as JSON.
-        clock_offset_ms: The offset of the clock by which times in both are given; None from a version that
-            does not send it.
+        clock_offset_ms: Offset of the clock to which all times in both states refer; None from a version
+            that does not send it.
     """
 
     channel: ProcessChannel
@@ -52,11 +52,12 @@
 async def request_handover(path: Path | None) -> HandoverState | None:
     """Ask the previous process for its state; see ``docs/decisions/handover.md``.
 
-    The request is retried where either process is short of descriptors or memory for a moment: a start
-    without the state knows neither buckets nor detachments.
+    The request is retried if either process is short of descriptors or memory for a moment, because a start
+    without the state knows neither the customers' buckets nor the detachments.
 
     Returns:
-        None if there is no such process, or it is silent or malformed: this one starts without a handover.
+        The state, or None if there is no previous process, it is silent or its message is malformed. This
+        process then starts without a handover.
     """
     loop = asyncio.get_running_loop()
     give_up_at = loop.time() + REQUEST_TIMEOUT_S
@@ -72,15 +73,18 @@
 
 
 class ChannelEndedError(Exception):
-    """The previous process has ended the channel without a state."""
+    """The previous process closed the channel without sending its state."""
 
 
 async def _request_once(path: Path) -> HandoverState | None:
-    """Ask for the state once; None as in ``request_handover``.
+    """Ask the previous process for its state once.
+
+    Returns:
+        The state, or None if there is no previous process, it is silent or its message is malformed.
 
     Raises:
         OSError: The system is short of descriptors or memory.
-        ChannelEndedError: The channel ended without a state.
+        ChannelEndedError: The previous process closed the channel without sending its state.
     """
     sock = rendezvous.connect(path)
     if sock is None:
@@ -94,7 +98,7 @@
         channel.close("previous process is silent")
         return None
     if message is None:
-        raise ChannelEndedError("it ended the channel")
+        raise ChannelEndedError("previous process closed the channel without sending its state")
     try:
         return _state_from(channel, message)
     except (HandoverError, OSError) as error:
@@ -105,22 +109,22 @@
 
 
 def _state_from(channel: ProcessChannel, message: ReceivedMessage) -> HandoverState:
-    """Read the offer.
+    """Read the previous process's offer and take its listening socket.
 
     Raises:
-        HandoverError: It is malformed, or its descriptor is no listening socket.
-        OSError: Its descriptor is no socket.
+        HandoverError: The offer is malformed, or its descriptor is not a listening socket.
+        OSError: The descriptor is not a socket.
     """
     offer = read_offer(message.header, message.body)
     listener = message.take_socket()
     if not listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
         listener.close()
-        raise HandoverError("estate: descriptor is no listening socket")
+        raise HandoverError("estate: descriptor is not a listening socket")
     return HandoverState(channel, listener, offer.state, offer.registry, offer.clock_offset_ms)
 
 
 class HandoverReceiver:
-    """The next process's side of a handover, from the moment that it serves."""
+    """The next process's side of a handover, from the moment that this process serves."""
 
     def __init__(
         self,
@@ -136,14 +140,14 @@
         self.upstream_pool = upstream_pool
         self.peers = peers
         self.requests = requests
-        self._spare_bytes = 0  # of either buffer limit, left to the previous process until it ends
+        self._spare_bytes = 0  # taken off both buffer limits until the previous process ends
 
     def take_over(self, handover_state: HandoverState, spare_bytes: int) -> None:
-        """Take the previous process's place: this process serves now.
+        """Take over from the previous process, and tell it that this process serves.
 
         Args:
             handover_state: What the previous process has handed over.
-            spare_bytes: By how much both buffer limits are lower until that process has ended.
+            spare_bytes: Bytes by which both buffer limits are lower until the previous process has ended.
         """
         channel = handover_state.channel
         self.peers.previous = channel
--- a/quota_gateway/net/handover/rendezvous.py
+++ b/quota_gateway/net/handover/rendezvous.py
@@ -1,4 +1,4 @@
-"""The Unix socket at which the processes of one gateway meet."""
+"""The Unix socket at which the next process of a gateway connects to the previous one."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 
 log = logging.getLogger(__name__)
 
-BACKLOG_PROCESSES = 4  # that connect at the same time; one is expected
-OWNER_ONLY_MODE = 0o600  # who may connect gets the clients' connections
+BACKLOG_PROCESSES = 4  # processes that connect at the same time; one is expected
+OWNER_ONLY_MODE = 0o600  # a process that may connect can receive the clients' connections
 
 
 def rendezvous_path(address: Address) -> Path | None:
-    """Return where the processes of the gateway at this address meet, None without $TMPDIR."""
+    """Return the path of the rendezvous socket of the gateway at this address, None without $TMPDIR."""
     folder = os.environ.get("TMPDIR")
     return Path(folder) / f"handover-{address[0]}-{address[1]}" if folder else None
 
 
 @contextmanager
 def _short_name(path: Path) -> Iterator[str]:
-    """Give a name of the path that is short enough for a socket, valid inside the block."""
+    """Yield a name of the path that is short enough for a Unix socket; it is valid inside the block only."""
     folder = os.open(path.parent, os.O_PATH | os.O_DIRECTORY)
     try:
         yield f"/proc/self/fd/{folder}/{path.name}"
@@ -36,10 +36,13 @@
 
 
 def connect(path: Path) -> socket.socket | None:
-    """Connect to the process that listens at the path; None if there is none, or Unix sockets are refused.
+    """Connect to the process that listens at the path.
+
+    Returns:
+        The connected socket, None if no process listens there or Unix sockets are refused.
 
     Raises:
-        OSError: Descriptors, memory or the process's backlog are short; a later call may succeed.
+        OSError: Descriptors, memory or the listener's backlog are exhausted; a later call may succeed.
     """
     try:
         with _short_name(path) as name:
@@ -47,7 +50,7 @@
     except OSError as error:
         if error.errno in SHORTAGE_ERRORS:
             raise
-        if error.errno != errno.ENOENT:  # with nothing there, this is the first process
+        if error.errno != errno.ENOENT:  # a missing path is expected: this is the first process
             log.info("handover not requested path=%s reason=%r", path, error)
         return None
 
@@ -64,7 +67,10 @@
 
 
 def listen(path: Path) -> socket.socket | None:
-    """Listen at the path, in place of whatever is there, in use or not; None if Unix sockets are refused.
+    """Listen at the path. A socket that is there already is replaced, even if it is in use.
+
+    Returns:
+        The listening socket, None if Unix sockets are refused.
 
     Raises:
         OSError: Descriptors, memory or disk are short, or the name is in use; a later call may succeed.
@@ -80,7 +86,7 @@
 
 
 def _listening(name: str) -> socket.socket:
-    """Bind under a name of its own first, then rename it: there is no moment without a listener."""
+    """Bind to a temporary name first, then rename it, so that the path always has a listener."""
     own_name = Path(f"{name}.{os.getpid()}")
     with suppress(FileNotFoundError):
         own_name.unlink()
--- a/quota_gateway/net/handover/sender.py
+++ b/quota_gateway/net/handover/sender.py
@@ -1,7 +1,7 @@
 """The previous process's side of a handover.
 
-It listens at the rendezvous path, sends its state to the next process, which says hello there, then hands
-over the clients' connections.
+The previous process listens at the rendezvous path, sends its state to the next process after its ``Hello``,
+then hands over the client connections.
 """
 
 from __future__ import annotations
@@ -30,9 +30,10 @@
 
 log = logging.getLogger(__name__)
 
-HELLO_TIMEOUT_S = 2.0  # after a process has connected: a silent one holds a descriptor
-SERVING_TIMEOUT_S = 1.5  # after the state was sent: nobody accepts until the next process serves
-LISTEN_RETRY_S = 0.5  # between two tries, where the path is not available for a moment
+HELLO_TIMEOUT_S = 2.0  # wait for Hello after a process has connected; a silent process holds a descriptor
+# Wait for Serving after the state is sent. Neither process accepts clients until then.
+SERVING_TIMEOUT_S = 1.5
+LISTEN_RETRY_S = 0.5  # time between two attempts while the path is not available
 
 
 class HandoverSender:
@@ -70,7 +71,7 @@
     # ---- Listening
 
     def listen(self) -> None:
-        """Listen for a process that takes over. Whatever is at the path is replaced, in use or not."""
+        """Listen for the next process. A socket that is at the path already is replaced, even if in use."""
         if self._is_refusing:
             return
         try:
@@ -86,7 +87,7 @@
         self.loop.add_reader(listener, self._on_connect)
 
     def stop_listening(self) -> None:
-        """Accept no further process. The path stays as it is: another process may listen there already."""
+        """Stop listening. The path is not removed, as another process may listen there already."""
         if self._listen_retry:
             self._listen_retry.cancel()
         if self.listener:
@@ -95,7 +96,7 @@
             self.listener = None
 
     def refuse(self) -> None:
-        """Accept no further process from now on, even if the one that takes over dies."""
+        """Accept no further process from now on, even if the next process ends before it serves."""
         self._is_refusing = True
         self.stop_listening()
 
@@ -106,14 +107,14 @@
         except OSError:
             return
         channel = ProcessChannel(sock)
-        timeout = self.loop.call_later(HELLO_TIMEOUT_S, channel.close, "no hello in time")
+        timeout = self.loop.call_later(HELLO_TIMEOUT_S, channel.close, "no hello received in time")
         channel.on_end = timeout.cancel
 
         def on_hello(message: ReceivedMessage) -> None:
             timeout.cancel()
             from_header(Hello, message.header)
             if self.peers.next:
-                raise HandoverError("hello: another process is taking over")
+                raise HandoverError("hello: another process is taking over already")
             self._send_state(channel)
 
         channel.set_receiver(on_hello)
@@ -121,14 +122,17 @@
     # ---- The state
 
     def _send_state(self, channel: ProcessChannel) -> None:
-        """Stop accepting and reading, and send the state. Connections follow once the next process serves."""
+        """Stop accepting and reading, and send the state.
+
+        Connections are handed over once the next process serves.
+        """
         if self.clients.listening_socket is None:
-            channel.close("this process has stopped listening")
+            channel.close("this process has stopped listening for clients")
             return
         try:
             listening_socket = os.dup(self.clients.listening_socket.fileno())
         except OSError as error:
-            channel.close(f"the listening socket can not be handed over: {error!r}")
+            channel.close(f"duplicating the listening socket failed: {error!r}")
             return
         log.info("handover requested")
         self._enter(SenderState.STATE_SENT)
@@ -147,7 +151,7 @@
         )
 
     def _on_next_ended(self) -> None:
-        """Serve on as before: the channel to the next process has ended, whether it served or not."""
+        """Resume serving: the channel to the next process has ended, whether that process served or not."""
         log.warning("handover aborted, serving resumed")
         if self._serving_timeout:
             self._serving_timeout.cancel()
--- a/quota_gateway/net/handover/states.py
+++ b/quota_gateway/net/handover/states.py
@@ -1,4 +1,4 @@
-"""The states of a handover, for either side, with the transitions between them.
+"""The states of both sides of a handover, and the transitions between them.
 
 The value of a state is its label in the metric ``state_transitions_total``; labels never change.
 """
@@ -9,29 +9,29 @@
 
 
 class SenderState(Enum):
-    """How far this process has handed over to the next one. ``HandoverSender`` alone changes it.
+    """Progress of the handover from this process to the next one. Only ``HandoverSender`` changes it.
 
     ======================== ================================================= ========================
     from                     when                                              to
     ======================== ================================================= ========================
-    NOT_LISTENING            the socket at the rendezvous path is made         LISTENING
-    LISTENING                a process says hello, and gets the state          STATE_SENT
-    STATE_SENT               it says that it serves                            HANDING_OVER_CONNECTIONS
-    STATE_SENT               its channel ends, also for 1.5 s of silence       LISTENING
+    NOT_LISTENING            the socket at the rendezvous path is open         LISTENING
+    LISTENING                a process sends Hello and is sent the state       STATE_SENT
+    STATE_SENT               the next process sends Serving                    HANDING_OVER_CONNECTIONS
+    STATE_SENT               its channel ends, or it is silent for 1.5 s       LISTENING
     HANDING_OVER_CONNECTIONS its channel ends                                  NOT_LISTENING
     ======================== ================================================= ========================
 
-    A channel that ends while no listener is open leads to NOT_LISTENING, and from there to LISTENING again.
+    If a channel ends while no listener is open, the state is NOT_LISTENING until this process listens again.
     """
 
-    NOT_LISTENING = "sender_not_listening"  # without a path, or where it is refused, or as this process ends
-    LISTENING = "sender_listening"  # for a process that takes over; this one serves
-    STATE_SENT = "sender_state_sent"  # nobody accepts until the next process says that it serves
-    HANDING_OVER_CONNECTIONS = "sender_passing_connections"  # each one on which no reply is pending
+    NOT_LISTENING = "sender_not_listening"  # there is no usable path, or this process ends
+    LISTENING = "sender_listening"  # this process serves and waits for a next process
+    STATE_SENT = "sender_state_sent"  # neither process accepts clients until the next one serves
+    HANDING_OVER_CONNECTIONS = "sender_passing_connections"  # connections are handed over one by one
 
 
 class ReceiverState(Enum):
-    """How far this process has taken over from the previous one. ``HandoverReceiver`` alone changes it.
+    """Progress of the takeover from the previous process. Only ``HandoverReceiver`` changes it.
 
     =============== ========================================= ==============
     from            when                                      to
--- a/tests/net/handover/test_peer_messages.py
+++ b/tests/net/handover/test_peer_messages.py
@@ -124,7 +124,7 @@
     [
         (b"", "JSON"),
         (b"\xff", "JSON"),
-        (b"[]", "no object"),
+        (b"[]", "not an object"),
         (b"{}", "state is missing"),
         (b'{"state": {}}', "roster is missing"),
         (b'{"state": 1, "roster": {}}', "state=1"),
