--- a/quota_gateway/net/handover/sender.py
+++ b/quota_gateway/net/handover/sender.py
@@ -62,7 +62,7 @@
         self._serving_timeout: asyncio.TimerHandle | None = None
         self._listen_retry: asyncio.TimerHandle | None = None
         self._is_refusing = False
-        self._connections: ConnectionHandover | None = None  # to the next process
+        self._connection_handover: ConnectionHandover | None = None  # set while a next process takes over
 
     def _enter(self, state: SenderState) -> None:
         self.state = state
@@ -137,15 +137,15 @@
         log.info("handover requested")
         self._enter(SenderState.STATE_SENT)
         self.peers.next = channel
-        connections = ConnectionHandover(channel, self.clients, self.upstream_pool)
-        self._connections = connections
+        connection_handover = ConnectionHandover(channel, self.clients, self.upstream_pool)
+        self._connection_handover = connection_handover
         channel.on_end = self._on_next_ended
         channel.set_receiver(lambda message: self._on_message(channel, message))
         self.clients.suspend()
         state, registry = self.driver.export_state(), self.registry.export_state()
         offer = HandoverOffer(state, registry, self.driver.clock_offset_ms)
         channel.send(ChannelMessage(to_header(offer), encode_offer_body(offer), listening_socket))
-        connections.report_descriptors()
+        connection_handover.report_descriptors()
         self._serving_timeout = self.loop.call_later(
             SERVING_TIMEOUT_S, channel.close, "next process is silent"
         )
@@ -156,9 +156,9 @@
         if self._serving_timeout:
             self._serving_timeout.cancel()
             self._serving_timeout = None
-        if self._connections:
-            self._connections.cancel()
-            self._connections = None
+        if self._connection_handover:
+            self._connection_handover.cancel()
+            self._connection_handover = None
         self.peers.next = None
         self.peers.on_process_ended()
         if self.peers.previous is None:
@@ -187,5 +187,5 @@
         self.clients.acceptor.share()
         self.stop_listening()  # the next process listens at the path from now on
         log.info("handover accepted connections=%d", len(self.clients.connections))
-        assert self._connections
-        self._connections.run()
+        assert self._connection_handover
+        self._connection_handover.run()
