--- a/quota_gateway/net/handover/message_json.py
+++ b/quota_gateway/net/handover/message_json.py
@@ -238,9 +238,9 @@
         raise HandoverError(f"{kind.value}: the body is not JSON: {error}") from error
     if not isinstance(document, dict):
         raise HandoverError(f"{kind.value}: the body is not an object: {document!r:.200}")
-    names_clock = OFFER_CLOCK_OFFSET_MS.key in document
+    has_clock_offset = OFFER_CLOCK_OFFSET_MS.key in document
     return HandoverOffer(
         state=OFFER_STATE.read(kind, document),
         registry=OFFER_REGISTRY.read(kind, document),
-        clock_offset_ms=OFFER_CLOCK_OFFSET_MS.read(kind, document) if names_clock else None,
+        clock_offset_ms=OFFER_CLOCK_OFFSET_MS.read(kind, document) if has_clock_offset else None,
     )
--- a/quota_gateway/net/handover/rendezvous.py
+++ b/quota_gateway/net/handover/rendezvous.py
@@ -87,16 +87,16 @@
 
 def _listening(name: str) -> socket.socket:
     """Bind to a temporary name first, then rename it, so that the path always has a listener."""
-    own_name = Path(f"{name}.{os.getpid()}")
+    temporary_name = Path(f"{name}.{os.getpid()}")
     with suppress(FileNotFoundError):
-        own_name.unlink()
+        temporary_name.unlink()
     listener = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     try:
         listener.setblocking(False)
-        listener.bind(str(own_name))
-        own_name.chmod(OWNER_ONLY_MODE)
+        listener.bind(str(temporary_name))
+        temporary_name.chmod(OWNER_ONLY_MODE)
         listener.listen(BACKLOG_PROCESSES)
-        own_name.rename(name)
+        temporary_name.rename(name)
     except OSError:
         listener.close()
         raise
