--- a/quota_gateway/net/admin/__init__.py
+++ b/quota_gateway/net/admin/__init__.py
@@ -1,1 +1,1 @@
-"""Operators' calls, and the servers that operators detach."""
+"""Admin calls, and the servers that operators detach with them."""
--- a/quota_gateway/net/admin/calls.py
+++ b/quota_gateway/net/admin/calls.py
@@ -1,4 +1,4 @@
-"""The operators' calls, without sockets; ``docs/on-call.md`` lists them."""
+"""The admin calls, without sockets; ``docs/on-call.md`` lists them."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 METRICS_TARGET = b"/_metrics"
 
 SetDetached = Callable[[str, bool], Awaitable[bool]]
-"""Detaches (True) or attaches (False) the server of this name; returns whether it is known."""
+"""Detaches (True) or attaches (False) the server of this name; returns whether the server is known."""
 
 
 class AdminStatus(Enum):
-    """A status of HTTP: its code and its phrase by RFC 9110. The standard library's are slow to import."""
+    """An HTTP status: its code and its reason phrase by RFC 9110. ``http.HTTPStatus`` is slow to import."""
 
     OK = (200, "OK")
     BAD_REQUEST = (400, "Bad Request")
@@ -35,18 +35,18 @@
 
 
 class AdminResponse(NamedTuple):
-    """The response to one call.
+    """The response to one admin call.
 
     Attributes:
-        status: Of HTTP.
-        text: One line for a person, or the metrics for a scraper.
+        status: The HTTP status.
+        text: One line for the operator, or the metrics for a scraper.
     """
 
     status: AdminStatus
     text: str
 
     def encode(self) -> bytes:
-        """Return the response as bytes of HTTP."""
+        """Return the response as the bytes of an HTTP/1.1 response."""
         body = f"{self.text}\n".encode()
         code, phrase = self.status.value
         return (
@@ -56,12 +56,12 @@
 
 
 class AdminCalls:
-    """Carries out the operators' calls.
+    """Carries out admin calls.
 
     Args:
-        is_ready: Whether the gateway is ready to serve clients.
+        is_ready: Returns whether the gateway is ready to serve clients.
         set_detached: Detaches or attaches a server.
-        metrics: Of the process.
+        metrics: The metrics of this process.
     """
 
     __slots__ = ("is_ready", "metrics", "set_detached")
@@ -72,12 +72,12 @@
         self.metrics = metrics
 
     async def carry_out(self, method: bytes, path: bytes, body: bytes) -> AdminResponse:
-        """Carry out one call.
+        """Carry out one admin call.
 
         Args:
-            method: Of the HTTP request.
-            path: Of the HTTP request, without a query.
-            body: The name of a server, for the calls that need one.
+            method: Method of the HTTP request.
+            path: Path of the HTTP request, without the query.
+            body: Name of a server, for the calls that need one.
         """
         if path == READY_TARGET:
             return self._readiness(method)
@@ -112,7 +112,7 @@
 
 
 def _server_name(body: bytes) -> str | None:
-    """Return the name in the body of a call; None if there is none that is valid."""
+    """Return the server name in the body of a call, None if it is empty, too long or not UTF-8."""
     try:
         name = body.decode().strip()
     except UnicodeDecodeError:
--- a/quota_gateway/net/admin/connection.py
+++ b/quota_gateway/net/admin/connection.py
@@ -1,4 +1,4 @@
-"""One connection of an operator: a call over HTTP/1.1, its response, the end."""
+"""One connection of an operator, which carries an admin call over HTTP/1.1 and its response."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 log = logging.getLogger(__name__)
 
-MAX_REQUEST_BYTES = 8192  # of a call, head and body
+MAX_REQUEST_BYTES = 8192  # head and body of a call together
 
 
 class ConnectionOwner(Protocol):
     """The server that a connection belongs to."""
 
     def on_connected(self, connection: AdminConnection) -> None:
-        """Take note of a new connection."""
+        """Handle a new connection."""
 
     def on_disconnected(self, connection: AdminConnection) -> None:
-        """Take note of the end of a connection."""
+        """Handle the end of a connection."""
 
 
 class AdminConnection(asyncio.Protocol):
@@ -42,17 +42,17 @@
     # ---- Events of the transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Report the new connection."""
-        # uvloop's transports are not asyncio.Transport by class: no isinstance here
+        """Report the new connection to its owner."""
+        # isinstance would fail here: uvloop's transports are not subclasses of asyncio.Transport.
         self.transport = cast(asyncio.Transport, transport)
         self.owner.on_connected(self)
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - asyncio's signature
-        """Report the end of the connection."""
+        """Report the end of the connection to its owner."""
         self.owner.on_disconnected(self)
 
     def data_received(self, data: bytes) -> None:
-        """Parse bytes of the call, unless it is complete."""
+        """Parse received bytes, unless the call is complete already."""
         if self.is_answered or self.task:
             return
         self.received_bytes += len(data)
@@ -67,15 +67,15 @@
     # ---- Events of the parser
 
     def on_url(self, url: bytes) -> None:
-        """Take a part of the target."""
+        """Append a part of the request target."""
         self.target += url
 
     def on_body(self, body: bytes) -> None:
-        """Take a part of the body."""
+        """Append a part of the request body."""
         self.body += body
 
     def on_message_complete(self) -> None:
-        """Carry out the call; what follows on the connection has no effect."""
+        """Carry out the call; anything that follows it on the connection is ignored."""
         if self.task is None and not self.is_answered:
             call = self._call(self.parser.get_method())
             self.task = asyncio.get_running_loop().create_task(call, name="admin call")
@@ -86,13 +86,13 @@
         path = self.target.partition(b"?")[0]
         try:
             response = await self.calls.carry_out(method, path, self.body)
-        except Exception:  # an operator gets a response whatever goes wrong
+        except Exception:  # an operator gets a response after any error
             log.exception("admin call failed")
             response = AdminResponse(AdminStatus.INTERNAL_SERVER_ERROR, "failed")
         self.answer(response)
 
     def answer(self, response: AdminResponse) -> None:
-        """Write the one response, and close."""
+        """Write the response and close the connection. A second response is ignored."""
         if self.is_answered or self.transport is None or self.transport.is_closing():
             return
         self.is_answered = True
--- a/quota_gateway/net/admin/detachments.py
+++ b/quota_gateway/net/admin/detachments.py
@@ -1,4 +1,4 @@
-"""Servers that operators detach and attach, by the names that they give, in both processes of an upgrade."""
+"""Detaches and attaches servers by their names for operators, in both processes of an upgrade."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Detachments:
-    """Carries out operators' calls on servers, here and in the peer process of an upgrade."""
+    """Detaches and attaches servers, in this process and in the peer process of an upgrade."""
 
     def __init__(self, registry: EndpointRegistry, driver: Driver, peers: PeerProcesses) -> None:
         self.registry = registry
@@ -20,12 +20,12 @@
         """Detach or attach a server in this process.
 
         Args:
-            name: The server's name, as discovery has it.
-            detached: Whether it is to be detached, or attached again.
-            known_elsewhere: Whether the peer process knows the server: its number is then reserved here too.
+            name: Name of the server, as discovery has it.
+            detached: True to detach the server, False to attach it again.
+            known_elsewhere: Whether the peer process knows the server; if so, it gets a number here too.
 
         Returns:
-            Whether this process knew the server.
+            Whether this process knew the server before.
         """
         known = self.registry.is_known(name)
         if known or known_elsewhere:
@@ -39,7 +39,7 @@
         return known
 
     async def set_detached(self, name: str, detached: bool) -> bool:
-        """Detach or attach a server here, then in the peer process, if there is one.
+        """Detach or attach a server in this process, then in the peer process, if there is one.
 
         Returns:
             Whether either process knows the server.
@@ -51,6 +51,6 @@
         return known or known_elsewhere
 
     def repeat(self) -> None:
-        """Post every detachment that was handed over, where the engine could not restore the state."""
+        """Detach all servers of the handed-over list in an engine that could not restore its state."""
         for name in sorted(self.registry.detached):
             self.carry_out(name, detached=True)
--- a/quota_gateway/net/admin/server.py
+++ b/quota_gateway/net/admin/server.py
@@ -1,4 +1,4 @@
-"""The server of the operators' calls: one call a connection, at an address of its own.
+"""The server for admin calls, at an address of its own, with one call per connection.
 
 ``docs/decisions/admin.md`` has the reasons for the bounds.
 """
@@ -20,34 +20,34 @@
 
 log = logging.getLogger(__name__)
 
-MAX_CONNECTIONS = 8  # at once; the oldest one is evicted for a new one
-REQUEST_TIMEOUT_S = 2.0  # for a call, after connecting: operators wait 1 s for the response
-LISTEN_RETRY_S = 0.5  # where the address is not available for a moment
+MAX_CONNECTIONS = 8  # open at the same time; a new connection evicts the oldest one
+REQUEST_TIMEOUT_S = 2.0  # from connect to the end of the call; operators wait 1 s for the response
+LISTEN_RETRY_S = 0.5  # time between two attempts while the address is not available
 LISTEN_BACKLOG = 64  # connections that the kernel queues until they are accepted
 
 
 class AdminServer(AcceptorOwner):
-    """Takes the operators' calls, bounded in number, length and time.
+    """Serves admin calls, with bounds on their number, length and duration.
 
     Args:
-        is_ready: Whether the gateway is ready to serve clients.
+        is_ready: Returns whether the gateway is ready to serve clients.
         set_detached: Detaches or attaches a server.
-        metrics: Of the process.
+        metrics: The metrics of this process.
     """
 
     def __init__(
         self, is_ready: Callable[[], bool], set_detached: SetDetached, metrics: Metrics | None = None
     ) -> None:
         self.calls = AdminCalls(is_ready, set_detached, metrics or Metrics())
-        self.connections: OrderedDict[AdminConnection, None] = OrderedDict()  # the oldest first
+        self.connections: OrderedDict[AdminConnection, None] = OrderedDict()  # from the oldest to the newest
         self.acceptor = Acceptor(self)
         self._admission_tasks: set[asyncio.Task[None]] = set()
         self._listen_retry: asyncio.TimerHandle | None = None
 
     def listen(self, address: Address) -> None:
-        """Take calls at this address.
+        """Listen for admin calls at this address.
 
-        One that is not available is logged, and retried where that may help: clients are served all the same.
+        A failure is logged, and retried if it may be transient. Clients are served in any case.
         """
         try:
             self.acceptor.open(socket.create_server(address, backlog=LISTEN_BACKLOG))
@@ -72,11 +72,11 @@
             sock.close()
 
     def on_accept_error(self, error: OSError) -> None:
-        """Log that a call of accept has failed; it is retried soon."""
+        """Log a failed accept, which the acceptor retries."""
         log.warning("admin accept failed reason=%r", error)
 
     def on_connected(self, connection: AdminConnection) -> None:
-        """Bound the number of connections at once, and the time of this one."""
+        """Evict the oldest connection if there are too many, and limit the duration of this one."""
         self.connections[connection] = None
         if len(self.connections) > MAX_CONNECTIONS:
             oldest, _ = self.connections.popitem(last=False)
@@ -84,11 +84,11 @@
         asyncio.get_running_loop().call_later(REQUEST_TIMEOUT_S, connection.abort)
 
     def on_disconnected(self, connection: AdminConnection) -> None:
-        """Forget a connection that has ended."""
+        """Remove a connection that has ended."""
         self.connections.pop(connection, None)
 
     def close(self) -> None:
-        """Take no more calls."""
+        """Stop listening and close all connections."""
         if self._listen_retry:
             self._listen_retry.cancel()
         self.acceptor.close()
--- a/quota_gateway/telemetry/__init__.py
+++ b/quota_gateway/telemetry/__init__.py
@@ -1,4 +1,4 @@
-"""Telemetry of one process: counters, a trace of its last events, violations of its invariants."""
+"""Telemetry of one process: counters, a trace of its last events, and checks of its invariants."""
 
 from __future__ import annotations
 
--- a/quota_gateway/telemetry/event_trace.py
+++ b/quota_gateway/telemetry/event_trace.py
@@ -1,4 +1,4 @@
-"""The last events of one process in memory, so that a violation is logged with what led to it."""
+"""Keeps the last events of one process in memory, to log a violation with the events that led to it."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 from typing import NamedTuple
 
 MS_PER_S = 1000.0
-MAX_EVENTS = 4096  # some seconds of a busy gateway
-MAX_SHOWN_EVENTS = 12  # of one subject in a line of the log
+MAX_EVENTS = 4096  # the events of some seconds in a busy gateway
+MAX_SHOWN_EVENTS = 12  # the last events of one subject, in one log line
 
 
 class TracedEvent(NamedTuple):
     """One event.
 
     Attributes:
-        at_s: When it happened, monotonic.
-        subject: The request or connection that it is of.
+        at_s: Monotonic time of the event in seconds.
+        subject: The request or connection that the event belongs to.
         what: What happened.
-        detail: What else is known.
+        detail: Further information; empty if there is none.
     """
 
     at_s: float
@@ -44,7 +44,7 @@
         return [event for event in self._events if event.subject == subject]
 
     def describe(self, subject: str) -> str:
-        """Return the last events of one subject in a line: milliseconds before now, what, and its detail."""
+        """Return the last events of one subject in a line: ms relative to now, what happened, its detail."""
         now_s = time.monotonic()
         shown = self.of(subject)[-MAX_SHOWN_EVENTS:]
         return " ".join(
--- a/quota_gateway/telemetry/invariants.py
+++ b/quota_gateway/telemetry/invariants.py
@@ -1,4 +1,4 @@
-"""Properties that hold at every moment, and the count of their violations: docs/invariants.md."""
+"""Invariants, which hold at every moment, and the count of their violations: docs/invariants.md."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Invariant(Enum):
-    """A property that no path may break."""
+    """A property that must hold on every code path."""
 
     ONE_FINAL_ANSWER = "one_final_answer"
     NO_CLOSE_WHILE_OWED = "no_close_while_owed"
@@ -34,16 +34,16 @@
         self._trace = trace
 
     def check(self, invariant: Invariant, holds: bool, subject: str, detail: object = "") -> bool:
-        """Count and log a violation where ``holds`` is false.
+        """Count and log a violation if ``holds`` is false.
 
         Args:
             invariant: The property that is checked.
-            holds: Whether it holds.
-            subject: The request or connection that it is checked for.
-            detail: What else is known, for the log.
+            holds: Whether the property holds.
+            subject: The request or connection that the property is checked for.
+            detail: Further information for the log.
 
         Returns:
-            ``holds``, for a guard to refuse by.
+            ``holds``, so that the caller can refuse an operation that would break the property.
         """
         if not holds:
             self._metrics.count(Metric.INVARIANT_VIOLATIONS, invariant.value)
--- a/quota_gateway/telemetry/metrics.py
+++ b/quota_gateway/telemetry/metrics.py
@@ -1,4 +1,4 @@
-"""Counters of one process, and their text form for scrapers: docs/decisions/telemetry.md."""
+"""Counters of one process, and their text format for scrapers: docs/decisions/telemetry.md."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Metric(Enum):
-    """A counter, by its name and the name of its one label."""
+    """A counter; the value is its name and the name of its one label."""
 
     ANSWERS = ("answers_total", "reason")
     ATTEMPTS = ("attempts_total", "status")
@@ -45,7 +45,7 @@
         return sum(number for (counted, _), number in self._counts.items() if counted is metric)
 
     def render(self) -> str:
-        """Return the text exposition format of Prometheus, the metrics in the order of ``Metric``."""
+        """Return all counters in the Prometheus text exposition format, in the order of ``Metric``."""
         lines = []
         for metric in Metric:
             name, label_name = metric.value
