--- a/quota_gateway/__init__.py
+++ b/quota_gateway/__init__.py
@@ -1,6 +1,7 @@
-"""The decisions of a quota-keeping gateway for a shared API, as a library.
+"""The policy of a gateway that enforces quotas for a shared API, as a library.
 
-Make a ``PolicyEngine`` from ``Settings``, hand it events with a time in milliseconds, carry out its actions.
+Create a ``PolicyEngine`` from ``Settings``, pass it events with the time in milliseconds, and carry out the
+actions that it returns.
 """
 
 from quota_gateway.model import (
--- a/quota_gateway/__main__.py
+++ b/quota_gateway/__main__.py
@@ -1,4 +1,4 @@
-"""Process entry of one real gateway: signals, the log, the exit code."""
+"""Entry point of a gateway process: blocks signals, configures the log and returns the exit code."""
 
 from __future__ import annotations
 
@@ -35,11 +35,11 @@
 def main() -> int:
     """Run the gateway until SIGTERM.
 
-    Signals are blocked until there are handlers for them: the default of one that comes while the gateway
-    starts would end the process.
+    Signals are blocked until their handlers are installed, as the default action of a signal that comes
+    while the gateway starts would end the process.
 
     Returns:
-        0 after SIGTERM, 2 where the configuration is malformed, with one line in the log that says why.
+        0 after SIGTERM, 2 if the configuration is malformed; one line in the log then says why.
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
     _configure_logging()
--- a/quota_gateway/config.py
+++ b/quota_gateway/config.py
@@ -1,4 +1,4 @@
-"""Read the environment and the configuration file into a typed ``Config``."""
+"""Reads the environment and the configuration file into a typed ``Config``."""
 
 from __future__ import annotations
 
@@ -17,11 +17,12 @@
 from quota_gateway.resources import MEGABYTE, count_open_descriptors
 from quota_gateway.settings_format import settings_from_document
 
-DOCUMENT_PATH = "config"  # of the configuration file's object, in error messages
+DOCUMENT_PATH = "config"  # path of the configuration file's top-level object in error messages
 MAX_PORT = (1 << 16) - 1
-PORT_DIGITS = re.compile("0*[0-9]{1,5}")  # a longer number is no port, and costs time to convert
-SEED_BASE = 16  # the seed is written in hexadecimal digits
-MAX_START_READS = 10  # of a file that is being written; a reload retries without blocking the loop
+PORT_DIGITS = re.compile("0*[0-9]{1,5}")  # a longer number is not a port, and slow to convert
+SEED_BASE = 16  # the seed is a hexadecimal number
+# Attempts at the start, as the file may be half-written. A reload retries without blocking the event loop.
+MAX_START_READS = 10
 READ_RETRY_S = 0.02
 
 
@@ -30,15 +31,15 @@
 
     Attributes:
         path: The configuration file, which is read again at SIGHUP.
-        listen: Where clients connect.
-        discovery: Where endpoint lists come from.
-        admin: Where operators call; None where they are not served.
-        seed: Of all random numbers.
+        listen: Address at which clients connect.
+        discovery: Address of discovery, which sends the endpoint lists.
+        admin: Address for admin calls, None if they are not served.
+        seed: Seed of all random numbers.
         max_descriptors: Limit of open descriptors of the process.
-        inherited_descriptors: How many of them the process was started with.
+        inherited_descriptors: Number of descriptors that the process was started with.
         memory_bytes: Limit of resident memory of the process.
-        known_endpoints: The endpoint list to start with, as it stands in the file; it may be old.
-        settings: For the policy engine.
+        known_endpoints: The endpoint list to start with, as parsed from the file; it may be out of date.
+        settings: Settings of the policy engine.
     """
 
     path: Path
@@ -57,7 +58,7 @@
     """Parse ``HOST:PORT``.
 
     Raises:
-        InvalidFieldError: It is anything else, or the port is out of range.
+        InvalidFieldError: The text does not have this form, or the port is out of range.
     """
     host, _, digits = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     port = int(digits) if PORT_DIGITS.fullmatch(digits) else 0
@@ -93,12 +94,12 @@
 
 
 def _read_json(path: Path, max_reads: int) -> Any:
-    """Read the file; retry for a moment where the system is short of something or the file is half written.
+    """Read the file as JSON; retry for a moment after a transient error or if the file is half-written.
 
     Raises:
-        OSError: It can't be read.
-        ValueError: It is no JSON.
-        RecursionError: It is nested too deeply.
+        OSError: The file can't be read.
+        ValueError: The file is not JSON.
+        RecursionError: The JSON is nested too deeply.
     """
     for _ in range(max_reads - 1):
         try:
@@ -107,13 +108,13 @@
             if error.errno not in READ_ERRORS:
                 raise
         except ValueError:
-            pass  # perhaps it is just being written
+            pass  # the file may be half-written
         time.sleep(READ_RETRY_S)
     return json.loads(path.read_text())
 
 
 def _address(environment: Mapping[str, str], variable: str, document: JsonObject, key: str) -> Address:
-    """Return the address in the environment, where it is set there, else the one in the document."""
+    """Return the address in the environment if it is set there, else the one in the document."""
     override = environment.get(variable)
     if override:
         return parse_address(f"{variable} ({key})", override)
@@ -121,10 +122,10 @@
 
 
 def load_config(environment: Mapping[str, str]) -> Config:
-    """Read the file that EDGE_CONFIG names; addresses in the environment outrank those in the file.
+    """Read the file that EDGE_CONFIG names; addresses in the environment take precedence over the file.
 
     Raises:
-        ConfigError: Something is missing or malformed; the message is one line that names field and value.
+        ConfigError: A setting is missing or malformed; the message is one line that names field and value.
     """
     file_name = environment.get("EDGE_CONFIG")
     if file_name is None:
@@ -148,7 +149,7 @@
 
 
 def read_discovery_address(path: Path) -> Address:
-    """Return the address of discovery as the configuration file names it now.
+    """Return the address of discovery that is in the configuration file now.
 
     Raises:
         ConfigError: The file is missing, half-written or malformed.
--- a/quota_gateway/errors.py
+++ b/quota_gateway/errors.py
@@ -1,10 +1,10 @@
-"""The errors of this package. Each message says what was wrong, where, and which field and value."""
+"""The errors of this package. Each message says what is wrong, and with which field and value."""
 
-MAX_SHOWN_CHARACTERS = 100  # of a wrong value in an error message, which has to stay a readable line
+MAX_SHOWN_CHARACTERS = 100  # a longer value is cut, so that the error message stays a readable line
 
 
 class QuotaGatewayError(Exception):
-    """Base of all errors that this package raises on purpose."""
+    """Base class of all errors that this package raises on purpose."""
 
 
 class ConfigError(QuotaGatewayError, ValueError):
@@ -16,8 +16,8 @@
 
     Attributes:
         field: Path of the key that the operator wrote, such as ``config.limits.sockets``.
-        value: What stands there.
-        reason: What is allowed, as the end of a sentence: ``is not a number``.
+        value: Value of the field.
+        reason: What is wrong with the value, as the end of a sentence, such as ``is not a number``.
     """
 
     def __init__(self, field: str, value: object, reason: str) -> None:
@@ -43,15 +43,15 @@
 
 
 class ProtocolError(QuotaGatewayError, ValueError):
-    """Bytes from a client or an upstream server are not of the form that the protocol has."""
+    """Bytes from a client or an upstream server do not follow the protocol."""
 
 
 class CommandError(QuotaGatewayError, ValueError):
-    """A client's command can't be carried out; it is answered with an error and the connection lives on."""
+    """A client's command can't be carried out; the reply is an error and the connection stays open."""
 
 
 class DiscoveryError(QuotaGatewayError, ValueError):
-    """A document from discovery is malformed; what is known stays."""
+    """A document from discovery is malformed; the known endpoints are kept."""
 
 
 class HandoverError(QuotaGatewayError, ValueError):
@@ -59,4 +59,4 @@
 
 
 class StateError(QuotaGatewayError, ValueError):
-    """A state snapshot is malformed; none of it is taken over."""
+    """A state snapshot is malformed; no part of it is restored."""
--- a/quota_gateway/json_document.py
+++ b/quota_gateway/json_document.py
@@ -1,4 +1,4 @@
-"""Reading of JSON objects that people write: an error names the path of the field and its value."""
+"""Reads JSON objects that people write; an error names the path of the field and its value."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 
     Args:
         field: Path of the field, such as ``settings.limits.open_cap``.
-        value: What stands there.
-        reason: What is allowed, as the end of a sentence: ``is not a list``.
+        value: Value of the field.
+        reason: What is wrong with the value, as the end of a sentence, such as ``is not a list``.
     """
     return InvalidFieldError(field, value, reason)
 
@@ -33,11 +33,11 @@
         self.path = path
 
     def path_of(self, key: str) -> str:
-        """Return the path of one of its fields, as errors name it."""
+        """Return the path of a field of this object, as errors name it."""
         return f"{self.path}.{key}"
 
     def optional(self, key: str) -> Any:
-        """Return the value of a field, None where it is missing."""
+        """Return the value of a field, None if it is missing."""
         return self._fields.get(key)
 
     def required(self, key: str) -> Any:
@@ -55,7 +55,7 @@
         """Return the object in a field.
 
         Raises:
-            ConfigError: The field is missing or no object.
+            ConfigError: The field is missing or not an object.
         """
         return JsonObject(self.required(key), self.path_of(key))
 
@@ -63,7 +63,7 @@
         """Return the list in a field.
 
         Raises:
-            ConfigError: The field is missing or no list.
+            ConfigError: The field is missing or not a list.
         """
         value = self.required(key)
         if not isinstance(value, list):
@@ -71,10 +71,10 @@
         return value
 
     def nested_elements(self, key: str) -> list[JsonObject]:
-        """Return the objects in the list in a field.
+        """Return the list of objects in a field.
 
         Raises:
-            ConfigError: The field is missing, no list, or an item is no object.
+            ConfigError: The field is missing or not a list, or an item is not an object.
         """
         path = self.path_of(key)
         return [JsonObject(item, f"{path}[{number}]") for number, item in enumerate(self.elements(key))]
@@ -83,7 +83,7 @@
         """Return the string in a field.
 
         Raises:
-            ConfigError: The field is missing or no string.
+            ConfigError: The field is missing or not a string.
         """
         value = self.required(key)
         if not isinstance(value, str):
@@ -91,10 +91,14 @@
         return value
 
     def choice(self, key: str, choices: Mapping[str, Choice]) -> Choice:
-        """Return what one of a few strings in a field stands for.
+        """Return the choice for the string in a field.
+
+        Args:
+            key: Key of the field.
+            choices: The allowed strings, each with the choice that it stands for.
 
         Raises:
-            ConfigError: The field is missing or holds another value.
+            ConfigError: The field is missing or its value is not in ``choices``.
         """
         value = self.required(key)
         if not isinstance(value, str) or value not in choices:
--- a/quota_gateway/log_rate_limiter.py
+++ b/quota_gateway/log_rate_limiter.py
@@ -13,18 +13,18 @@
 class LogRateLimiter(logging.Filter):
     """Lets a limited number of records through in each period and reports how many it suppressed.
 
-    The first record of the next period ends with ``suppressed_lines=N``. A peer that sends malformed data at
-    full speed would fill the log otherwise: docs/decisions/resource-limits.md.
+    The first record of the next period ends with ``suppressed_lines=N``. Without a limit, a peer that sends
+    malformed data at full speed would fill the log: docs/decisions/resource-limits.md.
     """
 
     def __init__(self) -> None:
         super().__init__()
-        self._period_end_s = -inf  # monotonic: the wall clock may be set
+        self._period_end_s = -inf  # monotonic time, as the wall clock may be set
         self._passed_lines = 0
         self._suppressed_lines = 0
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Whether the record is written."""
+        """Return whether the record is written."""
         now_s = time.monotonic()
         if now_s >= self._period_end_s:
             self._start_period(record, now_s)
--- a/quota_gateway/server.py
+++ b/quota_gateway/server.py
@@ -1,4 +1,4 @@
-"""The parts of a real gateway: made, joined, started, and closed in order.
+"""Creates, connects, starts and closes the parts of a gateway process.
 
 The order of the steps matters: docs/decisions/start-and-shutdown.md.
 """
@@ -35,15 +35,18 @@
 
 HANDLED_SIGNALS = frozenset({signal.SIGTERM, signal.SIGINT, signal.SIGHUP})
 
-LISTEN_TIMEOUT_S = 5.0  # for an address to become free: a new version has to be ready within 6 s
+LISTEN_TIMEOUT_S = 5.0  # wait for an address in use; a new version has to be ready within 6 s
 LISTEN_RETRY_S = 0.05
-RELOAD_TIMEOUT_S = 3.0  # for a configuration to be readable: discovery's updates count 4 s after SIGHUP
+# Wait for a readable configuration. The new discovery address has to be known 4 s after SIGHUP, when its
+# updates count as delivered.
+RELOAD_TIMEOUT_S = 3.0
 RELOAD_RETRY_S = 0.1
-FIRST_UPDATE_TIMEOUT_S = 1.0  # for discovery, before the known list is served by, which may be old
+# Wait for discovery before the gateway serves with the known endpoint list, which may be out of date.
+FIRST_UPDATE_TIMEOUT_S = 1.0
 
 
 class GatewayServer:
-    """A gateway that has its process to itself. Makes all parts, on the running loop, and closes them."""
+    """The only gateway of its process. Creates all parts on the running event loop, and closes them."""
 
     def __init__(self, config: Config) -> None:
         self.config = config
@@ -53,7 +56,7 @@
         self._make_client_side()
 
     def _make_upstream_side(self) -> None:
-        """Make the engine, the driver, the upstream pool and discovery."""
+        """Create the policy engine, the driver, the upstream pool and the discovery client."""
         settings = self.config.settings
         self.limits = divide_resources(
             self.config.max_descriptors,
@@ -82,7 +85,7 @@
         self._reloader = ConfigurationReloader(self.config.path, self.discovery)
 
     def _make_client_side(self) -> None:
-        """Make what clients, operators and peer processes connect to."""
+        """Create the parts that clients, operators and peer processes connect to."""
         self.clients = ClientListener(
             self.driver,
             self.config.settings,
@@ -102,7 +105,7 @@
         self.admin = AdminServer(self._is_ready, self.detachments.set_detached, self.telemetry.metrics)
 
     async def run(self) -> None:
-        """Serve until a signal asks to stop, then answer what was accepted and return."""
+        """Serve until SIGTERM or SIGINT, then answer the accepted requests and return."""
         self._install_signal_handlers()
         try:
             await self._start()
@@ -117,7 +120,7 @@
             self._close()
 
     def _install_signal_handlers(self) -> None:
-        """Handle the signals that ``main`` has blocked until now."""
+        """Install the signal handlers, then unblock the signals that ``main`` has blocked."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self._stop_requested.set)
         loop.add_signal_handler(signal.SIGINT, self._stop_requested.set)
@@ -149,9 +152,9 @@
         return self.config.known_endpoints
 
     def _take_over(self, state: HandoverState) -> bool:
-        """Take the previous process's place; return False where its state can't be restored."""
+        """Take over from the previous process; return False if its state can't be restored."""
         if state.channel.closed or not self.driver.restore_state(state.state):
-            state.channel.close("its state can not be restored")
+            state.channel.close("state of the previous process can not be restored")
             state.listener.close()
             return False
         self.clients.adopt(state.listener, waited_s=OFFER_TIMEOUT_S)
@@ -160,7 +163,10 @@
         return True
 
     async def _start_without_previous(self) -> None:
-        """Listen without a previous process; ready with discovery's list, or after a while without it."""
+        """Listen without a handover.
+
+        The gateway is ready with discovery's first update, or else after ``FIRST_UPDATE_TIMEOUT_S``.
+        """
         self.detachments.repeat()
         await listen(self.clients, self.config.listen)
         asyncio.get_running_loop().call_later(FIRST_UPDATE_TIMEOUT_S, self._set_ready)
@@ -179,14 +185,14 @@
             self.clients.is_ready = True
 
     def _on_discovery_unavailable(self) -> None:
-        """Serve by the known endpoint list at once, if there is one."""
+        """Serve with the known endpoint list at once, if there is one."""
         self.clients.is_ready = self.clients.is_ready or bool(self.registry.rows)
 
     def _close(self) -> None:
-        """Close all parts, also where the start has failed.
+        """Close all parts, also after a failed start.
 
-        Signals are blocked first: the interpreter's end gives them back their default, by which one that
-        comes late would kill the process.
+        Signals are blocked first: the interpreter restores their default actions as it ends, and a signal
+        that comes late would then kill the process.
         """
         signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
         self._reloader.cancel()
@@ -197,7 +203,7 @@
 
 
 class ConfigurationReloader:
-    """Reads discovery's address from the configuration file again whenever that is requested."""
+    """Reloads discovery's address from the configuration file on request."""
 
     def __init__(self, path: Path, discovery: DiscoveryClient) -> None:
         self._path = path
@@ -206,16 +212,16 @@
         self._task: asyncio.Task[None] | None = None
 
     def request(self) -> None:
-        """Read the file, again from the beginning if it is just being read."""
+        """Request a reload; one that is in progress is followed by another."""
         self._requested.set()
 
     def start(self) -> None:
-        """Serve requests, also one that was made before the start."""
+        """Start to handle requests, including one that was made before."""
         self._task = asyncio.create_task(self._run(), name="reload-configuration")
         self._task.add_done_callback(_log_failure)
 
     def cancel(self) -> None:
-        """Serve no more requests."""
+        """Stop handling requests."""
         if self._task:
             self._task.cancel()
 
@@ -226,7 +232,7 @@
             await self.reload()
 
     async def reload(self) -> None:
-        """Read the file; one that is being written, or can't be read for a moment, is read again."""
+        """Reload the address; retry for a while if the file is half-written or can't be read."""
         loop = asyncio.get_running_loop()
         give_up_at = loop.time() + RELOAD_TIMEOUT_S
         while not reload_discovery_address(self._path, self._discovery):
@@ -241,11 +247,11 @@
 
 
 def reload_discovery_address(path: Path, discovery: DiscoveryClient) -> bool:
-    """Watch discovery where the configuration file names it now, which outranks the environment.
+    """Watch discovery at the address in the configuration file, which takes precedence over the environment.
 
     Returns:
-        Whether the file could be read. One that is missing, half-written or malformed is logged, and the
-        watch stays where it is.
+        Whether the address could be read. If the file is missing, half-written or malformed, the error is
+        logged and the watch stays at its address.
     """
     try:
         address = read_discovery_address(path)
@@ -258,10 +264,10 @@
 
 
 async def listen(clients: ClientListener, address: Address) -> None:
-    """Listen for clients; an address in use, or a system that is short of something, is waited for.
+    """Listen for clients; retry while the address is in use or the system is short of resources.
 
     Raises:
-        OSError: The address can't be had, or not within ``LISTEN_TIMEOUT_S``.
+        OSError: Listening is not possible, or not within ``LISTEN_TIMEOUT_S``.
     """
     loop = asyncio.get_running_loop()
     give_up_at = loop.time() + LISTEN_TIMEOUT_S
--- a/quota_gateway/settings_format.py
+++ b/quota_gateway/settings_format.py
@@ -1,7 +1,7 @@
-"""The one place where the keys of a settings object are translated to the fields of ``Settings``.
+"""The only module that translates the keys of a settings object to the fields of ``Settings``.
 
-The simulator hands such an object to each instance, a real gateway finds it in its configuration file. The
-tables ``*_KEYS`` are used to read it, and to name the key that the operator wrote in an error.
+The simulator passes a settings object to each instance; a gateway process has it in its configuration file.
+The tables ``*_KEYS`` are used to read the object, and to name the operator's key in an error.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from quota_gateway.json_document import JsonObject, invalid_field
 from quota_gateway.model.validation import FieldError
 
-KEY_SEPARATOR = "."  # between the keys of nested objects
+KEY_SEPARATOR = "."  # separator between the keys of nested objects
 DISCOVERY_MODES = {"automatic": model.DiscoveryMode.PUSH, "subscribe": model.DiscoveryMode.ASK}
 IDEMPOTENCY = {kind.value: kind for kind in model.Idempotency}
 IDEMPOTENCY_SCOPES = {scope.value: scope for scope in model.IdempotencyScope}
@@ -24,7 +24,7 @@
     "lat_ms": "service_ms",
     "rate": "throughput",
     "fail_rate": "error_rate",
-}  # the settings' names of the figures in a load report
+}  # names of load report fields in the settings, each with its name in the code
 REPORT_FIELD = LOAD_FIELD | {
     "inflight": "in_flight",
     "queue": "queue",
@@ -32,7 +32,7 @@
     "latency_ms": "service_ms",
     "qps": "throughput",
     "eps": "error_rate",
-}  # the names in load reports on sockets
+}  # names of the fields in servers' load reports, each with its name in the code
 
 ModelType = TypeVar("ModelType")
 
@@ -41,8 +41,8 @@
     """The key of a field, and how its value is read.
 
     Attributes:
-        name: The key; those of nested objects are joined by ``KEY_SEPARATOR``.
-        read: Returns the field's value, given the innermost object and its key.
+        name: The key; the keys of nested objects are joined by ``KEY_SEPARATOR``.
+        read: Returns the field's value, given the innermost object and the last key.
     """
 
     name: str
@@ -54,7 +54,7 @@
 
 
 def _optional(default: float) -> Callable[[JsonObject, str], Any]:
-    """Read a value that may be missing, and is the default where it is missing, null or 0."""
+    """Return a reader of an optional value, which gives the default if the value is missing, null or 0."""
     return lambda section, key: section.optional(key) or default
 
 
@@ -142,21 +142,21 @@
 
 
 def settings_from_document(document: object, path: str = "settings") -> model.Settings:
-    """Translate the settings object of the simulator's wire or of a configuration file.
+    """Translate the settings object of the simulator's protocol or of a configuration file.
 
     Args:
-        document: The object, as JSON was parsed.
-        path: Where it stands, for error messages.
+        document: The parsed JSON object.
+        path: Path of the object, for error messages.
 
     Raises:
-        MissingFieldError: A key is missing; the error names it by its path.
-        InvalidFieldError: The value of a key is not allowed; the error has path, value and what is allowed.
+        MissingFieldError: A key is missing; the error names its path.
+        InvalidFieldError: The value of a key is not allowed; the error has its path, the value and a reason.
     """
     return _build(model.Settings, SETTINGS_KEYS, JsonObject(document, path))
 
 
 def _build(model_type: type[ModelType], keys: Mapping[str, Key], section: JsonObject) -> ModelType:
-    """Make an object of the model from the keys of its fields."""
+    """Create an object of the model from the values of its fields' keys."""
     values = {field: _read(section, key) for field, key in keys.items()}
     try:
         return model_type(**values)
--- a/quota_gateway/simulator.py
+++ b/quota_gateway/simulator.py
@@ -1,7 +1,7 @@
-"""The simulator's wire on standard input and output; decides nothing.
+"""The simulator's protocol on standard input and output. This module makes no policy decisions.
 
-One process hosts many gateways, which share only the table of numbered endpoint lists that the wire
-declares for the whole process. The words of the wire are translated here and nowhere else.
+One process hosts many gateways, which share only the table of numbered endpoint lists that the simulator
+declares for the whole process. The names of the protocol are translated only in this module.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 from quota_gateway.policy.engine import PolicyEngine
 from quota_gateway.settings_format import settings_from_document
 
-Fields = dict[str, Any]  # of one message, by the wire's names
+Fields = dict[str, Any]  # the fields of one message by their names in the protocol
 EventReader = Callable[[Fields], model.Event]
-ActionWriter = Callable[[Any], tuple[str, Fields]]  # the name of the message and its fields
+ActionWriter = Callable[[Any], tuple[str, Fields]]  # returns the name of the message and its fields
 
 STATUS_CODES = {
     200: model.AttemptStatus.OK,
@@ -77,7 +77,7 @@
 
 
 def _outcome(fields: Fields) -> model.Outcome:
-    metered = fields["metered"]  # one more than the percentage, so that 0 means none
+    metered = fields["metered"]  # the percentage plus one, so that 0 stands for no usage report
     return model.Outcome(
         request_id=fields["op_id"],
         attempt=fields["seq_no"],
@@ -153,7 +153,7 @@
     model.SetTimer: lambda action: ("Schedule", {"after_ms": action.delay_ms, "mark": action.token}),
     model.LogMessage: lambda action: ("Debug", {"what": action.text}),
     model.Subscribe: lambda action: ("Follow", {"active": action.active}),
-    model.PollEndpoints: lambda action: ("Fetch", {}),  # noqa: ARG005 - one form for all writers
+    model.PollEndpoints: lambda action: ("Fetch", {}),  # noqa: ARG005 - all writers take an action
     model.HealthCheck: lambda action: ("Touch", {"server": action.server}),
     model.CloseIdle: lambda action: ("DropConns", {"server": action.server}),
     model.SendPeerMessage: lambda action: ("Share", {"dst": action.peer, "body": action.data.hex()}),
@@ -165,7 +165,7 @@
 
 
 class SimulatorSession:
-    """The gateways of one process and the endpoint lists that the wire has declared to it.
+    """The gateways of one process and the endpoint lists that the simulator has declared to it.
 
     Attributes:
         replies: Lines to be written once the batch is complete.
@@ -174,12 +174,12 @@
     def __init__(self) -> None:
         self.replies: list[str] = []
         self._now_ms = 0.0
-        self._turn: Any = None  # of the current batch, handed back with its end
+        self._turn: Any = None  # the turn of the current batch, sent back in its Ack
         self._engines: dict[str, PolicyEngine] = {}
         self._endpoint_lists: dict[int, tuple[model.Endpoint, ...]] = {}
 
     def receive(self, name: str, fields: Fields) -> bool:
-        """Take one message in.
+        """Handle one message.
 
         Returns:
             Whether the batch is complete and ``replies`` are to be written.
@@ -225,7 +225,7 @@
             raise ProtocolError(f"event for instance {instance!r}, which is not open")
         try:
             actions = engine.handle(self._now_ms, event)
-        except Exception as error:  # the wire wants any fault of the engine told, whatever it is
+        except Exception as error:  # the protocol requires a report of any engine error
             self._reply("BailOut", {"i": instance, "what": f"{type(error).__name__}: {error}"})
             return
         for action in actions:
@@ -250,7 +250,7 @@
 
 
 def _receive_line(session: SimulatorSession, line: str) -> bool:
-    """Hand one line to the session; what is wrong with it becomes a ProtocolError that names the message."""
+    """Pass one line to the session; raise a ProtocolError that names the message if it is malformed."""
     name, fields = _parse_message(line)
     try:
         return session.receive(name, fields)
@@ -266,7 +266,7 @@
     """Answer batches until the input ends.
 
     Raises:
-        ProtocolError: A line is not the wire.
+        ProtocolError: A line does not follow the protocol.
     """
     session = SimulatorSession()
     for line in source:
@@ -280,7 +280,7 @@
     """Serve the simulator.
 
     Returns:
-        0 at the end of input, 1 after a message on what is malformed.
+        0 at the end of input, 1 if the input is malformed; a message on standard error then says why.
     """
     try:
         serve(sys.stdin, sys.stdout)
