--- a/tests/net/admin/__init__.py
+++ b/tests/net/admin/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the operators' calls."""
+"""Tests of the admin calls."""
--- a/tests/net/admin/test_detachments.py
+++ b/tests/net/admin/test_detachments.py
@@ -1,4 +1,4 @@
-"""Servers that operators detach: the policy engine, the connections, the admin server."""
+"""Detached servers in the policy engine, the endpoint registry and the upstream pool; the admin server."""
 
 import asyncio
 import logging
@@ -22,7 +22,7 @@
 from tests.support.gateway_node import run_gateway, wait_until
 from tests.support.resp_encoding import encode_call, encode_reply
 
-FAILING_SERVER = "s-fault"  # a call for it raises
+FAILING_SERVER = "s-fault"  # admin calls for this server fail
 DISCOVERY_UPDATES = [
     lambda harness: harness.servers(make_endpoint(1), make_endpoint(2)),
     lambda harness: harness.servers(make_endpoint(1, started_ms=harness.now), kind=UpdateKind.DELTA),
@@ -35,7 +35,7 @@
 
 
 def chosen_servers(harness, count: int = 60) -> list[int]:
-    """Send so many requests, one after the other; give the servers that they went to."""
+    """Send ``count`` requests, one after the other, and return the servers that got them."""
     names = [harness.ask(timeout_ms=100.0) for _ in range(count) if not harness.run(1.0)]
     servers = [harness.sent[name][0] for name in names if name in harness.sent]
     for name in names:
@@ -45,15 +45,15 @@
 
 
 def capacity_share(harness, server: int) -> float:
-    """How much of its capacity a server is given while it warms up."""
+    """Return the share of its capacity that a server is given while it is warming."""
     return harness.gateway.mechanisms.slow_start.capacity_share(harness.gateway.endpoints.by_id[server])
 
 
 @pytest.mark.parametrize("update", DISCOVERY_UPDATES)
-def test_detached_server_gets_no_request_whatever_discovery_says(harness, update):
+def test_detached_server_gets_no_request_after_any_discovery_update(harness, update):
     harness.do(DetachServer(1))
     update(harness)
-    harness.do(DetachServer(1))  # the call may come twice
+    harness.do(DetachServer(1))  # a second call has no further effect
     assert set(chosen_servers(harness)) == {2}
     harness.do(AttachServer(1))
     harness.run(20_000.0)
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize("update", [DISCOVERY_UPDATES[0], DISCOVERY_UPDATES[2], lambda _: None])
-def test_attached_server_warms_up_even_if_no_update_tells_of_its_start(harness, update):
+def test_attached_server_warms_up_without_an_update_of_its_start(harness, update):
     harness.do(DetachServer(1))
     harness.run(1000.0)
     harness.do(AttachServer(1))
@@ -71,7 +71,7 @@
     assert 0.2 <= share < 0.3
     harness.servers(
         make_endpoint(1, started_ms=harness.now - 900.0), kind=UpdateKind.DELTA
-    )  # the list tells of it after all
+    )  # discovery now reports the start
     assert capacity_share(harness, 1) > share
 
 
@@ -80,7 +80,7 @@
     assert capacity_share(harness, 1) == 1.0
 
 
-def test_queued_requests_go_to_a_server_as_it_is_attached():
+def test_queued_requests_go_to_a_server_once_it_is_attached():
     harness = make_harness()
     harness.servers(make_endpoint(1))
     harness.do(DetachServer(1))
@@ -92,7 +92,7 @@
     assert set(harness.sent) <= set(names)
 
 
-def test_number_of_a_detached_server_outlives_its_absence_from_discovery():
+def test_detached_server_keeps_its_number_while_absent_from_discovery():
     registry = EndpointRegistry()
     document = {"generation": 1, "reset": True, "instances": [make_instance("s-1", 1)]}
     registry.read(document)
@@ -117,17 +117,17 @@
         replies = []
         gateway.upstream_pool.start(1, Attempt(b"*1\r\n$4\r\nPING\r\n", replies.append))
         gateway.upstream_pool.start(1, Attempt(b"*1\r\n$4\r\nPING\r\n", replies.append))
-        got = len(first.commands)
+        command_count = len(first.commands)
         gateway.driver.post(DetachServer(1))
         assert not gateway.upstream_pool.hosts[1].idle
         assert UpstreamReply(AttemptStatus.CONNECT_FAILED) in replies
         await first.wait_until(lambda: first.closed_connections == len(first.writers))
         for number in range(200, 230):
             assert await client.request(encode_call(number)) is not None
-        assert len(first.commands) <= got + 1  # one of the two may have been on an idle connection
+        assert len(first.commands) <= command_count + 1  # one attempt may have used an idle connection
 
 
-async def test_attempt_in_flight_may_end_at_a_detached_server():
+async def test_attempt_in_flight_is_completed_by_a_detached_server():
     server = FakeUpstream(lambda _: None)
     async with run_gateway(server) as gateway:
         client = await gateway.connect_client()
@@ -136,18 +136,18 @@
         gateway.driver.post(DetachServer(1))
         server.writers[0].write(encode_reply(b"v"))
         assert await client.read_reply() == b"v"
-        await server.wait_until(lambda: server.closed_connections)  # and its connection is not used again
+        await server.wait_until(lambda: server.closed_connections)  # the connection is not reused
 
 
 @asynccontextmanager
 async def run_admin_server(is_ready=lambda: True):
-    """Run an admin server; give its port, the calls that it passes on, and itself."""
+    """Run an admin server; yield its port, the list of its calls to ``set_detached``, and the server."""
     calls = []
 
     async def set_detached(name, detached):
         calls.append((name, detached))
         if name == FAILING_SERVER:
-            raise RuntimeError("a fault of the program")
+            raise RuntimeError("injected fault")
         return name.startswith("s-")
 
     server = AdminServer(is_ready, set_detached)
@@ -175,7 +175,7 @@
         assert calls == [("s-1", True), ("s-1", False)]
 
 
-async def test_admin_call_for_metrics_gives_every_counter():
+async def test_admin_call_for_metrics_returns_every_counter():
     async with run_admin_server() as (port, _, server):
         server.calls.metrics.count(Metric.ANSWERS, "served")
         response = await send_admin_call(port, b"GET /_metrics HTTP/1.1\r\n\r\n")
@@ -208,7 +208,7 @@
         assert all(name == "other" for name, _ in calls)
 
 
-async def test_stalled_admin_connections_keep_nobody_out_and_are_closed(monkeypatch):
+async def test_stalled_admin_connections_do_not_block_others_and_are_closed(monkeypatch):
     monkeypatch.setattr(admin, "REQUEST_TIMEOUT_S", 1.0)
     async with run_admin_server() as (port, _, server):
         many = range(3 * admin.MAX_CONNECTIONS)
@@ -244,7 +244,7 @@
         ),
     ],
 )
-async def test_response_byte_by_byte(request_bytes, status_line, body):
+async def test_admin_response_has_exactly_these_bytes(request_bytes, status_line, body):
     async with run_admin_server() as (port, _, _):
         assert await send_admin_call(port, request_bytes) == (
             b"HTTP/1.1 %b\r\nContent-Type: text/plain; charset=utf-8\r\nContent-Length: %d\r\n"
--- a/tests/net/handover/test_handover_faults.py
+++ b/tests/net/handover/test_handover_faults.py
@@ -1,4 +1,4 @@
-"""A handover during which the system refuses descriptors."""
+"""Handovers while descriptors are short, during a shutdown, and with a partial command."""
 
 import asyncio
 import errno
@@ -17,7 +17,7 @@
 
 
 class FailingDup:
-    """Takes the place of the module ``os``, whose ``dup`` fails a number of times."""
+    """Stands in for the module ``os``; its ``dup`` fails a given number of times."""
 
     def __init__(self, failures):
         self.failures = failures
@@ -26,14 +26,14 @@
         return getattr(os, name)
 
     def dup(self, descriptor):
-        """Duplicate a descriptor, or fail as if none were left."""
+        """Duplicate a descriptor, or fail as if no descriptors were left."""
         if self.failures:
             self.failures -= 1
-            raise OSError(errno.EMFILE, "fault of the test")
+            raise OSError(errno.EMFILE, "injected fault")
         return os.dup(descriptor)
 
 
-async def test_process_that_can_not_hand_over_its_listener_serves_on(tmp_path, monkeypatch):
+async def test_process_that_can_not_duplicate_its_listening_socket_serves_on(tmp_path, monkeypatch):
     async with run_gateway() as old:
         old.handover.sender.path = tmp_path / "rendezvous"
         old.handover.listen()
@@ -42,7 +42,9 @@
         assert not old.client_listener.is_suspended
         assert old.handover.sender.state is SenderState.LISTENING
         assert await (await old.connect_client()).request(encode_command("PING")) == b"PONG"
-        monkeypatch.setattr(handover_sender, "os", FailingDup(1))  # it is asked again
+        monkeypatch.setattr(
+            handover_sender, "os", FailingDup(1)
+        )  # the first request fails, its retry succeeds
         handover_state = await request_handover(old.handover.path)
         assert handover_state is not None
         handover_state.listener.close()
@@ -50,7 +52,7 @@
         await wait_until(lambda: old.handover.sender.state is SenderState.LISTENING)
 
 
-async def test_connection_is_handed_over_once_descriptors_are_left(tmp_path, monkeypatch):
+async def test_connection_is_handed_over_once_descriptors_are_available(tmp_path, monkeypatch):
     async with run_gateway() as old, run_gateway() as new:
         old.handover.sender.path = new.handover.sender.path = tmp_path / "rendezvous"
         old.handover.listen()
@@ -76,26 +78,28 @@
         shutdown = asyncio.create_task(
             shut_down_gracefully(SETTINGS, old.driver, old.client_listener, old.handover)
         )
-        client = await old.connect_client()  # keeps the process from ending
+        client = await old.connect_client()  # its partial command delays the shutdown
         client.send(b"*1\r\n")
         await wait_until(lambda: old.client_listener.listening_socket is None)
         assert old.handover.sender.listener is None
-        assert rendezvous.connect(old.handover.path) is None  # refused, which ends a request at once
+        assert rendezvous.connect(old.handover.path) is None  # a refused connection is not retried
         assert await request_handover(old.handover.path) is None
         client.close()
         await shutdown
 
 
-async def test_half_a_body_is_overdue_in_its_time_however_often_its_connection_is_handed_over(monkeypatch):
+async def test_partial_body_times_out_in_its_time_after_a_handover(monkeypatch):
     monkeypatch.setattr(idle_connections, "COMMAND_READ_TIMEOUT_S", 0.3)
-    monkeypatch.setattr(command_intake, "BODY_GAP_TIMEOUT_S", 3600.0)  # it counts as arriving for long
+    monkeypatch.setattr(command_intake, "BODY_GAP_TIMEOUT_S", 3600.0)  # the body counts as still arriving
     async with run_gateway() as gateway:
         client = await gateway.connect_client()
         client.send(encode_call(1, "post", body=b"x" * 1000)[:-500])
         listener = gateway.client_listener
-        await wait_until(lambda: listener.idle_connections.awaiting_body)  # overdue, but for its body
+        await wait_until(
+            lambda: listener.idle_connections.awaiting_body
+        )  # the command is overdue, its body still arriving
         (connection,) = listener.connections
-        connection.intake.last_received_s -= 1000.0  # silent since then
+        connection.intake.last_received_s -= 1000.0  # as if nothing had arrived for 1000 s
         descriptor, resumed = connection.release()
         assert resumed.command_due_for_s >= 0.3
         assert resumed.silent_s >= 1000.0
--- a/tests/net/handover/test_packets.py
+++ b/tests/net/handover/test_packets.py
@@ -1,4 +1,4 @@
-"""The form of messages on a process channel, without sockets."""
+"""The packet format of messages on a process channel, without sockets."""
 
 import os
 
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize("size", [0, 1, PIECE_BYTES, 2 * PIECE_BYTES + 1])
-def test_packets_are_put_together_to_the_message_that_was_split(size):
+def test_message_split_into_packets_is_reassembled(size):
     packets = split_into_packets(ChannelMessage({"kind": "holds"}, b"x" * size))
     assembler = MessageAssembler()
     received = [assembler.add_packet(packet.data, is_truncated=False) for packet in packets]
@@ -37,12 +37,12 @@
         (b".{\n", False, "malformed header"),
     ],
 )
-def test_malformed_packet_or_header_is_named(packet, is_truncated, reason):
+def test_malformed_packet_or_header_is_rejected(packet, is_truncated, reason):
     with pytest.raises(HandoverError, match=f"^{reason}$"):
         MessageAssembler().add_packet(packet, is_truncated)
 
 
-def test_one_descriptor_a_message_is_kept_and_all_others_are_closed():
+def test_first_descriptor_of_a_message_is_kept_and_all_others_are_closed():
     assembler = MessageAssembler()
     first, second = os.pipe()
     assembler.add_descriptors([first, second])
--- a/tests/net/handover/test_peer_messages.py
+++ b/tests/net/handover/test_peer_messages.py
@@ -1,4 +1,4 @@
-"""The messages between two processes: the same JSON as ever, and errors that name kind and key."""
+"""Messages between two processes: their JSON is the same as in earlier versions; errors name kind and key."""
 
 import json
 import socket
@@ -31,6 +31,7 @@
 from tests.support.gateway_node import wait_until
 
 DATA = Path(__file__).parent.parent.parent / "process" / "data"
+# By kind, the headers that processes of two earlier commits wrote.
 RECORDED, RECORDED_4ABEC57 = [
     {header["kind"]: header for header in json.loads((DATA / name).read_text())["headers"]}
     for name in ("handover_4431b5a.json", "handover_4abec57.json")
@@ -91,7 +92,7 @@
 @pytest.mark.parametrize(
     ("kind", "key"), [(kind, key) for kind in READABLE for key in RECORDED[kind] if key != "kind"]
 )
-def test_message_without_a_key_is_malformed_and_the_error_names_kind_and_key(kind, key):
+def test_error_for_a_missing_key_names_kind_and_key(kind, key):
     header = {name: value for name, value in RECORDED[kind].items() if name != key}
     with pytest.raises(HandoverError, match=rf"^{kind}: {key}\b"):
         READABLE[kind](header)
@@ -113,7 +114,7 @@
         ("banned", "number", []),
     ],
 )
-def test_malformed_value_is_named_with_its_kind_and_key(kind, key, value):
+def test_error_for_a_malformed_value_names_kind_and_key(kind, key, value):
     with pytest.raises(HandoverError, match=rf"^{kind}: {key}=") as caught:
         READABLE[kind]({**RECORDED[kind], key: value})
     assert repr(value) in str(caught.value)
@@ -131,38 +132,38 @@
         (b'{"state": {}, "roster": "x"}', "roster='x'"),
     ],
 )
-def test_malformed_offer_is_refused(body, wrong):
+def test_malformed_offer_is_rejected(body, wrong):
     with pytest.raises(HandoverError, match=f"^estate: .*{wrong}"):
         read_offer(RECORDED["estate"], body)
 
 
 @pytest.mark.parametrize("header", [{"kind": "hello", "version": 1}, {"kind": "estate", "version": 2}, {}])
-def test_offer_of_another_kind_or_version_is_refused(header):
+def test_offer_of_another_kind_or_version_is_rejected(header):
     with pytest.raises(HandoverError, match=r"^estate: (kind|version)="):
         read_offer(header, b'{"state": {}, "roster": {}}')
 
 
 @pytest.mark.parametrize("due_s", [float("inf"), float("-inf"), float("nan")])
-def test_time_that_is_not_finite_counts_as_none(due_s):
+def test_time_that_is_not_finite_is_read_as_zero(due_s):
     assert READABLE["connection"]({**RECORDED["connection"], "owing_s": due_s}).command_due_for_s == 0.0
 
 
-def test_counts_below_none_count_as_none():
+def test_negative_counts_are_read_as_zero():
     assert READABLE["holds"]({"clients": -1, "servers": -7}) == DescriptorsInUse(0, 0)
 
 
 @pytest.mark.parametrize("kind", ["new", 7, None, [], {}])
-def test_unknown_kind_is_passed_over_and_a_missing_one_is_malformed(kind):
+def test_unknown_kind_is_ignored_and_a_missing_kind_is_malformed(kind):
     assert MessageKind.of({"kind": kind}) is None
     with pytest.raises(HandoverError, match="kind is missing"):
         MessageKind.of({"version": 1})
 
 
-# ---- On the channel
+# ---- Process channel
 
 
 def channel_and_peer() -> tuple[ProcessChannel, socket.socket]:
-    """A channel, and the socket at its other end."""
+    """Return a channel and the socket at its other end."""
     ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     theirs.setblocking(False)
     return ProcessChannel(ours), theirs
@@ -218,10 +219,10 @@
     assert ends == [True]
     for sock in (peer, passed, other):
         sock.close()
-    assert open_descriptors() <= before + 1  # a loop's own may be made with the first reader
+    assert open_descriptors() <= before + 1  # the event loop may open one with its first reader
 
 
-async def test_message_without_end_closes_the_channel():
+async def test_message_over_the_size_limit_closes_the_channel():
     channel, peer = channel_and_peer()
 
     def write() -> bool:
@@ -240,7 +241,7 @@
     peer.close()
 
 
-async def test_descriptor_that_nobody_takes_is_closed():
+async def test_descriptor_that_the_receiver_does_not_take_is_closed():
     channel, peer = channel_and_peer()
     received: list[ReceivedMessage] = []
     channel.set_receiver(received.append)
@@ -250,14 +251,14 @@
     await wait_until(lambda: bool(received))
     assert received[0].descriptor is None
     other.settimeout(5.0)
-    assert other.recv(1) == b""  # the last descriptor of its other end is closed
+    assert other.recv(1) == b""  # the last descriptor of the passed socket is closed
     with pytest.raises(HandoverError, match="descriptor is missing"):
         received[0].take_socket()
     channel.close("end of the test")
     peer.close()
 
 
-async def test_end_is_told_once_and_not_at_all_when_closed_silently():
+async def test_on_end_is_called_once_and_not_at_all_when_closed_silently():
     ends = []
     for close in ("close", "close_silently"):
         channel, peer = channel_and_peer()
@@ -269,11 +270,11 @@
 
 
 @pytest.mark.parametrize("offset_ms", [None, 1.7e12])
-def test_offer_tells_the_offset_of_its_clock(offset_ms):
+def test_offer_has_the_clock_offset(offset_ms):
     offer = HandoverOffer({"a": 1}, {"b": 2}, offset_ms)
     assert read_offer(to_header(offer), encode_offer_body(offer)) == offer
 
 
-def test_offset_that_is_no_number_is_refused():
+def test_clock_offset_that_is_not_a_number_is_rejected():
     with pytest.raises(HandoverError, match=r"^estate: clock="):
         read_offer(RECORDED["estate"], b'{"state": {}, "roster": {}, "clock": "x"}')
--- a/tests/net/handover/test_process_channel.py
+++ b/tests/net/handover/test_process_channel.py
@@ -1,4 +1,4 @@
-"""The channel between two processes of one gateway, where one of them dies or the system fails."""
+"""The channel between two processes when one of them ends, or the system is short of buffers."""
 
 import asyncio
 import errno
@@ -6,10 +6,10 @@
 
 from quota_gateway.net.handover.process_channel import ChannelMessage, ProcessChannel
 
-END_TIMEOUT_S = 5.0  # generous: the end is due in the next turns of the loop
+END_TIMEOUT_S = 5.0  # generous: the channel is due to end in the next turns of the event loop
 
 
-async def test_channel_ends_when_the_other_process_dies_with_messages_unread():
+async def test_channel_ends_when_the_peer_process_ends_with_messages_unread():
     ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     channel, ended = ProcessChannel(ours), asyncio.Event()
     channel.on_end = ended.set
@@ -31,7 +31,7 @@
 
         def send(self, data):
             if errors:
-                raise OSError(errors.pop(), "fault of the test")
+                raise OSError(errors.pop(), "injected fault")
             return ours.send(data)
 
     channel.sock = ShortOfBuffers()
--- a/tests/net/handover/test_states.py
+++ b/tests/net/handover/test_states.py
@@ -21,7 +21,7 @@
 
 
 def transitions(gateway) -> dict[str, int]:
-    """How often each state of a handover was entered."""
+    """Return how often each state of a handover was entered."""
     metrics = gateway.driver.telemetry.metrics
     counts = {
         state.value: metrics.value(Metric.STATE_TRANSITIONS, state.value)
@@ -41,7 +41,7 @@
         handover_state.channel.close("the test is over")
         await wait_until(lambda: old.peers.next is None)
         assert transitions(old) == {
-            "sender_listening": 2,  # again, as the next process has ended
+            "sender_listening": 2,  # the sender listens again after the next process ends
             "sender_state_sent": 1,
             "sender_passing_connections": 1,
             "sender_not_listening": 1,
--- a/tests/unit/__init__.py
+++ b/tests/unit/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the policy: no sockets, a clock that the test sets."""
+"""Tests of single modules, of the library and of the documentation."""
--- a/tests/unit/test_async_tests.py
+++ b/tests/unit/test_async_tests.py
@@ -1,4 +1,4 @@
-"""The plugin for asyncio tests, in a pytest run of its own."""
+"""The plugin for asyncio tests, checked in separate pytest runs."""
 
 import pytest
 
@@ -6,12 +6,12 @@
 
 pytest_plugins = "pytester"
 
-SHORT_LIMIT_S = 1.0  # long for a test that does not hang, also on a busy machine
+SHORT_LIMIT_S = 1.0  # ample for a test that does not hang, even on a busy machine
 
 
 @pytest.fixture
 def run_tests(pytester, monkeypatch):
-    """Run a test module with the plugin and a short time limit."""
+    """Return a function that runs a test module with the plugin and a short time limit."""
     monkeypatch.setattr(async_tests, "TIME_LIMIT_S", SHORT_LIMIT_S)
 
     def run(source: str) -> pytest.RunResult:
@@ -89,11 +89,11 @@
 
         async def test_failing():
             await asyncio.sleep(0)
-            raise AssertionError("as it is")
+            raise AssertionError("expected failure")
 
         def test_plain():
             pass
         """
     )
     result.assert_outcomes(passed=1, failed=1)
-    result.stdout.fnmatch_lines(["*AssertionError: as it is*"])
+    result.stdout.fnmatch_lines(["*AssertionError: expected failure*"])
--- a/tests/unit/test_config.py
+++ b/tests/unit/test_config.py
@@ -1,4 +1,4 @@
-"""From environment and configuration file to ``Config``, and what a malformed one is told."""
+"""Reading of the environment and the configuration file, and the errors if they are malformed."""
 
 import copy
 import errno
@@ -32,14 +32,14 @@
 
 @dataclass(frozen=True)
 class MalformedField:
-    """A field of the document, what is put there, and the words of the error."""
+    """A field of the document, its malformed value, and texts that the error message contains."""
 
     path: tuple[str | int, ...]
     value: Any
     words: tuple[str, ...]
 
     def document(self) -> dict[str, Any]:
-        """The document with this field malformed."""
+        """Return the document with this field malformed."""
         document = copy.deepcopy(DOCUMENT)
         section: Any = document
         for step in self.path[:-1]:
@@ -139,7 +139,7 @@
 
 
 def write(folder: Path, document: dict[str, Any]) -> dict[str, str]:
-    """The configuration file in the folder, and the environment that names it."""
+    """Write the configuration file to the folder and return the environment that names the file."""
     path = folder / "config.json"
     path.write_text(json.dumps(document))
     return {"EDGE_CONFIG": str(path)}
@@ -170,7 +170,7 @@
     assert (settings.contract.overload_factor, settings.contract.overload_window_ms) == (3.0, 2000.0)
 
 
-def test_addresses_of_the_environment_outrank_those_of_the_file(tmp_path):
+def test_addresses_in_the_environment_take_precedence_over_the_file(tmp_path):
     document = {key: value for key, value in DOCUMENT.items() if key not in ("listen", "discovery", "mgmt")}
     environment = {
         **write(tmp_path, document),
@@ -184,7 +184,7 @@
 
 
 @pytest.mark.parametrize("value", [MISSING, None, ""])
-def test_operators_are_not_served_without_an_address_for_them(value, tmp_path):
+def test_admin_calls_are_not_served_without_an_address(value, tmp_path):
     document = {**DOCUMENT, "mgmt": value}
     if value is MISSING:
         del document["mgmt"]
@@ -203,7 +203,7 @@
 
 
 @pytest.mark.parametrize("name", MALFORMED_FILES)
-def test_file_that_is_no_json_object_is_reported(name, tmp_path):
+def test_file_that_is_not_a_json_object_is_reported(name, tmp_path):
     content, words = MALFORMED_FILES[name]
     path = tmp_path / "config.json"
     path.write_bytes(content)
@@ -231,13 +231,13 @@
         load_config({**write(tmp_path, DOCUMENT), variable: "nowhere"})
 
 
-def test_long_value_is_cut_in_the_error():
+def test_long_value_is_truncated_in_the_error():
     text = str(invalid_field("config.listen", "x" * 10_000, "is not an address"))
     assert text == f"config.listen: '{'x' * (MAX_SHOWN_CHARACTERS - 1)}... is not an address"
 
 
 @pytest.mark.parametrize("error", [errno.EIO, errno.EINTR, errno.ENFILE, HALF_WRITTEN])
-def test_start_reads_a_file_again_that_can_not_be_read_for_a_moment(tmp_path, monkeypatch, error):
+def test_start_retries_after_a_transient_read_failure(tmp_path, monkeypatch, error):
     path = tmp_path / "config.json"
     path.write_text(json.dumps(DOCUMENT))
     failures, read_text = [error, error], Path.read_text
@@ -247,7 +247,7 @@
         if failure == HALF_WRITTEN:
             return read_text(self)[:100]
         if failure:
-            raise OSError(failure, "fault of the test")
+            raise OSError(failure, "injected fault")
         return read_text(self)
 
     monkeypatch.setattr(Path, "read_text", fail_first)
@@ -255,13 +255,13 @@
     assert not failures
 
 
-def test_start_does_not_read_a_file_again_that_is_missing(tmp_path, monkeypatch):
-    monkeypatch.setattr("quota_gateway.config.time", None)  # nothing waits
+def test_start_does_not_retry_a_missing_file(tmp_path, monkeypatch):
+    monkeypatch.setattr("quota_gateway.config.time", None)  # a retry would fail in ``time.sleep``
     with pytest.raises(ConfigError, match="can not be read"):
         load_config({"EDGE_CONFIG": str(tmp_path / "missing.json")})
 
 
-def test_error_carries_the_key_of_the_operator_its_value_and_what_is_allowed(tmp_path):
+def test_error_of_an_invalid_field_has_its_path_value_and_reason(tmp_path):
     malformed = MalformedField(("limits", "sockets"), "many", ())
     with pytest.raises(InvalidFieldError) as caught:
         load_config(write(tmp_path, malformed.document()))
@@ -269,7 +269,7 @@
     assert (error.field, error.value, error.reason) == ("config.limits.sockets", "many", "is not a number")
 
 
-def test_error_carries_the_key_that_is_missing(tmp_path):
+def test_error_of_a_missing_field_has_its_path(tmp_path):
     with pytest.raises(MissingFieldError) as caught:
         load_config(write(tmp_path, missing("limits", "memory_mb").document()))
     assert caught.value.field == "config.limits.memory_mb"
--- a/tests/unit/test_documentation.py
+++ b/tests/unit/test_documentation.py
@@ -1,4 +1,4 @@
-"""The pages name what the code has: paths, names and events of the log."""
+"""Checks that the paths, names and log events in the documentation exist in the code."""
 
 import re
 from pathlib import Path
@@ -12,7 +12,7 @@
 CODE_SPAN = re.compile(r"`([^`\n]+)`")
 FENCED_BLOCK = re.compile(r"^```.*?^```", re.DOTALL | re.MULTILINE)
 CAMEL_CASE = re.compile(r"\b(?:[A-Z][a-z0-9]+){2,}\b")
-FORM_OF_A_PLACE = "path/to/file.py:Name"  # as the page itself explains it
+FORM_OF_A_PLACE = "path/to/file.py:Name"  # example in the explanation on the page
 PATH_SUFFIXES = (".py", ".toml", ".md")
 EVENT_TABLE_HEADER = re.compile(r"^\| event fields \|.*$", re.MULTILINE)
 
@@ -24,12 +24,12 @@
 
 
 def code_spans(text: str) -> list[str]:
-    """What stands in backticks, outside fenced blocks."""
+    """Return the texts in backticks outside fenced blocks."""
     return CODE_SPAN.findall(FENCED_BLOCK.sub("", text))
 
 
 def is_path(span: str) -> bool:
-    """Tell a path of the project from a command, a path of HTTP and a place that is known at run time."""
+    """Return whether a code span is a project path: no command, HTTP path or path known only at run time."""
     place = span.partition(":")[0]
     return (
         " " not in span
@@ -39,7 +39,7 @@
 
 
 def fault_of_place(span: str) -> str | None:
-    """What is wrong with ``path/to/file`` or ``path/to/file.py:Name``."""
+    """Return what is wrong with ``path/to/file`` or ``path/to/file.py:Name``, None if it exists."""
     place, _, name = span.partition(":")
     path = ROOT / place
     if not path.exists():
@@ -92,7 +92,7 @@
 
 
 def names_a_place(span: str) -> bool:
-    """Tell whether a span of the glossary is a module or a folder of the project."""
+    """Return whether a code span of the glossary is a module or a folder of the project."""
     folders = (ROOT / span, ROOT / "quota_gateway" / span)
     return find_module(span) is not None or ("/" in span and any(folder.is_dir() for folder in folders))
 
@@ -123,7 +123,7 @@
         "tests/support/log_events.py:Missing",
         "tests/support/log_events.py:parse",
         "tests/support/log_events.py:LogLine.missing",
-        "tests/support/log_events.py:Path",  # imported there, defined elsewhere
+        "tests/support/log_events.py:Path",  # a name that the module only imports
         "deploy/balancer.toml:run",
     ],
 )
@@ -132,11 +132,11 @@
 
 
 def listed_lines(text: str) -> list[str]:
-    """The first cells, without backticks, of all rows of the tables headed ``| event fields | ...``."""
+    """Return the first cells, without backticks, of all rows of tables headed ``| event fields | ...``."""
     cells = []
     for header in EVENT_TABLE_HEADER.finditer(text):
         rows = text[header.end() :].lstrip("\n").split("\n")
-        assert set(rows[0]) <= set("|- :"), f"no rule under the header: {rows[0]!r}"
+        assert set(rows[0]) <= set("|- :"), f"no separator row under the header: {rows[0]!r}"
         for row in rows[1:]:
             if not row.startswith("|"):
                 break
@@ -146,7 +146,7 @@
     return cells
 
 
-def test_rows_of_all_event_tables_are_listed_and_of_no_other():
+def test_only_rows_of_event_tables_are_listed():
     text = """
 | call | meaning |
 | --- | --- |
@@ -213,7 +213,7 @@
     assert not logged.faults
 
 
-def test_text_that_is_passed_on_is_no_event_of_its_own(tmp_path):
+def test_forwarded_text_is_not_an_event(tmp_path):
     logged = logged_by('log.info("%s", action.text)\ndef note(text): LogMessage(text)', tmp_path)
     assert not logged.keys
     assert not logged.faults
--- a/tests/unit/test_import_directions.py
+++ b/tests/unit/test_import_directions.py
@@ -1,4 +1,4 @@
-"""Imports point one way, as docs/ARCHITECTURE.md says: from sockets to decisions, and never back."""
+"""Checks that each layer imports only the layers below it, as docs/ARCHITECTURE.md says."""
 
 import ast
 from pathlib import Path
@@ -19,7 +19,7 @@
 
 
 def imported_modules(path: Path) -> set[str]:
-    """List the modules of the package that a file imports."""
+    """Return the modules of the package that a file imports."""
     names = set()
     for node in ast.walk(ast.parse(path.read_text())):
         match node:
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize("folder", ALLOWED)
-def test_folder_imports_only_what_lies_below_it(folder):
+def test_folder_imports_only_the_layers_below_it(folder):
     faults = [
         f"{path.relative_to(ROOT)} imports {module}"
         for path in source_files(f"{PACKAGE}/{folder}")
--- a/tests/unit/test_library.py
+++ b/tests/unit/test_library.py
@@ -1,4 +1,4 @@
-"""The library as a new user finds it: the README's example, polled discovery, settings that are rejected."""
+"""The public library: the README's example, polled discovery, quotas without reports, invalid settings."""
 
 import re
 from dataclasses import replace
@@ -13,14 +13,14 @@
 
 
 class SubscriptionRecorder(EngineHarness):
-    """A harness that keeps the subscriptions to discovery which its engine asks for."""
+    """A harness that records the subscriptions to discovery that its engine requests."""
 
     def __init__(self, settings: Settings) -> None:
         self.subscriptions: list[Subscribe] = []
         super().__init__(settings)
 
     def do(self, event: Event) -> list[Action]:
-        """Hand over an event and keep the subscriptions among its actions."""
+        """Pass an event to the engine and record the subscriptions among its actions."""
         actions = super().do(event)
         self.subscriptions.extend(action for action in actions if isinstance(action, Subscribe))
         return actions
@@ -38,12 +38,12 @@
     harness.run(10.0)
     assert len(harness.subscriptions) == 1
     harness.servers(kind=UpdateKind.FAILED)
-    harness.run(5000.0)  # half of the time in which discovery must be polled
+    harness.run(5000.0)  # half of the poll deadline
     assert len(harness.subscriptions) == 2
     assert harness.ask() in harness.sent
 
 
-def test_quota_without_usage_reports_keeps_the_even_share():
+def test_quota_is_divided_evenly_without_usage_reports():
     harness = make_harness(usage_period_ms=0.0)
     harness.servers(make_endpoint(1), make_endpoint(2))
     forwarded = [harness.ask("metered") in harness.sent for _ in range(5)]
--- a/tests/unit/test_resources.py
+++ b/tests/unit/test_resources.py
@@ -1,4 +1,4 @@
-"""How descriptors and memory are divided, as figures."""
+"""The division of descriptors and memory among the parts of a gateway."""
 
 import gc
 import os
@@ -24,11 +24,11 @@
         (4096, True, 3030, 1009),
     ],
 )
-def test_descriptors_are_divided_three_to_one_after_all_others(limit, has_admin, clients, upstream):
+def test_descriptors_that_are_not_reserved_are_divided_three_to_one(limit, has_admin, clients, upstream):
     assert resources.divide_descriptors(limit, INHERITED, has_admin) == DescriptorBudget(clients, upstream)
 
 
-def test_other_descriptors_as_figures():
+def test_numbers_of_reserved_descriptors():
     assert resources.OTHER_DESCRIPTORS == 37
     assert resources.ADMIN_DESCRIPTORS == 17
 
@@ -54,17 +54,17 @@
         (192 * MEGABYTE, 72_142_028, 8 * MEGABYTE),
     ],
 )
-def test_memory_for_buffers_and_what_is_spared_while_two_processes_run(memory, buffered, spare):
+def test_buffer_memory_and_memory_spared_while_two_processes_run(memory, buffered, spare):
     limits = resources.divide_resources(256, INHERITED, memory, has_admin=False)
     assert (limits.max_buffered_bytes, limits.handover_spare_bytes) == (buffered, spare)
     assert (limits.max_client_connections, limits.max_upstream_connections) == (162, 54)
 
 
 def test_open_descriptors_are_counted():
-    gc.collect()  # sockets that earlier tests have left would be closed between the counts
+    gc.collect()  # sockets left by earlier tests might otherwise be closed between the counts
     before = resources.count_open_descriptors()
-    nothing = Path(os.devnull)
-    with nothing.open() as _first, nothing.open() as _second:
+    null_device = Path(os.devnull)
+    with null_device.open() as _first, null_device.open() as _second:
         assert resources.count_open_descriptors() == before + 2
     assert resources.count_open_descriptors() == before
 
--- a/tests/unit/test_settings_format.py
+++ b/tests/unit/test_settings_format.py
@@ -1,4 +1,4 @@
-"""The keys of the settings: which field each is read into, and how a wrong one is named."""
+"""The keys of the settings: the field of each, and the errors for missing keys and wrong values."""
 
 import copy
 from dataclasses import fields, replace
@@ -115,7 +115,7 @@
 
 
 def document_with(path: str, value: Any) -> Any:
-    """The settings document with another value at the path, or without the key at its end."""
+    """Return the settings document with another value at the path, or without that key for ``MISSING``."""
     holder = {"settings": copy.deepcopy(SETTINGS_DOCUMENT)}
     section: Any = holder
     *parents, last = [
@@ -137,7 +137,7 @@
 
 
 @pytest.mark.parametrize("path", [*NUMBER_KEYS, *OTHER_KEYS])
-def test_missing_key_is_named_by_its_path(path):
+def test_error_for_a_missing_key_names_its_path(path):
     with pytest.raises(MissingFieldError) as caught:
         settings_from_document(document_with(path, MISSING))
     assert caught.value.field == path
@@ -146,21 +146,21 @@
 
 @pytest.mark.parametrize("value", ["much", None, True, -1, float("nan"), float("inf"), []], ids=repr)
 @pytest.mark.parametrize("path", NUMBER_KEYS)
-def test_wrong_number_is_named_by_its_path_its_value_and_what_is_allowed(path, value):
+def test_error_for_a_wrong_number_has_its_path_value_and_reason(path, value):
     error = error_of(path, value)
     assert (error.field, error.value, error.reason) == (path, value, NUMBER_KEYS[path])
     assert str(error) == f"{path}: {value!r} {NUMBER_KEYS[path]}"
 
 
 @pytest.mark.parametrize("path", OPTIONAL_NUMBER_KEYS)
-def test_wrong_optional_number_is_named_and_a_missing_one_has_its_default(path):
+def test_wrong_optional_number_is_an_error_and_a_missing_one_has_its_default(path):
     error = error_of(path, "much")
     assert (error.field, error.value, error.reason) == (path, "much", AT_LEAST_ZERO)
     assert settings_from_document(document_with(path, None)) == settings_from_document(SETTINGS_DOCUMENT)
 
 
 @pytest.mark.parametrize(("path", "value", "reason"), OTHER_WRONG_VALUES)
-def test_wrong_value_is_named_by_its_path_its_value_and_what_is_allowed(path, value, reason):
+def test_error_for_a_wrong_value_has_its_path_value_and_reason(path, value, reason):
     if path == "settings.load_info.names[1]":
         document = document_with("settings.load_info.names", ["q", value])
     else:
@@ -171,14 +171,14 @@
     assert (error.field, error.value, error.reason) == (path, value, reason)
 
 
-def test_hard_ceiling_without_a_burst_is_named():
+def test_hard_ceiling_without_a_burst_is_an_error():
     document = document_with("settings.tariffs[0].cap_rate", 1.0)
     with pytest.raises(InvalidFieldError, match=r"^settings\.tariffs\[0\]\.cap_depth: 0\.0 is not"):
         settings_from_document(document)
 
 
 @pytest.mark.parametrize("key", ["services", "tariffs"])
-def test_name_that_stands_twice_is_shown(key):
+def test_error_for_duplicate_names_shows_them(key):
     document = document_with(f"settings.{key}", 2 * SETTINGS_DOCUMENT[key])
     with pytest.raises(InvalidFieldError, match="is not a list of unique names") as caught:
         settings_from_document(document)
@@ -186,7 +186,7 @@
     assert caught.value.value == 2 * [SETTINGS_DOCUMENT[key][0]["name"]]
 
 
-def test_path_of_another_document_is_named():
+def test_error_names_the_given_path_of_the_document():
     with pytest.raises(InvalidFieldError, match=r"^env\.balancers: 0 is not a number of at least 1$"):
         settings_from_document(document_with("settings.balancers", 0), "env")
 
--- a/tests/unit/test_simulator.py
+++ b/tests/unit/test_simulator.py
@@ -1,4 +1,4 @@
-"""The simulator's wire in a subprocess, started as deploy/balancer.toml says."""
+"""The simulator's protocol in a subprocess, started with the command in deploy/balancer.toml."""
 
 import json
 import os
@@ -30,7 +30,7 @@
 
 
 def command() -> list[str]:
-    """The deploy file's command; where its environment is not built, this interpreter in its place."""
+    """Return the deploy file's command, with this interpreter if the environment in it is not built."""
     if (ROOT / ".venv" / "bin" / "python").exists():
         return ["/bin/sh", "-c", SIM]
     return [sys.executable, *SIM.split()[2:]]
@@ -44,14 +44,14 @@
     )
 
 
-def batch(turn, t, *events):
-    return [{"Batch": {"t_ms": t, "turn": turn}}, *events, {"Commit": {}}]
+def batch(turn, time_ms, *events):
+    return [{"Batch": {"t_ms": time_ms, "turn": turn}}, *events, {"Commit": {}}]
 
 
 def registry(ref, *servers):
     rows = [
         {
-            "server": s,
+            "server": server,
             "locality": "a",
             "generation_hw": "std",
             "cluster": 0,
@@ -60,7 +60,7 @@
             "since_ms": None,
             "new_field": 3,
         }
-        for s in servers
+        for server in servers
     ]
     return {"Roster": {"ref": ref, "members_list": rows}}
 
@@ -82,7 +82,7 @@
     return [row[name] for row in rows if name in row]
 
 
-def test_a_conversation_from_opening_to_answer():
+def test_request_from_open_instance_to_outcome():
     outcome = {
         "Outcome": {
             "i": "gateway-1",
@@ -130,7 +130,7 @@
     assert [(row["i"], row["server"]) for row in only(rows, "Try")] == [("gateway-1", 7), ("gateway-2", 8)]
 
 
-def test_destroy_then_open_in_one_batch_starts_anew():
+def test_destroy_then_open_in_one_batch_resets_the_instance():
     rows = replies(
         talk(
             *batch(1, 0.0, opening(), registry(0, 7), listing("gateway-1", 0)),
@@ -148,7 +148,7 @@
     assert [row["server"] for row in only(rows, "Try")] == [9]
 
 
-def test_same_actions_with_another_hash_seed_and_beside_another_instance():
+def test_actions_do_not_depend_on_the_hash_seed_or_on_other_instances():
     script = [*batch(1, 0.0, opening(), registry(0, 7, 8, 9), listing("gateway-1", 0))]
     for n in range(20):
         script += batch(n + 2, 5.0 * n, {"Knock": {**KNOCK, "op_id": f"{n:x}"}})
--- a/tests/unit/test_telemetry.py
+++ b/tests/unit/test_telemetry.py
@@ -1,4 +1,4 @@
-"""Counters, the trace of the last events, and what a violation logs."""
+"""Counters and the trace of the last events."""
 
 from quota_gateway.telemetry import EventTrace, Metric, Metrics
 from quota_gateway.telemetry.event_trace import MAX_EVENTS, MAX_SHOWN_EVENTS
@@ -18,7 +18,7 @@
     assert metrics.value(Metric.ATTEMPTS, "timeout") == 0
 
 
-def test_trace_is_bounded_and_tells_one_subject_apart():
+def test_trace_is_bounded_and_separates_subjects():
     trace = EventTrace()
     trace.add("a", "received")
     for number in range(MAX_EVENTS):
