--- a/tests/net/handover/test_peer_messages.py
+++ b/tests/net/handover/test_peer_messages.py
@@ -46,7 +46,7 @@
     (DetachmentRequest("s-1", detached=True, known=False, number=1), "ban"),
     (DetachmentReply(number=7, known=True), "banned"),
 ]
-READABLE = {
+HEADER_READERS = {
     "hello": partial(from_header, Hello),
     "connection": partial(from_header, HandedOverConnection),
     "holds": partial(from_header, DescriptorsInUse),
@@ -61,9 +61,9 @@
     assert json.dumps(to_header(message)) == json.dumps(RECORDED[kind])
 
 
-@pytest.mark.parametrize(("message", "kind"), [item for item in MESSAGES if item[1] in READABLE])
+@pytest.mark.parametrize(("message", "kind"), [item for item in MESSAGES if item[1] in HEADER_READERS])
 def test_message_of_the_recorded_process_is_read(message, kind):
-    assert READABLE[kind](RECORDED[kind]) == message
+    assert HEADER_READERS[kind](RECORDED[kind]) == message
 
 
 @pytest.mark.parametrize(
@@ -75,7 +75,7 @@
 )
 def test_message_is_written_and_read_as_commit_4abec57_wrote_it(message, kind):
     assert json.dumps(to_header(message)) == json.dumps(RECORDED_4ABEC57[kind])
-    assert kind not in READABLE or READABLE[kind](RECORDED_4ABEC57[kind]) == message
+    assert kind not in HEADER_READERS or HEADER_READERS[kind](RECORDED_4ABEC57[kind]) == message
 
 
 def test_every_message_has_a_format():
@@ -90,12 +90,12 @@
 
 
 @pytest.mark.parametrize(
-    ("kind", "key"), [(kind, key) for kind in READABLE for key in RECORDED[kind] if key != "kind"]
+    ("kind", "key"), [(kind, key) for kind in HEADER_READERS for key in RECORDED[kind] if key != "kind"]
 )
 def test_error_for_a_missing_key_names_kind_and_key(kind, key):
     header = {name: value for name, value in RECORDED[kind].items() if name != key}
     with pytest.raises(HandoverError, match=rf"^{kind}: {key}\b"):
-        READABLE[kind](header)
+        HEADER_READERS[kind](header)
 
 
 @pytest.mark.parametrize(
@@ -116,12 +116,12 @@
 )
 def test_error_for_a_malformed_value_names_kind_and_key(kind, key, value):
     with pytest.raises(HandoverError, match=rf"^{kind}: {key}=") as caught:
-        READABLE[kind]({**RECORDED[kind], key: value})
+        HEADER_READERS[kind]({**RECORDED[kind], key: value})
     assert repr(value) in str(caught.value)
 
 
 @pytest.mark.parametrize(
-    ("body", "wrong"),
+    ("body", "reason"),
     [
         (b"", "JSON"),
         (b"\xff", "JSON"),
@@ -132,8 +132,8 @@
         (b'{"state": {}, "roster": "x"}', "roster='x'"),
     ],
 )
-def test_malformed_offer_is_rejected(body, wrong):
-    with pytest.raises(HandoverError, match=f"^estate: .*{wrong}"):
+def test_malformed_offer_is_rejected(body, reason):
+    with pytest.raises(HandoverError, match=f"^estate: .*{reason}"):
         read_offer(RECORDED["estate"], body)
 
 
@@ -145,11 +145,11 @@
 
 @pytest.mark.parametrize("due_s", [float("inf"), float("-inf"), float("nan")])
 def test_time_that_is_not_finite_is_read_as_zero(due_s):
-    assert READABLE["connection"]({**RECORDED["connection"], "owing_s": due_s}).command_due_for_s == 0.0
+    assert HEADER_READERS["connection"]({**RECORDED["connection"], "owing_s": due_s}).command_due_for_s == 0.0
 
 
 def test_negative_counts_are_read_as_zero():
-    assert READABLE["holds"]({"clients": -1, "servers": -7}) == DescriptorsInUse(0, 0)
+    assert HEADER_READERS["holds"]({"clients": -1, "servers": -7}) == DescriptorsInUse(0, 0)
 
 
 @pytest.mark.parametrize("kind", ["new", 7, None, [], {}])
--- a/tests/unit/test_simulator.py
+++ b/tests/unit/test_simulator.py
@@ -14,7 +14,7 @@
 ROOT = Path(__file__).parent.parent.parent
 SIM = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["sim"]
 
-KNOCK = {
+KNOCK_FIELDS = {
     "i": "gateway-1",
     "op_id": "aa",
     "priority": "read",
@@ -36,7 +36,7 @@
     return [sys.executable, *SIM.split()[2:]]
 
 
-def talk(*messages, seed="0") -> subprocess.CompletedProcess:
+def run_simulator(*messages, seed="0") -> subprocess.CompletedProcess:
     text = "\n".join(m if isinstance(m, str) else json.dumps(m) for m in messages) + "\n"
     env = {**os.environ, "PYTHONHASHSEED": seed}
     return subprocess.run(
@@ -48,7 +48,7 @@
     return [{"Batch": {"t_ms": time_ms, "turn": turn}}, *events, {"Commit": {}}]
 
 
-def registry(ref, *servers):
+def endpoint_list(ref, *servers):
     rows = [
         {
             "server": server,
@@ -65,20 +65,20 @@
     return {"Roster": {"ref": ref, "members_list": rows}}
 
 
-def listing(instance, ref, scope="Persisted"):
+def discovery_update(instance, ref, scope="Persisted"):
     return {"Discovery": {"i": instance, "ref": ref, "scope": scope, "epoch": 1}}
 
 
-def opening(instance="gateway-1", seed=5):
+def open_instance(instance="gateway-1", seed=5):
     return {"OpenInstance": {"i": instance, "rng_seed": seed, "env": SETTINGS_DOCUMENT}}
 
 
-def replies(done):
-    assert done.returncode == 0, done.stderr
-    return [json.loads(line) for line in done.stdout.splitlines()]
+def parse_replies(completed):
+    assert completed.returncode == 0, completed.stderr
+    return [json.loads(line) for line in completed.stdout.splitlines()]
 
 
-def only(rows, name):
+def fields_of(rows, name):
     return [row[name] for row in rows if name in row]
 
 
@@ -97,71 +97,74 @@
             "gauge": [0.5, 1],
         }
     }
-    done = talk(
+    completed = run_simulator(
         *batch(1, 0.0),
-        *batch(2, 1.0, opening(), registry(0, 7), listing("gateway-1", 0)),
-        *batch(3, 2.0, {"Knock": {**KNOCK, "extra": 1}}),
+        *batch(2, 1.0, open_instance(), endpoint_list(0, 7), discovery_update("gateway-1", 0)),
+        *batch(3, 2.0, {"Knock": {**KNOCK_FIELDS, "extra": 1}}),
         *batch(4, 22.0, outcome),
         *batch(5, 30.0, {"Vanished": {"i": "gateway-1", "op_id": "aa"}}),
     )
-    rows = replies(done)
-    assert [row["turn"] for row in only(rows, "Ack")] == [1, 2, 3, 4, 5]
-    assert [(row["op_id"], row["server"]) for row in only(rows, "Try")] == [("aa", 7)]
+    rows = parse_replies(completed)
+    assert [row["turn"] for row in fields_of(rows, "Ack")] == [1, 2, 3, 4, 5]
+    assert [(row["op_id"], row["server"]) for row in fields_of(rows, "Try")] == [("aa", 7)]
     assert rows[-1] == {"Ack": {"turn": 5}}
     assert rows[-2] == {"Ack": {"turn": 4}}
 
 
 def test_list_number_reused_in_one_batch_is_resolved_in_order():
-    rows = replies(
-        talk(
+    rows = parse_replies(
+        run_simulator(
             *batch(
                 1,
                 0.0,
-                opening("gateway-1"),
-                registry(3, 7),
-                listing("gateway-1", 3),
-                opening("gateway-2"),
-                registry(3, 8),
-                listing("gateway-2", 3),
+                open_instance("gateway-1"),
+                endpoint_list(3, 7),
+                discovery_update("gateway-1", 3),
+                open_instance("gateway-2"),
+                endpoint_list(3, 8),
+                discovery_update("gateway-2", 3),
             ),
-            *batch(2, 1.0, {"Knock": KNOCK}, {"Knock": {**KNOCK, "i": "gateway-2"}}),
+            *batch(2, 1.0, {"Knock": KNOCK_FIELDS}, {"Knock": {**KNOCK_FIELDS, "i": "gateway-2"}}),
         )
     )
-    assert [(row["i"], row["server"]) for row in only(rows, "Try")] == [("gateway-1", 7), ("gateway-2", 8)]
+    assert [(row["i"], row["server"]) for row in fields_of(rows, "Try")] == [
+        ("gateway-1", 7),
+        ("gateway-2", 8),
+    ]
 
 
 def test_destroy_then_open_in_one_batch_resets_the_instance():
-    rows = replies(
-        talk(
-            *batch(1, 0.0, opening(), registry(0, 7), listing("gateway-1", 0)),
+    rows = parse_replies(
+        run_simulator(
+            *batch(1, 0.0, open_instance(), endpoint_list(0, 7), discovery_update("gateway-1", 0)),
             *batch(
                 2,
                 1.0,
                 {"Destroy": {"i": "gateway-1"}},
-                opening(),
-                registry(0, 9),
-                listing("gateway-1", 0),
-                {"Knock": KNOCK},
+                open_instance(),
+                endpoint_list(0, 9),
+                discovery_update("gateway-1", 0),
+                {"Knock": KNOCK_FIELDS},
             ),
         )
     )
-    assert [row["server"] for row in only(rows, "Try")] == [9]
+    assert [row["server"] for row in fields_of(rows, "Try")] == [9]
 
 
 def test_actions_do_not_depend_on_the_hash_seed_or_on_other_instances():
-    script = [*batch(1, 0.0, opening(), registry(0, 7, 8, 9), listing("gateway-1", 0))]
+    script = [*batch(1, 0.0, open_instance(), endpoint_list(0, 7, 8, 9), discovery_update("gateway-1", 0))]
     for n in range(20):
-        script += batch(n + 2, 5.0 * n, {"Knock": {**KNOCK, "op_id": f"{n:x}"}})
-    alone = only(replies(talk(*script)), "Try")
-    assert alone == only(replies(talk(*script, seed="77")), "Try")
-    other = opening("gateway-2", 9)
-    beside = only(replies(talk(*batch(0, 0.0, other), *script)), "Try")
+        script += batch(n + 2, 5.0 * n, {"Knock": {**KNOCK_FIELDS, "op_id": f"{n:x}"}})
+    alone = fields_of(parse_replies(run_simulator(*script)), "Try")
+    assert alone == fields_of(parse_replies(run_simulator(*script, seed="77")), "Try")
+    other = open_instance("gateway-2", 9)
+    beside = fields_of(parse_replies(run_simulator(*batch(0, 0.0, other), *script)), "Try")
     assert alone == beside
     assert len(alone) >= 2
 
 
 @pytest.mark.parametrize(
-    ("bad", "word"),
+    ("malformed", "expected_text"),
     [
         ("{not json", "JSON"),
         ("[1]", "single key"),
@@ -176,18 +179,20 @@
         ),
     ],
 )
-def test_malformed_input_ends_with_one_line_and_exit_code_1(bad, word):
-    done = talk(*batch(1, 0.0, opening(), registry(0, 7), listing("gateway-1", 0)), bad)
-    assert done.returncode == 1
-    assert word in done.stderr
-    assert len(done.stderr.splitlines()) == 1
+def test_malformed_input_ends_with_one_line_and_exit_code_1(malformed, expected_text):
+    completed = run_simulator(
+        *batch(1, 0.0, open_instance(), endpoint_list(0, 7), discovery_update("gateway-1", 0)), malformed
+    )
+    assert completed.returncode == 1
+    assert expected_text in completed.stderr
+    assert len(completed.stderr.splitlines()) == 1
 
 
 def test_error_of_the_engine_is_reported_as_bail_out():
-    rows = replies(
-        talk(
-            *batch(1, 9.0, opening(), {"Alarm": {"i": "gateway-1", "mark": 1}}),
+    rows = parse_replies(
+        run_simulator(
+            *batch(1, 9.0, open_instance(), {"Alarm": {"i": "gateway-1", "mark": 1}}),
             *batch(2, 3.0, {"Alarm": {"i": "gateway-1", "mark": 1}}),
         )
     )
-    assert "now_ms" in only(rows, "BailOut")[0]["what"]
+    assert "now_ms" in fields_of(rows, "BailOut")[0]["what"]
