--- a/tests/net/handover/test_handover_faults.py
+++ b/tests/net/handover/test_handover_faults.py
@@ -42,9 +42,8 @@
         assert not old.client_listener.is_suspended
         assert old.handover.sender.state is SenderState.LISTENING
         assert await (await old.connect_client()).request(encode_command("PING")) == b"PONG"
-        monkeypatch.setattr(
-            handover_sender, "os", FailingDup(1)
-        )  # the first request fails, its retry succeeds
+        # The first request fails, its retry succeeds.
+        monkeypatch.setattr(handover_sender, "os", FailingDup(1))
         handover_state = await request_handover(old.handover.path)
         assert handover_state is not None
         handover_state.listener.close()
@@ -90,14 +89,14 @@
 
 async def test_partial_body_times_out_in_its_time_after_a_handover(monkeypatch):
     monkeypatch.setattr(idle_connections, "COMMAND_READ_TIMEOUT_S", 0.3)
-    monkeypatch.setattr(command_intake, "BODY_GAP_TIMEOUT_S", 3600.0)  # the body counts as still arriving
+    # The body counts as still arriving throughout the test.
+    monkeypatch.setattr(command_intake, "BODY_GAP_TIMEOUT_S", 3600.0)
     async with run_gateway() as gateway:
         client = await gateway.connect_client()
         client.send(encode_call(1, "post", body=b"x" * 1000)[:-500])
         listener = gateway.client_listener
-        await wait_until(
-            lambda: listener.idle_connections.awaiting_body
-        )  # the command is overdue, its body still arriving
+        # The command is overdue, but its body is still arriving.
+        await wait_until(lambda: listener.idle_connections.awaiting_body)
         (connection,) = listener.connections
         connection.intake.last_received_s -= 1000.0  # as if nothing had arrived for 1000 s
         descriptor, resumed = connection.release()
