--- a/quota_gateway/errors.py
+++ b/quota_gateway/errors.py
@@ -43,7 +43,7 @@
 
 
 class ProtocolError(QuotaGatewayError, ValueError):
-    """Bytes from a client or an upstream server do not follow the protocol."""
+    """Input from a client, an upstream server or the simulator does not follow its protocol."""
 
 
 class CommandError(QuotaGatewayError, ValueError):
--- a/quota_gateway/net/handover/process_channel.py
+++ b/quota_gateway/net/handover/process_channel.py
@@ -147,15 +147,15 @@
             self.loop.call_soon(self._read_after_reset)
 
     def _read_after_reset(self) -> None:
-        """Read on to the end, as the event loop does not call the reader again after a reset."""
+        """Read the next packet, as the event loop does not call the reader again after a reset."""
         if not self.closed:
             self._on_readable()
 
     def _receive(self) -> tuple[bytes, list[int], int, Any]:
         """Receive one packet.
 
-        A reset means that the peer process ended with unread data. What it has sent, and the end, are read
-        now, as the event loop reports a reset once and does not call the reader again.
+        A reset means that the peer process ended with unread data. The next packet is read at once and the
+        rest by ``_read_after_reset``, as the event loop does not call the reader again after a reset.
         """
         try:
             return socket.recv_fds(self.sock, MAX_PACKET_BYTES, MAX_DESCRIPTORS_PER_PACKET)
--- a/quota_gateway/net/handover/receiver.py
+++ b/quota_gateway/net/handover/receiver.py
@@ -25,7 +25,7 @@
 
 log = logging.getLogger(__name__)
 
-REQUEST_TIMEOUT_S = 1.0  # limit of the retries of failed requests for the state
+REQUEST_TIMEOUT_S = 1.0  # time limit for the retries of failed requests for the state
 REQUEST_RETRY_S = 0.02  # delay between two requests; a shortage may end at any moment
 OFFER_TIMEOUT_S = 1.5  # wait for the state after Hello; the start then goes on without it
 
--- a/tests/net/admin/test_detachments.py
+++ b/tests/net/admin/test_detachments.py
@@ -69,9 +69,8 @@
     assert 0 < chosen_servers(harness, 400).count(1) < 200 * 0.45  # an even share would be 200
     share = capacity_share(harness, 1)
     assert 0.2 <= share < 0.3
-    harness.servers(
-        make_endpoint(1, started_ms=harness.now - 900.0), kind=UpdateKind.DELTA
-    )  # discovery now reports the start
+    # Discovery now reports the start.
+    harness.servers(make_endpoint(1, started_ms=harness.now - 900.0), kind=UpdateKind.DELTA)
     assert capacity_share(harness, 1) > share
 
 
--- a/tests/net/handover/test_peer_messages.py
+++ b/tests/net/handover/test_peer_messages.py
@@ -31,7 +31,7 @@
 from tests.support.gateway_node import wait_until
 
 DATA = Path(__file__).parent.parent.parent / "process" / "data"
-# By kind, the headers that processes of two earlier commits wrote.
+# The headers that processes of two earlier commits wrote, by kind.
 RECORDED, RECORDED_4ABEC57 = [
     {header["kind"]: header for header in json.loads((DATA / name).read_text())["headers"]}
     for name in ("handover_4431b5a.json", "handover_4abec57.json")
@@ -219,7 +219,7 @@
     assert ends == [True]
     for sock in (peer, passed, other):
         sock.close()
-    assert open_descriptors() <= before + 1  # the event loop may open one with its first reader
+    assert open_descriptors() <= before + 1  # the event loop may open a descriptor for its first reader
 
 
 async def test_message_over_the_size_limit_closes_the_channel():
