--- a/quota_gateway/net/admin/detachments.py
+++ b/quota_gateway/net/admin/detachments.py
@@ -50,7 +50,7 @@
             self.carry_out(name, detached, known_elsewhere=True)
         return known or known_elsewhere
 
-    def repeat(self) -> None:
+    def detach_again(self) -> None:
         """Detach all servers of the handed-over list in an engine that could not restore its state."""
         for name in sorted(self.registry.detached):
             self.carry_out(name, detached=True)
--- a/quota_gateway/resources.py
+++ b/quota_gateway/resources.py
@@ -12,7 +12,7 @@
 from quota_gateway.net.admin.server import MAX_CONNECTIONS as MAX_ADMIN_CONNECTIONS
 from quota_gateway.net.handover.connection_handover import MAX_QUEUED_PACKETS
 
-OWN_DESCRIPTORS = Path("/proc/self/fd")
+DESCRIPTOR_FOLDER = Path("/proc/self/fd")
 STANDARD_STREAMS = 3  # standard input, standard output, and standard error for the log
 # epoll and its io_uring, the wake-up descriptor, two pipes and a socket pair for signals, one to spare
 EVENT_LOOP_DESCRIPTORS = 10
@@ -69,7 +69,7 @@
 def count_open_descriptors() -> int:
     """Count the open descriptors of the process; count the standard streams alone if that fails."""
     try:
-        listed = len(list(OWN_DESCRIPTORS.iterdir()))
+        listed = len(list(DESCRIPTOR_FOLDER.iterdir()))
     except OSError:
         return STANDARD_STREAMS
     return max(STANDARD_STREAMS, listed - 1)  # one descriptor is open to read the folder itself
--- a/quota_gateway/server.py
+++ b/quota_gateway/server.py
@@ -167,7 +167,7 @@
 
         The gateway is ready with discovery's first update, or else after ``FIRST_UPDATE_TIMEOUT_S``.
         """
-        self.detachments.repeat()
+        self.detachments.detach_again()
         await listen(self.clients, self.config.listen)
         asyncio.get_running_loop().call_later(FIRST_UPDATE_TIMEOUT_S, self._set_ready)
 
--- a/tests/unit/test_resources.py
+++ b/tests/unit/test_resources.py
@@ -70,7 +70,7 @@
 
 
 def test_standard_streams_are_assumed_where_descriptors_can_not_be_counted(monkeypatch, tmp_path):
-    monkeypatch.setattr(resources, "OWN_DESCRIPTORS", tmp_path / "missing")
+    monkeypatch.setattr(resources, "DESCRIPTOR_FOLDER", tmp_path / "missing")
     assert resources.count_open_descriptors() == resources.STANDARD_STREAMS
-    monkeypatch.setattr(resources, "OWN_DESCRIPTORS", tmp_path)
+    monkeypatch.setattr(resources, "DESCRIPTOR_FOLDER", tmp_path)
     assert resources.count_open_descriptors() == resources.STANDARD_STREAMS
