--- a/quota_gateway/policy/admission.py
+++ b/quota_gateway/policy/admission.py
@@ -1,4 +1,4 @@
-"""Admission: whether a request that arrives is admitted, delayed or rejected: docs/decisions/admission.md."""
+"""Admission: decides whether a request is admitted, delayed or rejected: docs/decisions/admission.md."""
 
 from typing import NamedTuple
 
@@ -12,21 +12,26 @@
 
 
 class Admitted(NamedTuple):
-    """The request goes on to scheduling, after ``delay_ms`` where it is above 0."""
+    """The request is admitted, and scheduled after ``delay_ms``, which is 0 for no delay."""
 
     pending: PendingRequest
     delay_ms: float
 
 
 class Rejected(NamedTuple):
-    """The request is rejected; it would be admitted after ``retry_after_ms``, None gives no Retry-After."""
+    """The request is rejected.
+
+    Attributes:
+        reason: Why the request is rejected.
+        retry_after_ms: Time after which the request would be admitted; None means no Retry-After is sent.
+    """
 
     reason: AnswerReason
     retry_after_ms: float | None = None
 
 
 class Admission:
-    """Asks the settings, the quota and the leaky bucket, in this order; the first that rejects decides."""
+    """Checks a request against the settings, the quota and the leaky bucket, in this order."""
 
     def __init__(self, settings: Settings, mechanisms: Mechanisms, log: DecisionLog) -> None:
         self._classes = {item.name: item for item in settings.classes}
@@ -42,7 +47,7 @@
         self._log = log
 
     def admit(self, request: Request) -> Admitted | Rejected:
-        """Decide on a request that has just arrived; an admitted one is charged to its customer."""
+        """Decide on an arriving request; an admitted one is charged to its customer."""
         request_class = self._classes.get(request.class_name)
         plan = self._plans.get(request.plan)
         if request_class is None or plan is None:
--- a/quota_gateway/policy/endpoints.py
+++ b/quota_gateway/policy/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint table: endpoint updates, detached endpoints, selection: docs/decisions/endpoints.md."""
+"""The endpoint table, with updates from discovery, detachment and selection: docs/decisions/endpoints.md."""
 
 from collections.abc import Iterable
 from math import inf
@@ -12,7 +12,12 @@
 
 
 class Selection:
-    """The ready endpoints to work with, and the other ready ones, on standby with the nearest last."""
+    """The result of a selection.
+
+    Attributes:
+        ready: The ready endpoints to use.
+        standby: The other ready endpoints, the nearest last.
+    """
 
     __slots__ = ("ready", "standby")
 
@@ -22,18 +27,18 @@
 
 
 class EndpointSelector:
-    """Selects the endpoints to work with: all that are ready, or in a large fleet the nearest of them.
+    """Selects the endpoints to use: all that are ready or, in a large fleet, the nearest of them.
 
     An outlier that has a replacement keeps it until the first selection after its recovery.
     """
 
     def __init__(self, outliers: OutlierDetector) -> None:
         self._outliers = outliers
-        self._sorted_by_distance: Endpoints = []  # empty after a change of the membership
+        self._sorted_by_distance: Endpoints = []  # empty after a membership change until the next selection
         self._replaced_ids: set[int] = set()
 
     def on_membership_change(self) -> None:
-        """Forget the order by distance: an endpoint has come or gone."""
+        """Discard the order by distance, as an endpoint was added or removed."""
         self._sorted_by_distance = []
 
     def select(self, by_id: dict[int, EndpointState], subset_size: int) -> Selection:
@@ -57,7 +62,11 @@
         }
 
     def take_replacement(self, outlier: EndpointState, standby: Endpoints) -> EndpointState | None:
-        """Take the nearest endpoint from standby, once for each outlier; None if there is none to take."""
+        """Remove the nearest endpoint from ``standby`` to replace an outlier.
+
+        Returns:
+            The endpoint, or None if ``standby`` is empty or the outlier has a replacement already.
+        """
         if not standby or outlier.id in self._replaced_ids:
             return None
         self._replaced_ids.add(outlier.id)
@@ -65,17 +74,17 @@
 
 
 class EndpointTable:
-    """All known endpoints, and those of them that are worked with.
+    """All known endpoints, and those that this gateway uses.
 
     Attributes:
-        subset: Says how many endpoints are worked with, and how far each is away.
-        by_id: All known endpoints.
-        listed_count: How many endpoints discovery lists; it may report the nearest of them alone.
-        ready: The endpoints to work with: all that are ready, or the subset and its replacements.
-        warming: Those of ``ready`` that warm up.
+        subset: Computes how many endpoints are used, and the distance of each.
+        by_id: All known endpoints, by id.
+        listed_count: Number of endpoints that discovery lists; ``by_id`` may have only the nearest of them.
+        ready: The endpoints in use: all that are ready, or the subset and the replacements of its outliers.
+        warming: The warming endpoints among ``ready``.
         standby: Ready endpoints beyond the subset, the nearest last.
-        detached: By id, since when an endpoint has been detached by operators, in milliseconds.
-        attached: By id, the last detachment of an endpoint that operators have attached again.
+        detached: Clock time in milliseconds at which operators detached an endpoint, by id.
+        attached: Last detachment period of each endpoint that operators have attached again, by id.
     """
 
     def __init__(
@@ -95,11 +104,11 @@
 
     @property
     def subset_radius(self) -> float:
-        """The distance of the last endpoint to work with, the farthest; infinity with none on standby."""
+        """The distance of the farthest endpoint in use; infinite if no endpoint is on standby."""
         return self.ready[-1].distance if self.standby else inf
 
     def update(self, event: EndpointUpdate) -> None:
-        """Apply an update from discovery, and select again."""
+        """Apply an update from discovery, then select the endpoints to use."""
         if event.kind in (UpdateKind.SNAPSHOT, UpdateKind.CACHED):
             listed = {endpoint.server for endpoint in event.endpoints}
             self._remove(number for number in list(self.by_id) if number not in listed)
@@ -134,7 +143,7 @@
                 self._selector.on_membership_change()
 
     def _apply_detachment(self, state: EndpointState) -> None:
-        """Apply what operators did to an endpoint, as discovery may not know of it."""
+        """Apply the detachment or attachment of an endpoint by operators, which discovery may not know of."""
         if state.id in self.detached:
             state.is_ready = False
         elif state.id in self.attached:
@@ -145,7 +154,7 @@
                 del self.attached[state.id]
 
     def select(self) -> None:
-        """Select the endpoints to work with again, as one of them has changed."""
+        """Select the endpoints to use, after an endpoint has changed."""
         self._clock.set_endpoint_count(len(self.by_id))
         subset_size = self.subset.size(self.listed_count)
         selection = self._selector.select(self.by_id, subset_size)
@@ -154,7 +163,7 @@
         self.warming = self._slow_start.warming_up(self.ready)
 
     def replace(self, outlier: EndpointState) -> None:
-        """Work with an endpoint on standby beside an outlier, if there is one and the outlier has none."""
+        """Use the nearest standby endpoint, if any, in addition to an outlier that has no replacement yet."""
         replacement = self._selector.take_replacement(outlier, self.standby)
         if replacement:
             self.ready.append(replacement)
@@ -162,14 +171,14 @@
                 self.warming.append(replacement)
 
     def detach(self, number: int, since_ms: float | None = None) -> bool:
-        """Stop sending to an endpoint, known or not.
+        """Stop sending requests to an endpoint, which may be unknown so far.
 
         Args:
             number: The endpoint's id.
-            since_ms: Since when it has been detached, from a restored state; None for now.
+            since_ms: Clock time of the detachment, from a restored state; None means now.
 
         Returns:
-            Whether it was not detached before.
+            Whether the endpoint was not detached before.
         """
         is_new = number not in self.detached
         if is_new or since_ms is not None:
@@ -182,7 +191,7 @@
         return is_new
 
     def attach(self, number: int) -> bool:
-        """Use a detached endpoint again, as one that has just started; return whether it was detached."""
+        """Use a detached endpoint again, as if it had just started; return whether it was detached."""
         since_ms = self.detached.pop(number, None)
         if since_ms is None:
             return False
@@ -196,7 +205,7 @@
         return True
 
     def restore(self, records: dict[int, EndpointRecord], attached: dict[int, DetachmentPeriod]) -> None:
-        """Restore what the previous process knew of its endpoints, and select again."""
+        """Restore the records of endpoints from the previous process, then select the endpoints to use."""
         self.attached.update(attached)
         for number, state in self.by_id.items():
             if number in records:
--- a/quota_gateway/policy/engine.py
+++ b/quota_gateway/policy/engine.py
@@ -1,4 +1,7 @@
-"""The policy engine: events in, actions out (types: quota_gateway/model): docs/decisions/engine.md."""
+"""The policy engine, which takes events and returns actions (types in quota_gateway/model).
+
+See docs/decisions/engine.md.
+"""
 
 from random import Random
 
@@ -25,9 +28,9 @@
 
 
 class PolicyEngine:
-    """Hands each event of one gateway to the object that handles its kind; returns the actions that follow.
+    """Dispatches the events of one gateway by type and returns the actions to carry out.
 
-    Feed events in order; carry out the actions in order.
+    The caller passes events in the order of time and carries out the actions in the order returned.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
@@ -59,7 +62,7 @@
 
     @property
     def customers(self) -> dict[tuple[str, str], CustomerState]:
-        """The customers known, by plan and name."""
+        """The known customers, by plan and name."""
         return self.mechanisms.customers.by_key
 
     @property
@@ -69,21 +72,21 @@
 
     @property
     def endpoints(self) -> EndpointTable:
-        """The endpoints known."""
+        """The table of known endpoints."""
         return self.mechanisms.endpoints
 
     @property
     def subset(self) -> Subset:
-        """Which of the listed servers this gateway works with."""
+        """The subset of the listed servers that this gateway uses."""
         return self.mechanisms.subset
 
     @property
     def has_peer_process(self) -> bool:
-        """Whether another process of this gateway is notified of what customers use."""
+        """Whether another process of this gateway is notified of the usage of customers."""
         return self.usage.has_peer_process
 
     def handle(self, now_ms: float, event: events.Event) -> list[Action]:
-        """Decide on one event; return the actions that follow, in order.
+        """Handle one event and return the resulting actions, in order.
 
         Args:
             now_ms: Time of the event by the caller's clock, in milliseconds.
--- a/quota_gateway/policy/leaky_bucket.py
+++ b/quota_gateway/policy/leaky_bucket.py
@@ -1,6 +1,7 @@
-"""The leaky bucket of a customer's rate: docs/decisions/leaky_bucket.md.
+"""The leaky bucket that limits a customer's rate: docs/decisions/leaky_bucket.md.
 
-Excess and burst are in milliunits. A rate in units a second is the same number in milliunits a millisecond.
+Excess and burst are in milliunits. A rate in units per second is the same number in milliunits per
+millisecond.
 """
 
 from quota_gateway.model.customer_state import CustomerState
@@ -9,14 +10,16 @@
 from quota_gateway.policy.clock import DecayClock
 from quota_gateway.policy.quota import MILLIUNITS_PER_UNIT, LocalQuota
 
-MAX_EXCESS_BURSTS = 2.0  # excess beyond so many bursts is rejected, between one and this delayed
-MAX_PRIORITY_BURST_INCREASE_SHARE = 0.25  # of the burst; approached as the priority weight grows
-LOWEST_PRIORITY_MAX_DELAY_OBJECTIVE_SHARE = 0.1  # of the shortest latency objective
-HEADROOM_BURST_REQUESTS = 2.0  # that may come together by chance; also the bursts that full headroom adds
+# A request is delayed if the excess is above one burst, and rejected if it is above this many bursts.
+MAX_EXCESS_BURSTS = 2.0
+MAX_PRIORITY_BURST_INCREASE_SHARE = 0.25  # share of the burst, approached as the weight grows
+LOWEST_PRIORITY_MAX_DELAY_OBJECTIVE_SHARE = 0.1  # share of the shortest latency objective
+# This many requests may arrive together by chance. Full headroom adds as many bursts.
+HEADROOM_BURST_REQUESTS = 2.0
 
 
 class LeakyBucket:
-    """Decides by a customer's excess whether a request passes now, is delayed, or is rejected."""
+    """Decides by a customer's excess whether a request passes now, is delayed or is rejected."""
 
     def __init__(self, settings: Settings, clock: DecayClock, quota: LocalQuota) -> None:
         self._clock = clock
@@ -35,7 +38,8 @@
             mean_latency_ms: Mean latency of requests of its class and size.
 
         Returns:
-            The delay of the request in milliseconds, 0 for none; None rejects it, and the excess stays.
+            The delay of the request in milliseconds, 0 for none. None if the request is rejected; then the
+            excess is unchanged.
         """
         customer, plan = pending.customer, pending.plan
         if not plan.rate:
@@ -56,21 +60,21 @@
         return delay_ms
 
     def _excess_with(self, pending: PendingRequest, rate: float) -> float:
-        """The excess now with the request's units added, perhaps below 0.
+        """Return the present excess with the request's units added; it may be below 0.
 
-        What drains is not bounded by what was in the bucket: after an idle time, long enough to drain the
-        request's units too, the request leaves no excess.
+        The drained amount is not limited to the excess so far: after an idle time long enough to drain the
+        request's units as well, the request leaves no excess.
         """
         customer = pending.customer
         drained = rate * (self._clock.now_ms - customer.excess_at_ms)
         return customer.excess - drained + MILLIUNITS_PER_UNIT * pending.request.units
 
     def _burst(self, customer: CustomerState, plan: Plan) -> float:
-        """This gateway's even share of the burst in milliunits, which holds one request at least."""
+        """Return the even share of the burst in milliunits, at least the customer's largest request."""
         return max(plan.burst / customer.gateway_set_size, customer.largest_units) * MILLIUNITS_PER_UNIT
 
     def _count_demand(self, customer: CustomerState, plan: Plan, units: float) -> None:
-        """Add units, rejected or not, to the recent demand, which drains at the even share of the rate."""
+        """Add units, admitted or not, to the recent demand, which drains at the even share of the rate."""
         now_ms = self._clock.now_ms
         elapsed_ms = now_ms - customer.recent_demand_at_ms
         drained = plan.rate * elapsed_ms / customer.gateway_set_size / MILLIUNITS_PER_UNIT
@@ -78,7 +82,10 @@
         customer.recent_demand_at_ms = now_ms
 
     def _headroom_factor(self, customer: CustomerState, plan: Plan) -> float:
-        """The factor on the burst by headroom; 1 for much demand or a share of one request or more."""
+        """Return the factor by which headroom raises the burst.
+
+        It is 1 if the recent demand is high, or if the share of the quota is one request or more.
+        """
         if not self._quota.share_is_below_one_request(customer, plan):
             return 1.0
         if customer.recent_demand > HEADROOM_BURST_REQUESTS * customer.largest_units:
@@ -87,16 +94,16 @@
         return 1.0 + HEADROOM_BURST_REQUESTS * self._quota.headroom(customer, lifetime_ms)
 
     def _priority_factor(self, request_class: RequestClass) -> float:
-        """The factor on the burst by priority weight: 1 for the lowest weight, or if all are the same."""
-        if not self._lowest_weight:  # None: all weigh the same; 0: no ratio to it
+        """Return the factor on the burst by priority weight: 1 for the lowest weight or if all are equal."""
+        if not self._lowest_weight:  # None: all weights are equal; 0: no ratio is defined
             return 1.0
         relative_weight = self._lowest_weight / request_class.priority_weight
         return 1.0 + MAX_PRIORITY_BURST_INCREASE_SHARE * (1.0 - relative_weight)
 
     def _max_delay_ms(self, request_class: RequestClass, mean_latency_ms: float) -> float:
-        """The longest delay in milliseconds with which a reply still meets the shortest objective.
+        """Return the longest delay in milliseconds with which a reply still meets the shortest objective.
 
-        It is less for the lowest priority weight. It may be below 0.
+        It is shorter for the lowest priority weight. It may be below 0.
         """
         if request_class.priority_weight == self._lowest_weight:
             return LOWEST_PRIORITY_MAX_DELAY_OBJECTIVE_SHARE * self._shortest_objective_ms
@@ -105,9 +112,10 @@
     def retry_after_ms(
         self, pending: PendingRequest, mean_latency_ms: float, latest_start_ms: float
     ) -> float | None:
-        """Milliseconds until a rejected request would be admitted, delayed or not.
+        """Return the milliseconds until a rejected request would be admitted, with or without a delay.
 
-        None where that is after ``latest_start_ms``, a clock time, or if the settings permit no Retry-After.
+        Returns None if that is after the clock time ``latest_start_ms``, or if the settings permit no
+        Retry-After.
         """
         if not self._limits.can_send_retry_after:
             return None
@@ -123,12 +131,12 @@
         return min(self._limits.max_retry_after_ms, wait_ms)
 
     def settle(self, pending: PendingRequest, final_units: float) -> float:
-        """Correct the excess by the units really used; return its change in milliunits."""
+        """Correct the excess to the units actually used; return its change in milliunits."""
         change = MILLIUNITS_PER_UNIT * (final_units - pending.request.units)
         self.adjust(pending.customer, change)
         return change
 
     @staticmethod
     def adjust(customer: CustomerState, change: float) -> None:
-        """Change a customer's excess by so many milliunits, not below an empty bucket."""
+        """Add ``change`` milliunits to a customer's excess, which does not fall below 0."""
         customer.excess = max(0.0, customer.excess + change)
--- a/quota_gateway/policy/load_balancing.py
+++ b/quota_gateway/policy/load_balancing.py
@@ -1,4 +1,4 @@
-"""Load balancing, by the least cost of a random sample: docs/decisions/load_balancing.md."""
+"""Load balancing by the least cost among a random sample of endpoints: docs/decisions/load_balancing.md."""
 
 from collections.abc import Callable
 from math import ceil
@@ -12,17 +12,19 @@
 from quota_gateway.policy.outliers import OUTLIER_FAILURE_RATE, OutlierDetector
 from quota_gateway.policy.slow_start import SlowStart
 
-IN_FLIGHT_PER_QUEUED_REQUEST = 1.0  # weight of a request that an endpoint reports as queued
-CROSS_ZONE_FACTOR_PER_COST_SHARE = 10.0  # added to the cost factor, times Settings.cross_zone_cost
+IN_FLIGHT_PER_QUEUED_REQUEST = 1.0  # weight of a queued request in a load report, in attempts in flight
+CROSS_ZONE_FACTOR_PER_COST_SHARE = 10.0  # cost factor increase per unit of Settings.cross_zone_cost
 FAILURE_COST_MEAN_LATENCIES = 6.0  # cost of an attempt that fails, in mean latencies of the request
-COST_JITTER_SHARE = 0.1  # so that gateways with the same load reports do not choose alike
-SAMPLED_ENDPOINTS = 10  # compared for each attempt, where the power of two choices compares two
+# Jitter keeps gateways with the same load reports from all choosing the same endpoint.
+COST_JITTER_SHARE = 0.1
+SAMPLED_ENDPOINTS = 10  # endpoints compared for each attempt; the power of two choices compares two
 MAX_FAST_ENDPOINTS_PER_CLASS = 10
 MAX_ENDPOINTS_WITHOUT_SAMPLING = SAMPLED_ENDPOINTS + MAX_FAST_ENDPOINTS_PER_CLASS
-SLOW_START_MAX_RANK_SHARE = 0.75  # a warming endpoint is chosen if it ranks within this share of the best
-QUEUE_LENGTH_FIELD = "queue"  # of a load report, see Settings.load_report_fields
+# A warming endpoint is chosen if its cost is in this lowest share of the ranked candidates.
+SLOW_START_MAX_RANK_SHARE = 0.75
+QUEUE_LENGTH_FIELD = "queue"  # queue length in a load report, see Settings.load_report_fields
 
-#: Whether an endpoint recognizes the idempotency key of a request that the first endpoint has executed.
+#: Checks, for each scope, that another endpoint recognizes an idempotency key first used at ``first``.
 IS_KEY_RECOGNIZED_BY_SCOPE: dict[IdempotencyScope, Callable[[EndpointState, EndpointState], bool]] = {
     IdempotencyScope.ALL: lambda _first, _other: True,
     IdempotencyScope.ZONE: lambda first, other: other.zone == first.zone,
@@ -37,7 +39,7 @@
         self._clock = clock
 
     def contains(self, pending: PendingRequest, endpoint: EndpointState) -> bool:
-        """Whether the request may be sent to this endpoint after its attempts so far."""
+        """Return whether the request may be sent to this endpoint, given the attempts made so far."""
         request_class = pending.request_class
         if pending.first_executed is None or request_class.idempotency is Idempotency.IDEMPOTENT:
             return True
@@ -48,7 +50,10 @@
         return IS_KEY_RECOGNIZED_BY_SCOPE[request_class.idempotency_scope](first_endpoint, endpoint)
 
     def endpoints_for_retry(self, pending: PendingRequest, ready: Endpoints) -> Endpoints:
-        """Return those of the group not tried yet; if all are tried, the whole group for a keyed request."""
+        """Return the ready endpoints of the group that the request has not tried.
+
+        If all have been tried, return the whole group for a keyed request, else none.
+        """
         group = [endpoint for endpoint in ready if self.contains(pending, endpoint)]
         untried = [endpoint for endpoint in group if endpoint.id not in pending.tried_endpoints]
         is_keyed = pending.request_class.idempotency is Idempotency.KEYED
@@ -56,7 +61,7 @@
 
 
 class LoadBalancer:
-    """Chooses the endpoint with the least expected cost among a sample."""
+    """Chooses the endpoint with the least expected cost among a random sample."""
 
     def __init__(
         self,
@@ -85,12 +90,12 @@
 
         Args:
             pending: The request.
-            ready: The endpoints to work with.
-            warming: Those of them that warm up.
-            subset_radius: The largest ``EndpointState.distance`` of an endpoint to work with.
+            ready: The endpoints in use.
+            warming: The warming endpoints among ``ready``.
+            subset_radius: The largest ``EndpointState.distance`` of an endpoint in use.
 
         Returns:
-            The endpoint, or None where there is none that the request may be sent to.
+            The endpoint, or None if there is none that the request may be sent to.
         """
         candidates = self._find_candidates(pending, ready, warming, subset_radius)
         slow_start_pick = self._slow_start.pick(pending.random_draw, ready, warming) if warming else None
@@ -103,7 +108,11 @@
     def _find_candidates(
         self, pending: PendingRequest, ready: Endpoints, warming: Endpoints, subset_radius: float
     ) -> Endpoints:
-        """All permitted endpoints; of many a random sample, the fast ones and those that warm up."""
+        """Return the candidates for an attempt.
+
+        These are all permitted endpoints or, if there are many, a random sample plus the fast endpoints and,
+        for a first attempt, the warming ones.
+        """
         is_retry = pending.attempts > 0
         permitted = self._idempotency_group.endpoints_for_retry(pending, ready) if is_retry else ready
         if len(permitted) <= MAX_ENDPOINTS_WITHOUT_SAMPLING:
@@ -114,7 +123,7 @@
         return self._random.sample(permitted, SAMPLED_ENDPOINTS) + extra
 
     def _filter_eligible(self, candidates: Endpoints, slow_start_pick: EndpointState | None) -> Endpoints:
-        """The candidates that are ready; of those that warm up, only the one that slow start has picked."""
+        """Return the ready candidates; of the warming ones, only the one that slow start has picked."""
         capacity_share = self._slow_start.capacity_share
         return [
             endpoint
@@ -131,7 +140,7 @@
         failure_probability = self._outliers.failure_probability(pending, endpoint)
         if capacity_share < 1.0 and failure_probability < OUTLIER_FAILURE_RATE:
             failure_probability = 0.0  # slow start already limits its requests
-        # The relative latency of a warming endpoint already shows its missing capacity: the wait counts less.
+        # The relative latency of a warming endpoint already reflects its reduced capacity: reduce the wait.
         wait_cost = capacity_share * (capacity_share + waiting)
         failure_cost = (1.0 + waiting) * FAILURE_COST_MEAN_LATENCIES * failure_probability
         cost = latency * (wait_cost + failure_cost)
@@ -141,7 +150,7 @@
         return cost * jitter
 
     def on_response(self, request_class: RequestClass, endpoint: EndpointState, latency_ms: float) -> None:
-        """Remember the endpoints with the most recent fast responses to a class."""
+        """Keep track of the endpoints with the most recent fast responses to requests of a class."""
         fast_endpoints = self._fast_endpoints[request_class.name]
         fast_endpoints.pop(endpoint.id, None)
         if latency_ms < FAST_RESPONSE_OBJECTIVE_SHARE * request_class.latency_objective_ms:
@@ -150,7 +159,7 @@
                 del fast_endpoints[next(iter(fast_endpoints))]
 
     def on_load_report(self, endpoint: EndpointState, load: tuple[float, ...] | None) -> None:
-        """Store the queue length that an endpoint reports, 0 where the report has none."""
+        """Store the queue length that an endpoint reports, 0 if the report has none."""
         if load:
             report = dict(zip(self._report_fields, load, strict=False))
             endpoint.queue_length = report.get(QUEUE_LENGTH_FIELD) or 0.0
--- a/quota_gateway/policy/request_lifecycle.py
+++ b/quota_gateway/policy/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of a pending request, from its arrival to its last outcome: docs/decisions/engine.md."""
+"""The lifecycle of a pending request, from its arrival to its last outcome: docs/decisions/engine.md."""
 
 from typing import NamedTuple
 
@@ -24,7 +24,8 @@
 from quota_gateway.policy.retries import Hedge, InFlightDecision, Retry, RetryRules, is_retry_harmless
 from quota_gateway.policy.scheduling import Scheduler, StartNow, Wait
 
-Transition = dict[RequestState, RequestState]  # from each state in which it may happen to the next one
+#: Maps each state in which the transition is allowed to the state that follows.
+Transition = dict[RequestState, RequestState]
 
 DELAY: Transition = {RequestState.ADMITTED: RequestState.DELAYED}
 ENQUEUE: Transition = {
@@ -59,7 +60,7 @@
 
 
 class RequestRules(NamedTuple):
-    """The rules that decide what becomes of a request."""
+    """The rules that decide on a request: admission, scheduling, retries and giving up."""
 
     admission: Admission
     scheduler: Scheduler
@@ -68,10 +69,10 @@
 
 
 class RequestLifecycle:
-    """Moves each pending request through its states, as events come and the rules decide.
+    """Moves each pending request through its states, by events and the decisions of the rules.
 
     Attributes:
-        requests: Pending requests by id, until they are answered and no attempt is in flight.
+        requests: Pending requests by id, kept until they are answered and have no attempt in flight.
     """
 
     def __init__(
@@ -94,7 +95,10 @@
         self.requests: dict[str, PendingRequest] = {}
 
     def on_request(self, request: events.Request) -> None:
-        """Admit or reject a request; ignore one whose id is pending: a rejection would answer the first."""
+        """Admit or reject a request, unless one with the same id is pending.
+
+        The second request is ignored: its rejection would be taken as the answer to the first.
+        """
         if request.request_id in self.requests:
             return
         decision = self._rules.admission.admit(request)
@@ -115,7 +119,7 @@
             self._schedule(pending)
 
     def release_queued(self) -> None:
-        """Schedule the queued requests again, the most valuable first, as something has changed."""
+        """Schedule the queued requests again, the most valuable first, as some may now be able to start."""
         for pending in self._queue.by_value():
             if not pending.is_answered:
                 self._schedule(pending)
@@ -142,7 +146,7 @@
             self._timers.arm_wait(pending, min_wait_ms)
 
     def start_attempt(self, pending: PendingRequest, endpoint: EndpointState, is_free: bool = False) -> None:
-        """Start an attempt, charged to the retry budget unless it is free."""
+        """Start an attempt; a retry or hedged request is charged to the retry budget unless ``is_free``."""
         self._move(pending, START_ATTEMPT)
         number = self._feedback.on_start(pending, endpoint, is_free)
         self._usage.notify_peer(pending)
@@ -150,7 +154,7 @@
         self._timers.arm_slow_attempt(pending, number)
 
     def on_timer(self, timer: RequestTimer) -> None:
-        """Handle a timer of a request that has fired."""
+        """Handle a request timer that has fired."""
         pending = timer.pending
         match timer:
             case AttemptSlow():
@@ -185,7 +189,7 @@
             self._give_up(pending, self._rules.give_up.on_late_attempt(pending, attempt))
 
     def on_outcome(self, event: events.Outcome) -> None:
-        """Learn from how an attempt ended; retry a failed one, or answer its request."""
+        """Record the outcome of an attempt; after a failure, retry the attempt or answer its request."""
         pending = self.requests.get(event.request_id)
         if pending is None or event.attempt not in pending.in_flight:
             return
@@ -214,20 +218,20 @@
                 self._answer(pending, decision.reason)
 
     def on_stream_started(self, event: events.StreamStarted) -> None:
-        """Cancel the other attempts, where that is permitted: the client gets the reply of this one."""
+        """Cancel the other attempts of the request, if permitted, as the client receives this reply."""
         pending = self.requests.get(event.request_id)
         if pending:
             self._move(pending, START_STREAM)
             self._cancel_attempts(pending, kept=event.attempt)
 
     def on_client_disconnected(self, event: events.ClientDisconnected) -> None:
-        """Close the request of a client that has gone: no answer is owed any more."""
+        """Close the request of a client that has disconnected, as it needs no answer any more."""
         pending = self.requests.get(event.request_id)
         if pending and not pending.is_answered:
             self._close(pending)
 
     def on_shutdown_started(self, event: events.ShutdownStarted) -> None:
-        """Move each deadline that is after the end of the process forward to that end."""
+        """Shorten the deadlines that are later than the end of this process to the time of that end."""
         shutdown = self._timers.shutdown
         shutdown.on_shutdown_started(event)
         for pending in list(self.requests.values()):
@@ -239,7 +243,7 @@
             self._answer(pending, decision.reason)
 
     def _answer(self, pending: PendingRequest, reason: AnswerReason) -> None:
-        """Give the final answer: a rejection where a retry is harmless, else a failure."""
+        """Give the final answer: a rejection if a retry is harmless, else a failure."""
         if pending.is_answered:
             return
         request_id = pending.request.request_id
@@ -261,7 +265,10 @@
                     self._output.append(actions.CancelAttempt(pending.request.request_id, number))
 
     def _drop_if_done(self, pending: PendingRequest) -> None:
-        """Forget an answered request with no attempt in flight; one never delivered leaves no excess."""
+        """Remove an answered request without an attempt in flight.
+
+        If no attempt of it was delivered, its units are taken out of the excess again.
+        """
         if not pending.is_answered:
             return
         request_id = pending.request.request_id
