--- a/quota_gateway/policy/clock.py
+++ b/quota_gateway/policy/clock.py
@@ -4,7 +4,8 @@
 
 from quota_gateway.model.endpoint_state import Moment
 
-DECAY_MS = 4000.0  # in which a statistic decays by a factor of e, so that a failed endpoint is tried again
+# Time in which a statistic decays by a factor of e, so that a failed endpoint is tried again.
+DECAY_MS = 4000.0
 
 
 class DecayClock:
@@ -13,8 +14,8 @@
     Attributes:
         now_ms: Time of the current event; minus infinity before the first.
         started_at_ms: Time of the first event of this gateway, over all its processes.
-        attempts: Attempts started by this gateway so far.
-        endpoint_count: Endpoints known.
+        attempts: Number of attempts started by this gateway so far.
+        endpoint_count: Number of known endpoints.
     """
 
     __slots__ = ("attempts", "endpoint_count", "now_ms", "started_at_ms")
@@ -32,7 +33,7 @@
             ValueError: The time is before that of the last event, or is not a number.
         """
         if not now_ms >= self.now_ms:
-            raise ValueError(f"now_ms: {now_ms!r} is before {self.now_ms!r}")
+            raise ValueError(f"now_ms: {now_ms!r} is not at or after the last event at {self.now_ms!r}")
         self.now_ms = now_ms
         self.started_at_ms = min(self.started_at_ms, now_ms)
 
@@ -41,7 +42,7 @@
         self.attempts += 1
 
     def set_endpoint_count(self, endpoint_count: int) -> None:
-        """Set how many endpoints are known."""
+        """Set the number of known endpoints."""
         self.endpoint_count = endpoint_count
 
     def restore(self, attempts: int, started_at_ms: float) -> None:
@@ -57,7 +58,7 @@
         """Return the share of a statistic that remains now, from 0 to 1.
 
         It decays by a factor of e in each ``DECAY_MS``, or in each round of attempts if that takes longer. A
-        round is as many attempts of this gateway as there are endpoints: each may have been tried once.
+        round is as many attempts of this gateway as there are endpoints, so each may have been tried once.
         """
         updated_ms, attempts_then = updated
         elapsed_periods = (self.now_ms - updated_ms) / DECAY_MS
--- a/quota_gateway/policy/concurrency.py
+++ b/quota_gateway/policy/concurrency.py
@@ -7,21 +7,21 @@
 
 INITIAL_CONCURRENCY_PER_SERVER = 6.0  # attempts in flight at one server, summed over all gateways
 LIMIT_INCREASE_PER_FAST_RESPONSE = 0.035  # attempts
-LIMIT_DECREASE_PER_SLOW_RESPONSE = 0.3  # attempts; of a limit below 1, this share of the limit
-MIN_LIMIT_ATTEMPTS = 0.3  # above 0, as only responses can raise it again
-SLOW_RESPONSE_OBJECTIVE_SHARE = 0.5  # of the latency objective; slower responses lower the limit
-LIMIT_USED_UP_MARGIN_ATTEMPTS = 2  # the attempt that has just ended, and one that would not fit
+LIMIT_DECREASE_PER_SLOW_RESPONSE = 0.3  # attempts; a limit below 1 is lowered by this share of it
+MIN_LIMIT_ATTEMPTS = 0.3  # above 0, as only responses can raise the limit again
+SLOW_RESPONSE_OBJECTIVE_SHARE = 0.5  # share of the latency objective; slower responses lower the limit
+LIMIT_USED_UP_MARGIN_ATTEMPTS = 2  # covers the attempt that has just ended, and one that would not fit
 
 
 class ConcurrencyLimit:
-    """Limits the attempts in flight from this gateway, less those that are slow already.
+    """Limits the attempts in flight from this gateway; slow attempts are not counted.
 
-    The limit follows response latency. Increase and decrease are both additive, unlike AIMD; only
-    below one attempt is the decrease multiplicative.
+    The limit follows response latency. Unlike AIMD, both its increase and its decrease are additive; the
+    decrease is multiplicative only below one attempt.
 
     Attributes:
-        limit: Attempts, perhaps fractional; infinite until the first endpoint update sets it.
-        in_flight: Attempts that count, by request id and number.
+        limit: Maximum number of attempts, may be fractional; infinite until the first endpoint update.
+        in_flight: Counted attempts, as pairs of request id and attempt number.
     """
 
     def __init__(self) -> None:
@@ -29,20 +29,20 @@
         self.in_flight: set[tuple[str, int]] = set()
 
     def set_initial(self, endpoint_count: int, gateways: int) -> None:
-        """Start from this gateway's even share of the initial concurrency of all endpoints."""
+        """Set the limit to this gateway's even share of the initial concurrency of all endpoints."""
         self.limit = INITIAL_CONCURRENCY_PER_SERVER * endpoint_count / gateways
 
     def has_capacity(self, draw: float = 0.0) -> bool:
-        """Whether one more attempt fits under the limit.
+        """Return whether one more attempt fits under the limit.
 
         Args:
-            draw: A number from 0 to below 1, drawn at random once for each request. A limit with a fraction,
-                such as 4.3, is then 5 for that share of the requests, here 0.3, and 4 for the others.
+            draw: A random number from 0 to below 1, drawn once for each request. A fractional limit such as
+                4.3 is thus 5 for a share of 0.3 of the requests, and 4 for the others.
         """
         return len(self.in_flight) < self.limit - draw
 
     def on_start(self, request_id: str, attempt: int) -> None:
-        """Count an attempt."""
+        """Count a new attempt."""
         self.in_flight.add((request_id, attempt))
 
     def on_end(self, request_id: str, attempt: int) -> None:
@@ -53,8 +53,8 @@
         """Move the limit by the latency of a successful response.
 
         Args:
-            request_class: The class of the request, whose latency objective is the measure.
-            latency_ms: Latency of the response, less ``LatencyStatistics.size_extra_ms`` of its request.
+            request_class: The class of the request, with its latency objective.
+            latency_ms: Latency of the response, minus ``LatencyStatistics.size_extra_ms`` of its request.
         """
         is_used_up = len(self.in_flight) + LIMIT_USED_UP_MARGIN_ATTEMPTS >= self.limit
         if latency_ms > SLOW_RESPONSE_OBJECTIVE_SHARE * request_class.latency_objective_ms:
@@ -65,5 +65,5 @@
             self.limit += LIMIT_INCREASE_PER_FAST_RESPONSE
 
     def restore(self, limit: float) -> None:
-        """Continue from the limit of the previous process."""
+        """Restore the limit of the previous process."""
         self.limit = max(MIN_LIMIT_ATTEMPTS, limit)
--- a/quota_gateway/policy/in_flight_limit.py
+++ b/quota_gateway/policy/in_flight_limit.py
@@ -7,13 +7,15 @@
 from quota_gateway.model.settings import Plan, Settings
 from quota_gateway.policy.clock import DecayClock
 
-SMALL_GATEWAY_SET_SIZE = 4  # gateways; in larger sets reports and rotation come too late for a client
+SMALL_GATEWAY_SET_SIZE = 4  # gateways; in larger sets, reports and slot rotation come too late for a client
 ROTATION_PERIOD_USAGE_PERIODS = 1.0  # length of a rotation period
-CONTENTION_AFTER_REPORT_USAGE_PERIODS = 10.0  # how long contention is assumed after a report of it
-CONTENTION_AFTER_OCCUPIED_SLOT_USAGE_PERIODS = 1.0  # less, as two requests may meet here by chance
-ARRIVALS_DECAY_MS = 2000.0  # in which the count of arrivals decays by a factor of e: how late a report is
-CONTENTION_ARRIVALS_PER_HEADROOM = 0.75  # recent arrivals here that a cap that is not used at all allows
-INITIAL_HEADROOM_SHARE = 0.3  # of the cap, assumed free of a customer without a report
+CONTENTION_AFTER_REPORT_USAGE_PERIODS = 10.0  # assumed duration of contention after a report over the cap
+CONTENTION_AFTER_OCCUPIED_SLOT_USAGE_PERIODS = 1.0  # short, as requests may overlap by chance
+# Time in which the count of arrivals decays by a factor of e, equal to the delay of a usage report.
+ARRIVALS_DECAY_MS = 2000.0
+# Recent arrivals at this gateway that imply contention, at a headroom of 1 (the cap is not used at all).
+CONTENTION_ARRIVALS_PER_HEADROOM = 0.75
+INITIAL_HEADROOM_SHARE = 0.3  # share of the cap that is assumed to be free without a usage report
 
 
 class InFlightLimit:
@@ -24,19 +26,19 @@
         self._clock = clock
 
     def has_free_slot(self, pending: PendingRequest, quota_share: float) -> bool:
-        """Whether an attempt fits into this gateway's share of the cap, which is one attempt or more."""
+        """Return whether an attempt fits into this gateway's share of the cap, at least one attempt."""
         cap = pending.plan.max_in_flight
         return not cap or pending.customer.total_in_flight() < max(1, int(cap * quota_share))
 
     def on_usage_report(self, customer: CustomerState, usage: float) -> None:
-        """Note contention where a report shows usage above 1, which is more than the cap allows."""
+        """Assume contention for some time if reported usage is above 1, which is more than the cap allows."""
         if usage > 1.0:
             self._mark_contended(customer, CONTENTION_AFTER_REPORT_USAGE_PERIODS)
 
     def on_arrival(self, customer: CustomerState, plan: Plan) -> bool:
-        """Count a request; return whether its frequency here tells that other gateways use the slots too.
+        """Count a request; return whether frequent arrivals here imply that other gateways use the slots too.
 
-        Always False for a plan that has no cap, or has a rate besides.
+        Always returns False for a plan without a cap, or with both a cap and a rate.
         """
         if customer.total_in_flight():
             self._mark_contended(customer, CONTENTION_AFTER_OCCUPIED_SLOT_USAGE_PERIODS)
@@ -54,12 +56,12 @@
         customer.contended_until_ms = max(customer.contended_until_ms, until_ms)
 
     def slot_wait_ms(self, pending: PendingRequest) -> float:
-        """Milliseconds until the rotation gives this gateway a slot; 0 where slots do not rotate.
+        """Return the milliseconds until the rotation gives this gateway a slot; 0 if slots do not rotate.
 
-        Slots rotate under contention, where the cap has fewer of them than the customer's gateway set has
-        gateways. Time is divided into rotation periods by the clock that all gateways share. In each period
-        as many neighboring gateways of the set as there are slots may use one each; with the next period they
-        move on by one gateway.
+        Slots rotate under contention if the cap has fewer slots than the customer's gateway set has gateways.
+        Time is divided into rotation periods by the clock that all gateways share. In each period, as many
+        neighboring gateways of the set as there are slots may use one slot each. In the next period, this
+        group of gateways moves on by one.
         """
         customer, cap = pending.customer, pending.plan.max_in_flight
         if not cap or cap >= customer.gateway_set_size or not self._are_slots_contended(pending):
@@ -71,7 +73,10 @@
         return 0.0 if periods_ahead < cap else (periods_ahead - cap + 1) * period_ms - elapsed_ms
 
     def _are_slots_contended(self, pending: PendingRequest) -> bool:
-        """Whether slots rotate: by arrivals in a large gateway set, else by reports and occupied slots."""
+        """Return whether slots rotate.
+
+        This is judged by arrivals in a large gateway set, else by usage reports and occupied slots.
+        """
         if pending.customer.gateway_set_size > SMALL_GATEWAY_SET_SIZE:
             return pending.is_contended
         return self._clock.now_ms < pending.customer.contended_until_ms
--- a/quota_gateway/policy/latency.py
+++ b/quota_gateway/policy/latency.py
@@ -8,15 +8,16 @@
 from quota_gateway.policy.clock import DecayClock
 
 INITIAL_LATENCY_OBJECTIVE_SHARE = 0.2  # mean latency before any response, as a share of the objective
-MIN_LATENCY_SAMPLE_WEIGHT = 0.03  # of one response in a mean latency; fewer responses weigh more each
-RELATIVE_LATENCY_SAMPLE_WEIGHT = 0.15  # of one response in an endpoint's relative latency
+MIN_LATENCY_SAMPLE_WEIGHT = 0.03  # lowest weight of one response in a mean latency; the first ones weigh more
+RELATIVE_LATENCY_SAMPLE_WEIGHT = 0.15  # weight of one response in an endpoint's relative latency
 ATTEMPT_LOST_AFTER_MEAN_LATENCIES = 8.0  # time in flight, in mean latencies of the request
-FAST_RESPONSE_OBJECTIVE_SHARE = 0.3  # of the latency objective; faster responses raise the limit
-AVERAGE_RELATIVE_LATENCY = 1.0  # of an endpoint that is as fast as the mean
+# A response below this share of the latency objective is fast, and raises the concurrency limit.
+FAST_RESPONSE_OBJECTIVE_SHARE = 0.3
+AVERAGE_RELATIVE_LATENCY = 1.0  # relative latency of an endpoint that is as fast as the mean
 
 
 class LatencyStatistics:
-    """Mean latencies in milliseconds by request class and size, and the limits that follow from them."""
+    """Mean latencies in milliseconds by request class and size, and the time limits derived from them."""
 
     def __init__(self, classes: Sequence[RequestClass], clock: DecayClock) -> None:
         self._clock = clock
@@ -41,11 +42,11 @@
         return pending.arrived_ms + pending.request_class.latency_objective_ms - self.mean_ms(pending)
 
     def is_presumed_lost(self, pending: PendingRequest, started_ms: float) -> bool:
-        """Whether an attempt has been in flight for so long that no response is expected any more."""
+        """Return whether an attempt has been in flight for so long that no response is expected any more."""
         return self._clock.now_ms - started_ms >= ATTEMPT_LOST_AFTER_MEAN_LATENCIES * self.mean_ms(pending)
 
     def record(self, pending: PendingRequest, endpoint: EndpointState, latency_ms: float) -> None:
-        """Update the mean of class and size and the endpoint's relative latency by a successful response."""
+        """Record a successful response in the mean of its class and size and in the relative latency."""
         mean_ms = self._update_mean(pending, latency_ms)
         relative_latency = current_relative_latency(endpoint, self._clock)
         deviation = latency_ms / mean_ms - relative_latency
@@ -53,7 +54,7 @@
         endpoint.relative_latency_at = self._clock.moment()
 
     def _update_mean(self, pending: PendingRequest, latency_ms: float) -> float:
-        """Update the mean by a response and return it; its initial value weighs as much as one response."""
+        """Update the mean by a response and return it; the initial value weighs as much as one response."""
         mean_ms = self.mean_ms(pending)
         means = self.means[pending.request_class.name]
         responses = (means[pending.size].responses if pending.size in means else 0) + 1
--- a/quota_gateway/policy/outliers.py
+++ b/quota_gateway/policy/outliers.py
@@ -7,12 +7,13 @@
 from quota_gateway.model.pending_request import FailureKeys, PendingRequest
 from quota_gateway.policy.clock import DecayClock
 
-PRIOR_WEIGHT_OUTCOMES = 1.0  # outcomes that the rate over all endpoints counts as in that of one endpoint
+PRIOR_WEIGHT_OUTCOMES = 1.0  # weight of the rate over all endpoints in that of one endpoint
 OUTLIER_FAILURE_RATE = 0.5  # failures per outcome, from 0 to 1; an endpoint with this rate is an outlier
-SLOW_ATTEMPT_REASON = "silent"  # in the log; a slow attempt in flight has no status yet
+SLOW_ATTEMPT_REASON = "silent"  # logged for a slow attempt in flight, which has no status yet
 
-#: The key under which a failed attempt counts: the narrowest that its status tells of. A status that is
-#: not listed tells nothing of the endpoint. A successful response counts under all keys of its request.
+#: The key under which a failed attempt is counted, by its status: the narrowest key that the status gives
+#: evidence for. A status that is not listed is no evidence about the endpoint. A successful response is
+#: counted under all keys of its request.
 FAILURE_KEY_BY_STATUS: dict[AttemptStatus, Callable[[FailureKeys], str]] = {
     AttemptStatus.CONNECT_FAILED: lambda keys: keys.all_requests,
     AttemptStatus.RESET: lambda keys: keys.all_requests,
@@ -22,11 +23,11 @@
 
 
 class FailureTracker:
-    """Failure rates with exponential decay, by key: of each endpoint and over all endpoints.
+    """Tracks failure rates by key, of each endpoint and over all endpoints, with exponential decay.
 
     Attributes:
-        totals: Records over all endpoints, by key. The record of all requests, whose key is "", is kept
-            for each zone instead, under the name of the zone.
+        totals: Records over all endpoints, by key. Instead of one record of all requests, under the key "",
+            there is one for each zone, under the name of the zone.
     """
 
     def __init__(self, clock: DecayClock) -> None:
@@ -34,7 +35,7 @@
         self.totals: dict[str, FailureRecord] = {}
 
     def record(self, endpoint: EndpointState, key: str, failed: bool) -> None:
-        """Add an outcome to the records of its endpoint and of all endpoints."""
+        """Add an outcome to the record of its endpoint and to the record over all endpoints."""
         self._add_outcome(endpoint.failures, key, failed)
         self._add_outcome(self.totals, key or endpoint.zone, failed)
 
@@ -48,8 +49,8 @@
     def failure_rate(self, endpoint: EndpointState, key: str) -> float:
         """Return the failures per outcome expected at an endpoint, from 0 to 1.
 
-        The rate over all endpoints counts as a prior, which weighs most while the endpoint has few recent
-        outcomes. To that rate one success is added, so that it is defined, and low, while little is known.
+        The rate over all endpoints serves as a prior, which weighs most while the endpoint has few recent
+        outcomes. The prior includes one extra success, so that it is defined, and low, while little is known.
         """
         all_failures, all_outcomes, _ = self.totals.get(key or endpoint.zone, NO_RECORD)
         prior_rate = all_failures / (all_outcomes + 1.0)
@@ -60,7 +61,7 @@
 
 
 class OutlierDetector:
-    """Detects endpoints that fail too often, for all requests or for those of a class or plan."""
+    """Detects endpoints that fail too often: for all requests, for a class, or for a class under a plan."""
 
     def __init__(self, failures: FailureTracker) -> None:
         self._failures = failures
@@ -70,23 +71,23 @@
         return max([self._failures.failure_rate(endpoint, key) for key in pending.failure_keys])
 
     def is_outlier(self, endpoint: EndpointState) -> bool:
-        """Whether the endpoint fails too often under any key."""
+        """Return whether the endpoint fails too often under any key."""
         return any(self.is_outlier_under_key(endpoint, key) for key in endpoint.failures)
 
     def is_outlier_under_key(self, endpoint: EndpointState, key: str) -> bool:
-        """Whether the endpoint fails too often under this key."""
+        """Return whether the endpoint fails too often under this key."""
         return self._failures.failure_rate(endpoint, key) >= OUTLIER_FAILURE_RATE
 
     def on_outcome(
         self, pending: PendingRequest, endpoint: EndpointState, status: AttemptStatus
     ) -> DetectedOutlier | None:
-        """Record the outcome of an attempt; return the outlier if its endpoint has failed and is one now."""
+        """Record the outcome of an attempt; after a failure, return the endpoint if it is an outlier."""
         if status is AttemptStatus.OK:
             for key in pending.failure_keys:
                 self._failures.record(endpoint, key, failed=False)
             return None
         if status is AttemptStatus.OVERLOADED and pending.had_error:
-            return None  # after an error elsewhere any endpoint may reject it, whatever its load
+            return None  # after an error elsewhere, any endpoint may reject the request, whatever its load
         failure_key = FAILURE_KEY_BY_STATUS.get(status)
         return (
             self._on_failure(endpoint, failure_key(pending.failure_keys), status.value)
@@ -95,7 +96,7 @@
         )
 
     def on_slow_attempt(self, pending: PendingRequest, endpoint: EndpointState) -> DetectedOutlier | None:
-        """Record a slow attempt in flight as failed; return the endpoint if that shows it as an outlier."""
+        """Record a slow attempt in flight as a failure; return the endpoint if it is an outlier."""
         return self._on_failure(endpoint, pending.failure_keys.request_class, SLOW_ATTEMPT_REASON)
 
     def _on_failure(self, endpoint: EndpointState, key: str, reason: str) -> DetectedOutlier | None:
--- a/quota_gateway/policy/retries.py
+++ b/quota_gateway/policy/retries.py
@@ -1,4 +1,4 @@
-"""Retries: what follows a failed attempt, and one that is slow: docs/decisions/retries.md."""
+"""Retries: decides what follows a failed or a slow attempt: docs/decisions/retries.md."""
 
 from enum import Enum, auto
 from typing import NamedTuple
@@ -15,27 +15,27 @@
 
 
 class Retry(NamedTuple):
-    """Another attempt starts; it is charged to the retry budget unless it is free."""
+    """Another attempt starts at this endpoint; it is charged to the retry budget unless ``is_free``."""
 
     endpoint: EndpointState
     is_free: bool
 
 
 class Hedge(NamedTuple):
-    """A second attempt starts at this endpoint beside the slow one."""
+    """A hedged request: a second attempt starts at this endpoint while the slow one goes on."""
 
     endpoint: EndpointState
 
 
 class InFlightDecision(Enum):
-    """What becomes of the attempt in flight: it goes on, or it is cancelled so that a retry follows."""
+    """A decision on an attempt in flight: it goes on, or it is cancelled so that a retry follows."""
 
     KEEP_WAITING = auto()
     CANCEL_AND_RETRY = auto()
 
 
 class RetryRules:
-    """Decides on another attempt by idempotency, attempts left, the retry budget and a permitted endpoint."""
+    """Decides on further attempts by idempotency, attempts left, retry budget and permitted endpoints."""
 
     def __init__(self, limits: GatewayLimits, mechanisms: Mechanisms) -> None:
         self._limits = limits
@@ -50,7 +50,7 @@
     def after_failure(
         self, pending: PendingRequest, status: AttemptStatus, attempt: RunningAttempt
     ) -> Retry | GiveUp | InFlightDecision:
-        """Decide what follows an attempt that has ended with this status, which is not OK."""
+        """Decide what follows an attempt that has ended with a status other than OK."""
         may_retry = self.may_retry(pending, status, attempt)
         if pending.in_flight or pending.is_streaming:
             return InFlightDecision.KEEP_WAITING
@@ -70,7 +70,7 @@
         return self._budget.allows(pending, is_free=_is_free_after(status))
 
     def after_slowness(self, pending: PendingRequest, attempt: RunningAttempt) -> Hedge | InFlightDecision:
-        """Decide on a slow attempt in flight: a suspect one is hedged, or cancelled and retried."""
+        """Decide on a slow attempt in flight: one that is suspect is hedged, or cancelled and retried."""
         if not (self._is_suspect(pending, attempt) and _may_hedge(pending)):
             return InFlightDecision.KEEP_WAITING
         pending.first_executed = pending.first_executed or attempt
@@ -84,7 +84,7 @@
         return InFlightDecision.KEEP_WAITING
 
     def _is_suspect(self, pending: PendingRequest, attempt: RunningAttempt) -> bool:
-        """Whether the attempt is presumed lost, or its endpoint an outlier for requests of this class."""
+        """Return whether the attempt is presumed lost, or its endpoint an outlier for the request's class."""
         if self._latencies.is_presumed_lost(pending, attempt.started_ms):
             return True
         return self._outliers.is_outlier_under_key(attempt.endpoint, pending.failure_keys.request_class)
@@ -95,18 +95,18 @@
 
 
 def _is_free_after(status: AttemptStatus) -> bool:
-    """Whether a retry takes no token of the budget: the attempt before cost no endpoint any work."""
+    """Return whether a retry takes no token of the budget: the failed attempt cost no endpoint any work."""
     return status is AttemptStatus.CONNECT_FAILED
 
 
 def _may_hedge(pending: PendingRequest) -> bool:
-    """Whether a second attempt may start beside the one in flight; with two in flight already, none may."""
+    """Return whether a hedged request is permitted; at most two attempts are in flight at the same time."""
     is_repeatable = pending.request_class.idempotency is not Idempotency.NON_IDEMPOTENT
     return is_repeatable and not pending.is_answered and len(pending.in_flight) <= 1
 
 
 def is_retry_harmless(pending: PendingRequest) -> bool:
-    """Whether the client may safely send the request again: if so it is rejected, else it fails."""
+    """Return whether the client may safely repeat the request; if so it is rejected, else it fails."""
     idempotency, scope = pending.request_class.idempotency, pending.request_class.idempotency_scope
     is_keyed_everywhere = idempotency is Idempotency.KEYED and scope is IdempotencyScope.ALL
     was_not_executed = pending.first_executed is None and not pending.in_flight
--- a/quota_gateway/policy/subset.py
+++ b/quota_gateway/policy/subset.py
@@ -1,4 +1,4 @@
-"""Deterministic subsetting: which listed servers a gateway works with: docs/decisions/subset.md."""
+"""Deterministic subsetting: the part of the listed servers that a gateway uses: docs/decisions/subset.md."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 from quota_gateway.policy.concurrency import INITIAL_CONCURRENCY_PER_SERVER
 
-SERVERS_PER_CONCURRENT_ATTEMPT = 4.0  # for each attempt of the even share of the initial concurrency
-MIN_SUBSET_SIZE = 256  # servers; fewer save little, and a lost region could leave too few
-RETAINED_NAMES_PER_SUBSET_SERVER = 2  # the subset, and as many servers on standby
+SERVERS_PER_CONCURRENT_ATTEMPT = 4.0  # servers per attempt in the even share of the initial concurrency
+MIN_SUBSET_SIZE = 256  # servers; a smaller subset saves little, and the loss of a region could leave too few
+RETAINED_NAMES_PER_SUBSET_SERVER = 2  # covers the subset and as many servers on standby
 RING_SIZE = 1 << 32  # positions on a hash ring
-# From each gateway to the next, on each ring. Multiples of these fractions (golden ratio - 1, root of 2 - 1)
-# spread evenly over a ring for any number of gateways. The fractions differ, so that neighbors on one ring
-# are not neighbors on the other.
+# Distance from each gateway to the next on each ring. Multiples of these fractions (golden ratio - 1, square
+# root of 2 - 1) spread evenly over a ring for any number of gateways. The fractions differ, so that neighbors
+# on one ring are not neighbors on the other.
 RING_STEPS = int(0.6180339887498949 * RING_SIZE), int(0.4142135623730951 * RING_SIZE)
-NAME_DIGEST = Struct("<2I")  # the position of a server's name on each ring
+NAME_DIGEST = Struct("<2I")  # the positions of a server's name on the two rings
 
 
 class Subset:
-    """The ``size`` nearest ready servers, by ``distance`` from this gateway on two rings."""
+    """The subset of a gateway: the ``size`` ready servers with the least ``distance`` on two hash rings."""
 
     def __init__(self, gateways: int, index: int, min_size: int = MIN_SUBSET_SIZE) -> None:
         self.gateways = max(1, gateways)
@@ -28,17 +28,17 @@
         self.ring_positions = (index * RING_STEPS[0] % RING_SIZE, index * RING_STEPS[1] % RING_SIZE)
 
     def size(self, servers: int) -> int:
-        """Return how many of this number of listed servers the gateway works with."""
+        """Return how many of this number of listed servers the gateway uses."""
         even_concurrency_share = INITIAL_CONCURRENCY_PER_SERVER * servers / self.gateways
         size = ceil(SERVERS_PER_CONCURRENT_ATTEMPT * even_concurrency_share)
         return min(servers, max(self.min_size, size))
 
     def retained(self, servers: int) -> int:
-        """Return how many names to retain of this number of listed servers: with those on standby."""
+        """Return how many names to retain of this number of listed servers, including those on standby."""
         return RETAINED_NAMES_PER_SUBSET_SERVER * self.size(servers)
 
     def distance(self, name: str) -> float:
-        """Return how far behind this gateway a server stands on the nearer ring, from 0 to below 1."""
+        """Return the distance from this gateway forward to a server on the nearer ring, from 0 to below 1."""
         digest = blake2b(name.encode(errors="surrogatepass"), digest_size=NAME_DIGEST.size).digest()
         server_positions: tuple[int, int] = NAME_DIGEST.unpack(digest)
         first = (server_positions[0] - self.ring_positions[0]) % RING_SIZE
@@ -46,5 +46,5 @@
         return min(first, second) / RING_SIZE
 
     def gateways_per_server(self, servers: int) -> float:
-        """Return how many gateways work with one of this number of listed servers, on average."""
+        """Return how many gateways use each of this number of listed servers, on average."""
         return self.gateways * self.size(servers) / servers if servers > 0 else float(self.gateways)
