--- a/quota_gateway/policy/__init__.py
+++ b/quota_gateway/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Every decision of the gateway: no sockets, no clock of its own, no I/O."""
+"""All decisions of the gateway, made without sockets, other I/O or a clock of its own."""
--- a/quota_gateway/policy/attempt_feedback.py
+++ b/quota_gateway/policy/attempt_feedback.py
@@ -1,4 +1,4 @@
-"""What the mechanisms learn from attempts: from their start, from slow ones, and from their outcome."""
+"""Feedback from attempts to the mechanisms: at the start, when slow, and by the outcome."""
 
 from quota_gateway.model.endpoint_state import DetectedOutlier, EndpointState
 from quota_gateway.model.events import AttemptStatus, Outcome
@@ -8,7 +8,7 @@
 
 
 class AttemptFeedback:
-    """Accounts for attempts; logs the outliers that they show, and puts a standby endpoint beside each."""
+    """Updates the mechanisms by attempts; logs each detected outlier and adds a standby endpoint for it."""
 
     def __init__(self, mechanisms: Mechanisms, log: DecisionLog) -> None:
         self._clock = mechanisms.clock
@@ -22,7 +22,7 @@
         self._log = log
 
     def on_start(self, pending: PendingRequest, endpoint: EndpointState, is_free: bool) -> int:
-        """Charge a new attempt to ceiling, retry budget and concurrency limit; return its number."""
+        """Charge a new attempt to the hard ceiling, retry budget and concurrency limit; return its number."""
         number = pending.start_attempt(endpoint, self._clock.now_ms)
         if number == 0:
             self._ceiling.charge(pending)
@@ -32,11 +32,11 @@
         return number
 
     def on_slow_timer(self, pending: PendingRequest, number: int) -> None:
-        """Stop counting an attempt under the concurrency limit, if it is still in flight, as it is slow."""
+        """Stop counting an attempt that has become slow under the concurrency limit."""
         self._concurrency.on_end(pending.request.request_id, number)
 
     def on_slow_attempt(self, pending: PendingRequest, endpoint: EndpointState) -> None:
-        """Count a slow attempt in flight as a failure of its endpoint, ahead of its outcome."""
+        """Count a slow attempt in flight as a failure of its endpoint, before its outcome is known."""
         self._on_outlier(self._outliers.on_slow_attempt(pending, endpoint))
 
     def on_outcome(self, pending: PendingRequest, attempt: RunningAttempt, event: Outcome) -> None:
--- a/quota_gateway/policy/customer_table.py
+++ b/quota_gateway/policy/customer_table.py
@@ -1,4 +1,4 @@
-"""The table of customers: docs/decisions/quota.md."""
+"""The LRU table of customer states: docs/decisions/quota.md."""
 
 from quota_gateway.model.customer_state import CustomerState
 from quota_gateway.model.events import Request
@@ -7,11 +7,11 @@
 from quota_gateway.policy.hard_ceiling import HardCeiling
 from quota_gateway.policy.quota import LocalQuota
 
-MAX_EVICTIONS_PER_REQUEST = 2  # more than the one customer that a request may add: the table can shrink
+MAX_EVICTIONS_PER_REQUEST = 2  # above the one customer that a request may add, so that the table can shrink
 
 
 class CustomerTable:
-    """An LRU table of customer states. Evicts those whose loss changes nothing: they equal a new one."""
+    """An LRU table of customer states. It evicts states equal to a new one, as their loss changes nothing."""
 
     def __init__(
         self, settings: Settings, clock: DecayClock, quota: LocalQuota, ceiling: HardCeiling
@@ -24,7 +24,7 @@
         self.by_key: dict[tuple[str, str], CustomerState] = {}
 
     def use(self, request: Request, plan: Plan) -> CustomerState:
-        """Return the state of the request's customer, now the most recently used."""
+        """Return the state of the request's customer and mark it as the most recently used."""
         key = (request.plan, request.customer)
         customer = self.by_key.pop(key, None)
         if customer is None:
@@ -37,10 +37,11 @@
         return customer
 
     def _evict_unused(self, current: CustomerState) -> None:
-        """Evict customers that equal a new one, from the least recently used on; keep the current one.
+        """Evict customers equivalent to a new one, the least recently used first; keep the current one.
 
-        One that does not equal a new one yet is moved to the end, so as not to protect those behind it. One
-        that does, but was charged or reported within the lifetime of a report, ends the search.
+        A customer that is not equivalent to a new one yet is moved to the end, so that it does not keep those
+        after it from being evicted. One that is equivalent, but was charged or reported within the lifetime
+        of a usage report, ends the search.
         """
         for _ in range(MAX_EVICTIONS_PER_REQUEST):
             key = next(iter(self.by_key))
@@ -55,7 +56,7 @@
             is_ceiling_full = self._ceiling.level(customer, plan) >= initial_level
             is_like_new = is_drained and is_ceiling_full and not customer.total_in_flight()
             if is_recent and is_like_new:
-                return  # those behind it were used later still
+                return  # the customers after it were used even more recently
             del self.by_key[key]
             if is_recent or not is_like_new:
                 self.by_key[key] = customer
--- a/quota_gateway/policy/decision_log.py
+++ b/quota_gateway/policy/decision_log.py
@@ -1,12 +1,12 @@
-"""Lines that the policy writes to the log of the gateway."""
+"""The log lines that the policy writes."""
 
 from quota_gateway.model.actions import Action, LogMessage
 
-MAX_REMEMBERED_LINES = 100  # bounds the memory for them
+MAX_REMEMBERED_LINES = 100  # bounds the memory for lines that are logged once
 
 
 class DecisionLog:
-    """Writes log lines; of those that repeat, each once in the life of the engine."""
+    """Writes log lines, either always or only once in the lifetime of the engine."""
 
     def __init__(self, output: list[Action]) -> None:
         self._output = output
--- a/quota_gateway/policy/endpoint_events.py
+++ b/quota_gateway/policy/endpoint_events.py
@@ -1,4 +1,4 @@
-"""What discovery, health checks and operators say of endpoints: docs/decisions/endpoints.md."""
+"""Events about endpoints from discovery, health checks and operators: docs/decisions/endpoints.md."""
 
 from quota_gateway.model import events
 from quota_gateway.model.actions import Action, SetServerDetached, Subscribe
@@ -8,11 +8,12 @@
 from quota_gateway.policy.decision_log import DecisionLog
 from quota_gateway.policy.mechanisms import Mechanisms
 
-POLL_RETRY_DEADLINE_SHARE = 0.5  # of the time in which discovery must be polled, so that one call may fail
+# Delay before a failed poll is repeated, as a share of the poll deadline, so that one poll may fail.
+POLL_RETRY_DEADLINE_SHARE = 0.5
 
 
 class EndpointEvents:
-    """Applies what is said of endpoints; returns whether queued requests may start now where that can be."""
+    """Applies events about endpoints; some methods return whether queued requests may start now."""
 
     def __init__(
         self,
@@ -38,7 +39,8 @@
         if event.kind is UpdateKind.FAILED:
             return False
         self._endpoints.update(event)
-        if event.kind is UpdateKind.CACHED or not self._concurrency.limit:  # 0: the first list was empty
+        # The limit is 0 if the first list was empty.
+        if event.kind is UpdateKind.CACHED or not self._concurrency.limit:
             self._concurrency.set_initial(self._endpoints.listed_count, self._settings.gateways)
         return True
 
@@ -58,7 +60,12 @@
             self._balancer.on_load_report(endpoint, event.load)
 
     def detach(self, server: int, since_ms: float | None = None) -> None:
-        """Start no more attempts at a server, since now or since a clock time that was restored."""
+        """Stop starting attempts at a server.
+
+        Args:
+            server: Number of the server.
+            since_ms: Clock time of the detachment, from a restored state; None means now.
+        """
         if self._endpoints.detach(server, since_ms):
             self._log.log_message(f"server detached server={server}")
         self._output.append(SetServerDetached(server, True))
--- a/quota_gateway/policy/give_up.py
+++ b/quota_gateway/policy/give_up.py
@@ -1,4 +1,4 @@
-"""Giving up: when a request that was admitted is answered without being served: docs/decisions/engine.md."""
+"""Giving up: when an admitted request is answered without being served: docs/decisions/engine.md."""
 
 from typing import NamedTuple
 
@@ -21,7 +21,10 @@
 
 
 class GiveUpRules:
-    """What ends a request besides admission, scheduling and failed attempts; None where it goes on."""
+    """Decides at timeouts, for late attempts and for a full queue whether to give up a request.
+
+    A method returns None if no request is given up. Admission, scheduling and retries decide on other cases.
+    """
 
     def __init__(self, mechanisms: Mechanisms) -> None:
         self._concurrency = mechanisms.concurrency
@@ -30,23 +33,23 @@
         self._endpoints = mechanisms.endpoints
 
     def at_deadline(self, pending: PendingRequest) -> GiveUp | None:
-        """Give up as the client's deadline or the end of this process is near, unless a reply is streamed."""
+        """Give up just before the deadline or the end of this process, unless a reply is being streamed."""
         return None if pending.is_streaming else GiveUp(AnswerReason.DEADLINE)
 
     def at_queue_timeout(self, pending: PendingRequest) -> GiveUp | None:
-        """Give up a waiting request that will miss its objective; without a ready endpoint it waits on."""
+        """Give up a waiting request that will miss its objective, unless no endpoint is ready."""
         has_ready_endpoint = any(endpoint.is_ready for endpoint in self._endpoints.by_id.values())
         is_waiting = pending.attempts == 0
         return GiveUp(AnswerReason.QUEUE_TIMEOUT) if is_waiting and has_ready_endpoint else None
 
     def on_late_attempt(self, pending: PendingRequest, attempt: RunningAttempt) -> GiveUp | None:
-        """Give up if an attempt in flight beyond the objective is presumed lost and nothing is streamed."""
+        """Give up if an attempt in flight beyond the objective is presumed lost and no reply is streamed."""
         if pending.is_streaming or not self._latencies.is_presumed_lost(pending, attempt.started_ms):
             return None
         return GiveUp(AnswerReason.ATTEMPT_PRESUMED_LOST)
 
     def on_enqueued(self) -> Shed | None:
-        """Shed one if more are queued than may be in flight; without any known endpoint there is no bound."""
+        """Shed a request if more are queued than may be in flight, unless no endpoint is known."""
         if not self._endpoints.by_id:
             return None
         pending = self._queue.to_shed(self._concurrency.limit)
--- a/quota_gateway/policy/mechanisms.py
+++ b/quota_gateway/policy/mechanisms.py
@@ -1,4 +1,4 @@
-"""The mechanisms by which one gateway decides: docs/decisions/engine.md."""
+"""The mechanisms of one gateway's policy: docs/decisions/engine.md."""
 
 from random import Random
 
@@ -22,7 +22,7 @@
 
 
 class Mechanisms:
-    """One object for each mechanism, all on one clock and one random generator. Nothing is decided here."""
+    """Holds one object per mechanism, all with the same clock and random generator, and decides nothing."""
 
     def __init__(self, settings: Settings, random: Random) -> None:
         self.random = random
--- a/quota_gateway/policy/pending_queue.py
+++ b/quota_gateway/policy/pending_queue.py
@@ -5,7 +5,7 @@
 
 
 class PendingQueue:
-    """Requests that wait to be scheduled, ranked by value per expected work: the least is shed first."""
+    """Requests that wait to be scheduled, ranked by value per expected work; the lowest is shed first."""
 
     def __init__(self, latencies: LatencyStatistics) -> None:
         self._latencies = latencies
@@ -22,15 +22,15 @@
         self.requests.pop(request_id, None)
 
     def to_shed(self, limit: float) -> PendingRequest | None:
-        """The least valuable request, if more are queued than ``limit`` attempts (or 1, if that is more)."""
+        """Return the least valuable request if more requests are queued than ``max(1, limit)``, else None."""
         is_over_limit = len(self.requests) > max(1.0, limit)
         return min(self.requests.values(), key=self._value) if is_over_limit else None
 
     def by_value(self) -> list[PendingRequest]:
-        """The queued requests, the most valuable first."""
+        """Return the queued requests, the most valuable first."""
         return sorted(self.requests.values(), key=self._value, reverse=True)
 
     def _value(self, pending: PendingRequest) -> float:
-        """The value per expected work: weighted units per millisecond of mean latency."""
+        """Return the value per expected work: weighted units per millisecond of mean latency."""
         weight = pending.request_class.priority_weight * pending.plan.weight
         return weight * pending.request.units / self._latencies.mean_ms(pending)
--- a/quota_gateway/policy/request_timers.py
+++ b/quota_gateway/policy/request_timers.py
@@ -1,4 +1,4 @@
-"""The timers of a pending request, and after which time each is due."""
+"""The timers of a pending request, and the delay of each."""
 
 from quota_gateway.model.actions import Action
 from quota_gateway.model.pending_request import PendingRequest
@@ -16,7 +16,7 @@
 from quota_gateway.policy.latency import LatencyStatistics
 from quota_gateway.policy.shutdown import ShutdownDeadline
 
-ANSWER_MARGIN_TICKS = 2.0  # a timer may fire one tick late, and one is to spare
+ANSWER_MARGIN_TICKS = 2.0  # a timer may fire one tick late; the other tick is a reserve
 
 
 class RequestTimers:
@@ -38,21 +38,21 @@
         self.shutdown = ShutdownDeadline(clock)
 
     def arm_deadline(self, pending: PendingRequest) -> None:
-        """Set the timer of the final answer: before the client's deadline, and before the process ends."""
+        """Set the timer for the final answer, before the client's deadline and the end of the process."""
         pending.deadline_ms = self.shutdown.bound(pending.deadline_ms)
         time_left_ms = pending.deadline_ms - self._clock.now_ms - ANSWER_MARGIN_TICKS * self._tick_ms
         self._arm(max(0.0, time_left_ms), DeadlineReached(pending))
 
     def arm_delay(self, pending: PendingRequest, delay_ms: float) -> None:
-        """Set the timer of the leaky bucket's delay."""
+        """Set the timer for the end of the leaky bucket's delay."""
         self._arm(delay_ms, WaitOver(pending))
 
     def arm_wait(self, pending: PendingRequest, min_wait_ms: float) -> None:
-        """Set the timer of a wait that a limit requires, a tick longer, so as not to fire before its end."""
+        """Set the timer for the end of a wait that a limit requires, a tick later so that it is not early."""
         self._arm(min_wait_ms + self._tick_ms, WaitOver(pending))
 
     def arm_queue_timeout(self, pending: PendingRequest) -> None:
-        """Set the timer of the latest start with which an answer still meets the objective."""
+        """Set the timer for the latest start with which an answer still meets the objective."""
         time_left_ms = self._latencies.latest_start_ms(pending) - self._clock.now_ms
         self._arm(max(0.0, time_left_ms), QueueTimeout(pending))
 
@@ -70,7 +70,7 @@
         self._arm(late_ms, AttemptLate(pending, attempt))
 
     def drop(self, pending: PendingRequest) -> None:
-        """Forget the timers of a request."""
+        """Discard the timers of a request."""
         self._timers.drop(pending)
 
     def _arm(self, delay_ms: float, timer: RequestTimer) -> None:
--- a/quota_gateway/policy/retry_budget.py
+++ b/quota_gateway/policy/retry_budget.py
@@ -8,7 +8,7 @@
 
 
 class RetryBudget:
-    """A token bucket that first attempts fill and further ones empty: it bounds the load that retries add."""
+    """A token bucket that first attempts fill and further ones empty, to bound the load that retries add."""
 
     def __init__(self, limits: GatewayLimits) -> None:
         self._max_attempts = limits.max_attempts
@@ -22,9 +22,9 @@
             self.tokens -= 1.0
 
     def allows(self, pending: PendingRequest, is_free: bool = False) -> bool:
-        """Whether the request has an attempt left, and the budget a token for it unless it is free."""
+        """Return whether the request has an attempt left, and the budget a token unless the retry is free."""
         return pending.attempts < self._max_attempts and (is_free or self.tokens >= 1.0)
 
     def restore(self, tokens: float) -> None:
-        """Continue from the budget of the previous process."""
+        """Restore the tokens of the previous process."""
         self.tokens = min(MAX_RETRY_TOKENS, tokens)
--- a/quota_gateway/policy/scheduling.py
+++ b/quota_gateway/policy/scheduling.py
@@ -1,4 +1,4 @@
-"""Scheduling: whether the first attempt of an admitted request starts now, waits or is given up.
+"""Scheduling: decides whether the first attempt of a request starts now, waits or is given up.
 
 See docs/decisions/scheduling.md.
 """
@@ -19,16 +19,16 @@
 
 
 class Wait(NamedTuple):
-    """The request is queued, for ``min_wait_ms`` at least; None if no limit tells how long."""
+    """The request is queued for at least ``min_wait_ms``; None if no limit determines how long."""
 
     min_wait_ms: float | None = None
 
 
-WAIT_FOR_CAPACITY = Wait()  # until an attempt ends or the endpoints change
+WAIT_FOR_CAPACITY = Wait()  # the wait ends when an attempt ends or the endpoints change
 
 
 class Scheduler:
-    """Asks hard ceiling, in-flight limit, concurrency limit and load balancer, in this order."""
+    """Checks hard ceiling, in-flight limit and concurrency limit in this order, then chooses an endpoint."""
 
     def __init__(self, mechanisms: Mechanisms) -> None:
         self._clock = mechanisms.clock
@@ -41,7 +41,7 @@
         self._endpoints = mechanisms.endpoints
 
     def schedule(self, pending: PendingRequest) -> StartNow | Wait | GiveUp:
-        """Decide on a request of which no attempt has been started."""
+        """Decide on a request of which no attempt has been started yet."""
         ceiling_wait_ms = self._ceiling.wait_ms(pending)
         slot_wait_ms = self._in_flight_limit.slot_wait_ms(pending)
         if ceiling_wait_ms is None or self._is_too_long(pending, ceiling_wait_ms, slot_wait_ms):
@@ -55,16 +55,16 @@
         return StartNow(endpoint) if endpoint else WAIT_FOR_CAPACITY
 
     def _is_too_long(self, pending: PendingRequest, ceiling_wait_ms: float, slot_wait_ms: float) -> bool:
-        """Whether the ceiling's wait ends after the deadline, or the rotation's after the latest start."""
+        """Return whether the ceiling's wait exceeds the deadline, or the wait for a slot the latest start."""
         now_ms = self._clock.now_ms
         if ceiling_wait_ms >= pending.deadline_ms - now_ms:
             return True
         return slot_wait_ms > 0.0 and slot_wait_ms > self._latencies.latest_start_ms(pending) - now_ms
 
     def choose_endpoint(self, pending: PendingRequest) -> EndpointState | None:
-        """Choose the endpoint of a first attempt, or none while the concurrency limit is used up.
+        """Choose the endpoint of a first attempt; return None while the concurrency limit is used up.
 
-        A limit with a fraction, such as 4.3, is 5 for the requests with a draw below that fraction, else 4.
+        A fractional limit such as 4.3 is 5 for requests with a draw below the fraction, and 4 for others.
         """
         if not self._concurrency.has_capacity(pending.random_draw):
             return None
--- a/quota_gateway/policy/state_transfer.py
+++ b/quota_gateway/policy/state_transfer.py
@@ -1,4 +1,4 @@
-"""Export and restore of the state that one process of a gateway leaves to the next."""
+"""Export and restore of the state that one process of a gateway passes to the next."""
 
 from quota_gateway.model.actions import Action, StateSnapshot
 from quota_gateway.model.events import RestoreState
@@ -30,7 +30,7 @@
         self._log = log
 
     def export(self) -> None:
-        """Give out a snapshot; from now on the peer process is notified of each change."""
+        """Output a state snapshot; from now on the peer process is notified of each change."""
         self._usage.has_peer_process = True
         mechanisms = self._mechanisms
         endpoints = mechanisms.endpoints
@@ -53,7 +53,7 @@
         """Restore the state of the previous process.
 
         Raises:
-            StateError: Any part of it is malformed; nothing is restored then.
+            StateError: A part of the state is malformed; in this case nothing is restored.
         """
         mechanisms = self._mechanisms
         state = EngineState.from_json(event.state, self._settings, mechanisms.clock.now_ms)
--- a/quota_gateway/policy/unknown_customers.py
+++ b/quota_gateway/policy/unknown_customers.py
@@ -1,4 +1,4 @@
-"""Admission of customers of whom nothing is known: docs/decisions/quota.md."""
+"""Admission of unknown customers, of whom there is no recent usage report: docs/decisions/quota.md."""
 
 from math import exp
 from random import Random
@@ -9,14 +9,14 @@
 from quota_gateway.policy.in_flight_limit import SMALL_GATEWAY_SET_SIZE
 from quota_gateway.policy.quota import LocalQuota
 
-INITIAL_ADMITTED_SHARE = 0.2  # of the requests of unknown customers, before any report
-MIN_ADMITTED_SHARE = 0.08  # above 0, as only admitted customers are reported, and reports raise it again
-ADMITTED_SHARE_LOG_STEP = 0.6  # change of the logarithm of the share by a report at full deviation
-TARGET_SHARE_OF_BREAK_EVEN_REPORTS = 0.5  # half, as reports are late
+INITIAL_ADMITTED_SHARE = 0.2  # share of the requests of unknown customers, before any report
+MIN_ADMITTED_SHARE = 0.08  # above 0, as only reports raise it again, and only admitted customers are reported
+ADMITTED_SHARE_LOG_STEP = 0.6  # change of the logarithm of the share by a report, at a deviation of 1
+TARGET_SHARE_OF_BREAK_EVEN_REPORTS = 0.5  # half of the break-even share, as reports are late
 
 
 class UnknownCustomerAdmission:
-    """Admits a share of the requests of unknown customers, where each gateway would admit one at least."""
+    """Admits a share of unknown customers' requests if each gateway would otherwise admit at least one."""
 
     def __init__(self, settings: Settings, clock: DecayClock, random: Random, quota: LocalQuota) -> None:
         self._clock = clock
@@ -25,10 +25,10 @@
         self.admitted_shares = {plan.name: INITIAL_ADMITTED_SHARE for plan in settings.plans}
 
     def admits(self, customer: CustomerState, plan: Plan) -> bool:
-        """Whether a request goes on to the quota.
+        """Return whether a request is passed on to the leaky bucket.
 
-        Drawn at random for a customer without a recent usage report, in a large gateway set, under a plan
-        whose use beyond the quota costs more than it is worth.
+        This is decided at random for a customer without a recent usage report, in a large gateway set, under
+        a plan for which use beyond the quota costs more than it is worth.
         """
         is_excess_harmless = plan.excess_cost <= plan.excess_value
         if customer.gateway_set_size <= SMALL_GATEWAY_SET_SIZE or is_excess_harmless:
@@ -42,10 +42,10 @@
         return self._random.random() < self.admitted_shares[plan.name]
 
     def on_usage_report(self, customer: CustomerState, plan: Plan, usage: float) -> None:
-        """Move the admitted share of a plan by a usage report (1 is the whole quota) of one customer.
+        """Adjust the admitted share of a plan by a usage report (1 is the whole quota) of one customer.
 
-        The share falls by a report of a customer over quota and rises by any other. It is steady where the
-        reports over quota are half of those at which they cost as much as the others earn.
+        A report over quota lowers the share, any other raises it. The share is steady when the reports over
+        quota are half of the break-even number, at which they cost as much as the other reports earn.
         """
         if customer.gateway_set_size <= SMALL_GATEWAY_SET_SIZE:
             return
@@ -56,6 +56,6 @@
         self.admitted_shares[plan.name] = min(1.0, max(MIN_ADMITTED_SHARE, share))
 
     def restore(self, shares: dict[str, float]) -> None:
-        """Continue from the shares of the previous process."""
+        """Restore the admitted shares of the previous process."""
         for name, share in shares.items():
             self.admitted_shares[name] = min(1.0, max(MIN_ADMITTED_SHARE, share))
