--- a/quota_gateway/model/__init__.py
+++ b/quota_gateway/model/__init__.py
@@ -1,4 +1,4 @@
-"""The types that go in and out of the policy engine: settings, events, actions. Nothing is decided here."""
+"""The input and output types of the policy engine: settings, events and actions. They decide nothing."""
 
 from quota_gateway.model.actions import (
     Action,
--- a/quota_gateway/model/actions.py
+++ b/quota_gateway/model/actions.py
@@ -1,7 +1,7 @@
-"""Actions: everything that the policy engine decides, to be carried out in order.
+"""Actions: the decisions of the policy engine, to be carried out in order.
 
-Whoever drives an engine owes it one ``Outcome`` for each ``StartAttempt`` and one ``TimerFired`` for each
-``SetTimer``; the engine owes each ``Request`` exactly one final answer.
+The caller of an engine must deliver one ``Outcome`` for each ``StartAttempt`` and one ``TimerFired`` for each
+``SetTimer``. The engine must give each ``Request`` exactly one final answer.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 
 
 class AnswerReason(Enum):
-    """Why the engine gave a final answer that serves nothing; for metrics and logs alone.
+    """The reason for a rejection or failure, used only in metrics and logs.
 
-    The values are labels in `_metrics`, which dashboards name, so they never change. The table in
+    The values are labels in `_metrics` that dashboards refer to, so they never change. The table in
     docs/decisions/README.md names the function that gives each reason.
     """
 
     UNSPECIFIED = "unspecified"
     UNKNOWN_CLASS_OR_PLAN = "unknown_class_or_plan"
-    RETRY_BELOW_ONE_REQUEST = "thin_retry"  # a marked retry, where the quota share is below one request
+    RETRY_BELOW_ONE_REQUEST = "thin_retry"  # a retry, at a quota share below one request
     UNKNOWN_CUSTOMER = "unknown_customer"
     OVER_QUOTA = "over_quota"
     NO_CAPACITY_IN_TIME = "no_place_in_time"
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
-    """Start an attempt at a server; with a ``timeout_ms`` of 0 it may take as long as the client waits."""
+    """Start an attempt at a server; a ``timeout_ms`` of 0 allows it to take as long as the client waits."""
 
     request_id: str
     server: int
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final answer: a retry is harmless, after ``retry_after_ms`` or, if that is 0, at any time."""
+    """Final answer: the request is rejected; a retry after ``retry_after_ms`` (0: at once) is harmless."""
 
     request_id: str
     retry_after_ms: float = 0.0
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: the request failed, and nothing is promised about its effect."""
+    """Final answer: the request failed; it is unknown whether it had an effect."""
 
     request_id: str
     reason: AnswerReason = field(default=AnswerReason.UNSPECIFIED, compare=False)
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Stop waiting for an attempt; its outcome is still owed."""
+    """Stop waiting for an attempt; its ``Outcome`` must still be delivered."""
 
     request_id: str
     attempt: int
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Deliver ``TimerFired(token)`` after ``delay_ms``; timers are not taken back."""
+    """Deliver ``TimerFired(token)`` after ``delay_ms``; timers are never cancelled."""
 
     token: int
     delay_ms: float
@@ -77,14 +77,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LogMessage:
-    """A line for the log."""
+    """Write a line to the log."""
 
     text: str
 
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Open a watch on discovery, or close it."""
+    """Open a watch on discovery, or close it if not ``active``."""
 
     active: bool = True
 
@@ -96,7 +96,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthCheck:
-    """Ask a server for its health, which costs it work."""
+    """Send a health check to a server, which costs the server work."""
 
     server: int
 
@@ -110,7 +110,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetServerDetached:
-    """While ``detached``, send a server no attempt of which no byte has been written yet."""
+    """While ``detached``, do not send a server attempts of which no byte has been written yet."""
 
     server: int
     detached: bool
@@ -118,21 +118,21 @@
 
 @dataclass(frozen=True, slots=True)
 class StateSnapshot:
-    """The state for a process that takes over; plain values that go into JSON."""
+    """The state for the next process, as plain values that can be written as JSON."""
 
     state: dict[str, Any]
 
 
 @dataclass(frozen=True, slots=True)
 class NotifyPeerProcess:
-    """Bring the other process of this gateway a ``PeerProcessUsage``."""
+    """Send a ``PeerProcessUsage`` to the peer process of this gateway."""
 
     usage: PeerProcessUsage
 
 
 @dataclass(frozen=True, slots=True)
 class SendPeerMessage:
-    """Send bytes to one gateway, or to all with -1."""
+    """Send bytes to the gateway ``peer``, or to all gateways if ``peer`` is -1."""
 
     peer: int
     data: bytes
--- a/quota_gateway/model/customer_state.py
+++ b/quota_gateway/model/customer_state.py
@@ -1,4 +1,4 @@
-"""What a gateway knows of one customer."""
+"""The state of a customer as one gateway sees it."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 
 class CustomerState:
-    """What this gateway knows of one customer: its excess, its reported usage, its attempts in flight.
+    """The state of one customer at this gateway: its excess, reported usage and attempts in flight.
 
     Attributes:
         excess: Milliunits in the leaky bucket, as of ``excess_at_ms``.
         largest_units: Units of the largest request seen.
-        gateway_set_size: Number of gateways through which its requests come, as the last request said.
-        usage: Use by all gateways, as last reported at ``usage_at_ms``; 1 is the whole quota.
-        contended_until_ms: Clock time until which the slots under its in-flight cap rotate.
-        recent_demand: What was asked lately, rejected or not, as of ``recent_demand_at_ms``: units under a
-            rate, requests under a cap.
-        in_flight: Attempts in flight from this process.
-        peer_in_flight: Attempts in flight from the peer process of this gateway.
+        gateway_set_size: Number of gateways through which its requests come, as given by the last one.
+        usage: Usage over all gateways, as last reported at ``usage_at_ms``; 1 is the whole quota.
+        contended_until_ms: Clock time until which the slots under the in-flight cap rotate.
+        recent_demand: Recent demand, admitted or not, as of ``recent_demand_at_ms``: in units under a rate,
+            in requests under a cap.
+        in_flight: Number of attempts in flight from this process.
+        peer_in_flight: Number of attempts in flight from the peer process of this gateway.
         ceiling_level: Units in this gateway's share of the hard ceiling, as of ``ceiling_at_ms``.
     """
 
@@ -53,5 +53,5 @@
         self.ceiling_at_ms = now_ms
 
     def total_in_flight(self) -> int:
-        """Attempts in flight from both processes of this gateway."""
+        """Return the number of attempts in flight from both processes of this gateway."""
         return self.in_flight + self.peer_in_flight
--- a/quota_gateway/model/endpoint_state.py
+++ b/quota_gateway/model/endpoint_state.py
@@ -54,19 +54,19 @@
     """The state of one endpoint, as this gateway sees it.
 
     Attributes:
-        id: Its number, unique in this process.
-        zone: Its zone.
+        id: Number of the endpoint, unique in this process.
+        zone: Zone of the endpoint.
         cell: The group of endpoints that share idempotency keys, within the zone.
-        started_ms: Time of its last start, 0 if long past.
-        distance: Its distance from this gateway, from 0 to 1, see ``Subset.distance``.
-        in_flight: Attempts in flight, by request id and number of the attempt.
-        relative_latency: Its latency divided by the mean of the requests' class and size; 1 on average.
-        relative_latency_at: When that was updated.
-        queue_length: Requests that it last reported as queued.
-        queue_length_at: When that was reported.
+        started_ms: Clock time of the last start, 0 if long past.
+        distance: Distance from this gateway, from 0 to 1, see ``Subset.distance``.
+        in_flight: Attempts in flight, as pairs of request id and attempt number.
+        relative_latency: Latency divided by the mean of the requests' class and size; 1 on average.
+        relative_latency_at: Time of the last update of ``relative_latency``.
+        queue_length: Number of queued requests that the endpoint last reported.
+        queue_length_at: Time of the report of ``queue_length``.
         failures: Failure records by key: "" for all requests, or a class, or a class of a plan.
-        is_listed: Whether discovery lists it as ready.
-        is_ready: Whether it may be sent requests: it is listed and not detached.
+        is_listed: Whether discovery lists the endpoint as ready.
+        is_ready: Whether the endpoint may be sent requests: it is listed and not detached.
     """
 
     __slots__ = (
@@ -93,7 +93,7 @@
         self.update(endpoint)
 
     def reset(self) -> None:
-        """Reset the statistics: the endpoint has restarted."""
+        """Reset the statistics, as the endpoint has restarted."""
         self.relative_latency = 1.0
         self.relative_latency_at = NEVER
         self.queue_length = 0.0
@@ -101,7 +101,7 @@
         self.failures: dict[str, FailureRecord] = {}
 
     def update(self, endpoint: Endpoint) -> None:
-        """Apply what discovery lists."""
+        """Apply the entry of the endpoint in an update from discovery."""
         self.zone = endpoint.zone
         self.cell = endpoint.cell
         self.started_ms = endpoint.started_ms
@@ -113,7 +113,7 @@
         return EndpointRecord(self.started_ms, self.relative_latency, self.relative_latency_at, self.failures)
 
     def restore(self, record: EndpointRecord) -> None:
-        """Restore what the previous process knew; of the two times of its last start the later one counts."""
+        """Restore the record of the previous process, and keep the later of the two start times."""
         self.started_ms = max(self.started_ms, record.started_ms)
         self.relative_latency = record.relative_latency
         self.relative_latency_at = record.relative_latency_at
--- a/quota_gateway/model/events.py
+++ b/quota_gateway/model/events.py
@@ -1,6 +1,6 @@
-"""Events: everything that the policy engine is told, one after the other.
+"""Events: the input of the policy engine, one event at a time.
 
-All times are milliseconds of the clock that the caller hands to ``PolicyEngine.handle``.
+All times are in milliseconds, by the clock that gives the ``now_ms`` of ``PolicyEngine.handle``.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class UpdateKind(Enum):
-    """What an update holds: changes, all endpoints, all as last known, or nothing (a failed call)."""
+    """The content of an update: changes, all endpoints, all as last known, or nothing (a failed call)."""
 
     DELTA = "changes"
     SNAPSHOT = "full"
@@ -30,9 +30,9 @@
 
 
 class AttemptStatus(Enum):
-    """How an attempt, a health check or a counter call ended.
+    """The result of an attempt, a health check or a counter call.
 
-    An attempt that ended OVERLOADED, CONNECT_FAILED or NOT_SENT was never carried out.
+    An attempt with the status OVERLOADED, CONNECT_FAILED or NOT_SENT was never executed.
     """
 
     OK = "ok"
@@ -51,13 +51,13 @@
 
     Attributes:
         server: Number of the server at this gateway.
-        zone: Where it runs.
-        kind: Type of its machine.
+        zone: Zone in which the server runs.
+        kind: Machine type.
         cell: The group of servers that share idempotency keys, within the zone.
-        state: Its lifecycle.
-        size: Its relative capacity.
-        started_ms: Clock time of its last start, 0 if long past.
-        name: What all gateways call it; where it is empty, the number is the same for all.
+        state: State in the server's lifecycle.
+        size: Relative capacity.
+        started_ms: Clock time of the last start, 0 if long past.
+        name: Name that is the same at all gateways. If it is empty, the number is the same at all gateways.
     """
 
     server: int
@@ -72,15 +72,15 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointUpdate:
-    """What discovery says of the endpoints.
+    """An update of the endpoints from discovery.
 
-    DELTA alters what is known, SNAPSHOT and CACHED replace it, FAILED holds no endpoints.
+    DELTA changes the list of endpoints, SNAPSHOT and CACHED replace it, FAILED has no endpoints.
 
     Attributes:
-        kind: What the update holds.
-        endpoints: Those that it tells of.
+        kind: Kind of the update.
+        endpoints: Endpoints in the update.
         version: Discovery's version of the list.
-        listed: Number of servers that discovery lists, where ``endpoints`` has the nearest alone; else 0.
+        listed: Number of servers that discovery lists if ``endpoints`` has only the nearest of them, else 0.
     """
 
     kind: UpdateKind
@@ -98,12 +98,12 @@
         class_name: Name of a ``RequestClass``.
         plan: Name of a ``Plan``.
         customer: The customer, unique within the plan.
-        timeout_ms: For how long the client waits.
-        units: Units that the request takes of the quota; a guess where ``Settings.reports_final_units``.
+        timeout_ms: Time for which the client waits.
+        units: Units of the quota that the request takes; an estimate if ``Settings.reports_final_units``.
         gateway_set_size: Number of gateways through which the customer's requests come.
-        first_gateway: Number of the first of them; the others follow in order.
-        is_retry: Whether the client marked it as a retry.
-        is_write: Whether it changes anything.
+        first_gateway: Number of the first of these gateways; the others follow in order.
+        is_retry: Whether the client marked the request as a retry.
+        is_write: Whether the request changes any data.
     """
 
     request_id: str
@@ -124,18 +124,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """How an attempt ended; exactly one for each ``StartAttempt``.
+    """The outcome of an attempt; exactly one for each ``StartAttempt``.
 
     Attributes:
         request_id: The request.
         attempt: Number of the attempt, from 0.
         server: The server of the attempt.
-        status: How it ended.
+        status: Result of the attempt.
         latency_ms: Time from the start of the attempt to its end.
-        closed: Whether the client has had the final answer of the request.
+        closed: Whether the client has received the final answer of the request.
         usage_percent: The customer's usage over all gateways, reported late, in percent of its quota.
-        final_units: The units that the request has really taken.
-        load: The server's load report, a value for each of ``Settings.load_report_fields``.
+        final_units: Units that the request actually took.
+        load: The server's load report, one value for each of ``Settings.load_report_fields``.
     """
 
     request_id: str
@@ -151,7 +151,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamStarted:
-    """A streamed reply has begun: it goes to the client as it comes and has no deadline."""
+    """A streamed reply has begun; it is passed to the client as it arrives and has no deadline."""
 
     request_id: str
     attempt: int
@@ -161,7 +161,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client has gone; no answer is owed for this request any more."""
+    """The client has disconnected; its request needs no answer any more."""
 
     request_id: str
 
@@ -175,7 +175,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckResult:
-    """The answer to one ``HealthCheck``."""
+    """The result of one ``HealthCheck``."""
 
     server: int
     status: AttemptStatus
@@ -185,7 +185,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownStarted:
-    """The process will be ended: every request in progress, and any to come, is answered within this time."""
+    """The process is shutting down: all current and new requests must be answered within ``within_ms``."""
 
     within_ms: float
 
@@ -199,14 +199,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AttachServer:
-    """Operators put a detached server back into service; it was restarted meanwhile."""
+    """Operators put a detached server back into service; it was restarted while it was detached."""
 
     server: int
 
 
 @dataclass(frozen=True, slots=True)
 class ExportState:
-    """Another process takes over: a ``StateSnapshot`` is owed, and ``NotifyPeerProcess`` on each change."""
+    """The next process takes over: output a ``StateSnapshot``, then ``NotifyPeerProcess`` on each change."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -214,7 +214,7 @@
     """The state that the previous process exported.
 
     Raises:
-        StateError: The state is malformed; none of it is taken over.
+        StateError: The state is malformed; none of it is restored.
     """
 
     state: dict[str, Any]
@@ -222,12 +222,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerProcessUsage:
-    """What the other process of this gateway has in flight for a customer.
+    """The usage of a customer by the peer process of this gateway.
 
     Attributes:
         plan: The customer's plan.
         customer: The customer.
-        in_flight: Number of attempts in flight from the other process.
+        in_flight: Number of attempts in flight from the peer process.
         excess_change: Change of the leaky bucket's excess, in milliunits.
     """
 
@@ -239,7 +239,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerProcessExited:
-    """The other process of this gateway has ended."""
+    """The peer process of this gateway has exited."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -252,7 +252,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CounterReply:
-    """The answer to one ``IncrementCounter``; ``total`` is valid with OK only."""
+    """The result of one ``IncrementCounter``; ``total`` is valid only if the status is OK."""
 
     name: int
     status: AttemptStatus
--- a/quota_gateway/model/pending_request.py
+++ b/quota_gateway/model/pending_request.py
@@ -1,4 +1,4 @@
-"""A request from its arrival until it is answered and none of its attempts is in flight."""
+"""A pending request, from its arrival until it is answered and none of its attempts is in flight."""
 
 from __future__ import annotations
 
@@ -13,12 +13,16 @@
 
 
 class RequestState(Enum):
-    """Where a request is on its way; the transitions are in ``policy/request_lifecycle.py``.
+    """The state of a request; the transitions are in ``policy/request_lifecycle.py``.
 
-    ADMITTED lasts until the request is scheduled, in the same event. DELAYED waits for the leaky bucket,
-    QUEUED for a limit or an endpoint. IN_FLIGHT has started an attempt. STREAMING has a reply on its way to
-    the client. ANSWERED has its final answer, and perhaps attempts in flight; ANSWERED_BY_STREAM has been
-    STREAMING besides.
+    Attributes:
+        ADMITTED: Admitted; scheduled or delayed within the same event.
+        DELAYED: Waits for the leaky bucket.
+        QUEUED: Waits for a limit or an endpoint.
+        IN_FLIGHT: An attempt has been started.
+        STREAMING: A reply is being streamed to the client.
+        ANSWERED: The final answer has been given; attempts may still be in flight.
+        ANSWERED_BY_STREAM: The same as ANSWERED, after STREAMING.
     """
 
     ADMITTED = "admitted"
@@ -38,7 +42,7 @@
 
 
 class FailureKeys(NamedTuple):
-    """The keys of the failure records that a request's outcomes count for, the widest first."""
+    """The keys of the failure records in which a request's outcomes are counted, the widest first."""
 
     all_requests: str
     request_class: str
@@ -49,25 +53,25 @@
     """A request that is delayed, queued or in flight, or answered with attempts still in flight.
 
     Attributes:
-        request: The event by which it arrived.
-        request_class: Its class.
-        plan: Its customer's plan.
-        customer: The state of its customer.
-        state: Where it is on its way.
-        arrived_ms: Clock time of its arrival.
-        deadline_ms: Clock time at which its final answer is due at the latest.
-        attempts: How many attempts have been started.
+        request: Event of the request's arrival.
+        request_class: Class of the request.
+        plan: Plan of the customer.
+        customer: State of the customer.
+        state: State of the request.
+        arrived_ms: Clock time of the arrival.
+        deadline_ms: Clock time by which the final answer is due.
+        attempts: Number of attempts started.
         in_flight: Attempts in flight, by number.
-        tried_endpoints: Ids of the endpoints that an attempt was started at.
-        size: Units, rounded up: latencies are kept for each size.
-        failure_keys: Keys of the failure records that it counts for.
-        random_draw: Drawn at random once for the request, from 0 to below 1: decides which warming
-            endpoint it may go to, and whether a fraction of the concurrency limit admits it.
-        was_delivered: Whether an endpoint may have received an attempt whole.
-        had_error: Whether an endpoint has answered, but with an error.
-        timer_tokens: Tokens of the timers that were set for this request.
-        is_contended: Whether, at its arrival, other gateways seemed to use the slots under the in-flight cap.
-        first_executed: The first attempt that may have been executed.
+        tried_endpoints: Ids of the endpoints at which an attempt was started.
+        size: Units, rounded up; mean latencies are kept for each size.
+        failure_keys: Keys of the failure records in which the request's outcomes are counted.
+        random_draw: Random number from 0 to below 1 that is drawn once for the request. It decides which
+            warming endpoint the request may be sent to, and whether a fractional concurrency limit admits it.
+        was_delivered: Whether an endpoint may have received an attempt completely.
+        had_error: Whether an endpoint has answered with an error.
+        timer_tokens: Tokens of the timers that were set for the request.
+        is_contended: Whether other gateways seemed to use the slots under the in-flight cap at the arrival.
+        first_executed: The first attempt that may have been executed, None if there is none.
     """
 
     __slots__ = (
@@ -122,16 +126,16 @@
 
     @property
     def is_answered(self) -> bool:
-        """Whether the final answer is given, or not owed any more."""
+        """Whether the final answer has been given or is not needed any more."""
         return self.state is RequestState.ANSWERED or self.state is RequestState.ANSWERED_BY_STREAM
 
     @property
     def is_streaming(self) -> bool:
-        """Whether a streamed reply has begun, also if it is complete."""
+        """Whether a streamed reply has begun; it may be complete."""
         return self.state is RequestState.STREAMING or self.state is RequestState.ANSWERED_BY_STREAM
 
     def start_attempt(self, endpoint: EndpointState, now_ms: float) -> int:
-        """Account for a new attempt, here and at its endpoint and customer; return its number, from 0."""
+        """Record a new attempt here, at its endpoint and at its customer; return its number, from 0."""
         number = self.attempts
         self.attempts += 1
         self.tried_endpoints.add(endpoint.id)
@@ -141,7 +145,7 @@
         return number
 
     def end_attempt(self, number: int, status: AttemptStatus) -> RunningAttempt:
-        """Account for the end of an attempt in flight, and return it.
+        """Record the end of an attempt in flight, and return the attempt.
 
         Raises:
             KeyError: No attempt of this number is in flight.
--- a/quota_gateway/model/settings.py
+++ b/quota_gateway/model/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a gateway: what it is told once, at its start. Times are in milliseconds."""
+"""Settings of a gateway, fixed at its start. Times are in milliseconds."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 from quota_gateway.model.validation import FieldError, require, require_numbers, require_positive
 
-#: Time after which servers close an idle connection, where the settings do not give one.
+#: Default time after which servers close an idle connection.
 DEFAULT_IDLE_MS = 30_000.0
 
 
 class Idempotency(Enum):
-    """Whether a request may be repeated: freely, within a group of servers that knows its key, or never."""
+    """Whether a request may be repeated: freely, at servers that recognize its idempotency key, or never."""
 
     IDEMPOTENT = "safe"
     KEYED = "keyed"
@@ -20,7 +20,7 @@
 
 
 class IdempotencyScope(Enum):
-    """Which servers recognize a repeated idempotency key: all, those of a zone, or those of a cell."""
+    """The servers that recognize a repeated idempotency key: all, those of a zone, or those of a cell."""
 
     ALL = "all"
     ZONE = "zone"
@@ -28,7 +28,7 @@
 
 
 class DiscoveryMode(Enum):
-    """How endpoint updates arrive: unasked, or only after ``Subscribe`` or ``PollEndpoints``."""
+    """How endpoint updates arrive: without a call, or only after ``Subscribe`` or ``PollEndpoints``."""
 
     PUSH = "push"
     ASK = "ask"
@@ -40,15 +40,15 @@
 
     Attributes:
         name: Unique name, as clients send it.
-        latency_objective_ms: Time from arrival; later replies earn only ``value_after_objective``.
-        deadline_ms: The longest that any client waits.
+        latency_objective_ms: Time from arrival to reply; later replies earn only ``value_after_objective``.
+        deadline_ms: Longest time that any client waits.
         idempotency: Whether, and where, an attempt may be repeated.
         priority_weight: Value of one unit that is served within the objective.
         value_after_objective: Share of ``priority_weight`` earned between objective and deadline.
         idempotency_scope: The servers among which a key is recognized.
-        idempotency_window_ms: For how long after the first attempt a key is recognized.
+        idempotency_window_ms: Time after the first attempt during which a key is recognized.
         streamed: Whether replies are streamed.
-        objective_stretch: Growth of the objective with a request's size; kept for the simulator's wire.
+        objective_stretch: Growth of the objective with a request's size; kept for the simulator's protocol.
     """
 
     name: str
@@ -86,15 +86,15 @@
 
     Attributes:
         name: Unique name, as clients send it.
-        rate: Units a second that drain from the customer's leaky bucket.
+        rate: Units per second that drain from the customer's leaky bucket.
         burst: Units that the bucket holds.
         max_in_flight: Attempts that a customer may have in flight at once.
         weight: Factor on ``RequestClass.priority_weight`` for its customers.
         excess_value: Value of a unit served beyond the quota, relative to one within it.
         excess_cost: Cost of a unit served beyond the quota, on the same scale.
-        ceiling_rate: Units a second of the hard ceiling, which may never be passed.
-        ceiling_burst: Units at once of the hard ceiling.
-        ceiling_slack: Units by which the ceiling may be passed by chance.
+        ceiling_rate: Units per second of the hard ceiling, which must never be exceeded.
+        ceiling_burst: Burst of the hard ceiling, in units.
+        ceiling_slack: Units by which the ceiling may be exceeded by chance.
     """
 
     name: str
@@ -120,18 +120,18 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayLimits:
-    """What the site permits a gateway to do.
+    """The limits and permissions of the site for a gateway.
 
     Attributes:
-        max_attempts: Attempts for one request, the first included.
+        max_attempts: Maximum number of attempts for one request, including the first.
         may_duplicate: Whether two attempts for one request may be in flight (a hedged request).
         can_cancel: Whether an attempt may be cancelled.
-        can_probe: Whether servers may be asked for their health.
+        can_probe: Whether health checks may be sent to servers.
         can_message_peers: Whether gateways may send each other messages.
-        can_send_retry_after: Whether a rejection may say when to come back.
-        max_open: Connections that may be open at once.
+        can_send_retry_after: Whether a rejection may tell the client when to retry.
+        max_open: Maximum number of open connections.
         connect_timeout_ms: Time in which a connection to a server must be established.
-        max_retry_after_ms: The longest time that a rejection may name.
+        max_retry_after_ms: Longest time after which a rejection may tell the client to retry.
         connection_idle_ms: Time after which servers close an idle connection.
     """
 
@@ -153,15 +153,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceRules:
-    """The figures by which draining, slow start and overload are judged.
+    """The rules of the service for draining, slow start and overload.
 
     Attributes:
         answer_slack_ms: Time by which a final answer may be late.
-        drain_grace_ms: Time after which a draining endpoint gets no new attempts at the latest.
+        drain_grace_ms: Longest time for which a draining endpoint may still get new attempts.
         initial_capacity_share: Share of its full capacity that a server has when it starts.
-        warm_up_ms: Time in which its capacity rises evenly to the full.
-        overload_factor: Load that makes a warming server collapse, as a multiple of its present capacity.
-        overload_window_ms: Window over which that load is summed.
+        warm_up_ms: Time in which a server's capacity rises linearly to its full capacity.
+        overload_factor: Load that makes a warming server collapse, as a multiple of its current capacity.
+        overload_window_ms: Time window over which this load is summed.
         poll_deadline_ms: Time within which discovery must be polled.
     """
 
@@ -184,23 +184,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that a gateway is told at its start.
+    """All settings of a gateway.
 
     Attributes:
-        gateways: Number of gateways of the fleet.
+        gateways: Number of gateways in the fleet.
         index: This gateway's number, from 0.
         zone: This gateway's zone.
         classes: Every class of requests.
         plans: Every plan.
-        limits: What the site permits.
-        contract: Draining, slow start and overload.
+        limits: Limits and permissions of the site.
+        contract: Rules for draining, slow start and overload.
         discovery: How endpoint updates arrive.
-        load_report_fields: Names of the figures in a server's load report, in order.
+        load_report_fields: Names of the values in a server's load report, in order.
         usage_period_ms: Period that a usage report covers.
-        max_request_units: The most units that one request may ask for.
-        reports_final_units: Whether a reply tells the units that the request has really taken.
+        max_request_units: Maximum number of units that one request may take.
+        reports_final_units: Whether a reply reports the units that the request actually took.
         has_counter: Whether there is a counter shared by all gateways.
-        counter_timeout_ms: Timeout of a call of that counter.
+        counter_timeout_ms: Timeout of a call to the shared counter.
         tick_ms: Resolution of timers.
         cross_zone_cost: Cost of an attempt in another zone, as a share of a request's value.
     """
--- a/quota_gateway/model/snapshot.py
+++ b/quota_gateway/model/snapshot.py
@@ -1,6 +1,6 @@
-"""The state snapshot that one process of a gateway leaves to the next, to JSON and back, checked.
+"""Writes and reads the state snapshot that one process of a gateway passes to the next, as JSON.
 
-The shape of the JSON is fixed, as other versions read and write it too. ``JSON_KEYS`` has its keys, the
+The format of the JSON is fixed, as other versions read and write it too. ``JSON_KEYS`` has its keys, and the
 classes named ``...Row`` have the columns of its rows.
 """
 
@@ -20,7 +20,7 @@
 )
 from quota_gateway.model.settings import Settings
 
-#: The key in the JSON of each field of ``EngineState``, in the order in which they are written.
+#: The JSON key of each field of ``EngineState``, in the order in which the fields are written.
 JSON_KEYS = {
     "customers": "customers",
     "endpoints": "servers",
@@ -34,12 +34,12 @@
     "attached": "attached",
     "latencies": "latency",
 }
-#: Fields that older versions do not write, and what they are then.
+#: Default values of the fields that older versions do not write.
 DEFAULTS: dict[str, dict[str, float]] = {"admitted_shares": {}}
 
 
 class CustomerRow(NamedTuple):
-    """The columns of a customer."""
+    """The columns of a customer's row."""
 
     plan: str
     customer: str
@@ -58,7 +58,7 @@
 
 
 class EndpointRow(NamedTuple):
-    """The columns of an endpoint. Later versions may append others."""
+    """The columns of an endpoint's row. Later versions may append others."""
 
     server: int
     started_ms: float
@@ -68,7 +68,7 @@
 
 
 class AttachedRow(NamedTuple):
-    """The columns of an endpoint that operators have attached again. Later versions may append others."""
+    """The columns of the row of an endpoint attached again. Later versions may append others."""
 
     server: int
     since_ms: float
@@ -77,19 +77,20 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineState:
-    """All that the next process has to know, so that both together keep every limit.
+    """The state that the next process needs so that both processes together keep every limit.
 
     Attributes:
-        customers: By plan and name. Read from JSON, what was in flight is the peer process's.
-        endpoints: By number.
+        customers: Customers by plan and name. In a state read from JSON, attempts in flight count as those of
+            the peer process.
+        endpoints: Endpoints by number.
         failures: Failure records over all endpoints, see ``FailureTracker.totals``.
-        attempts: Attempts started so far.
-        admitted_shares: By plan, the share of unknown customers that is admitted.
-        concurrency_limit: Attempts that may be in flight; infinite before the first endpoint update.
+        attempts: Number of attempts started so far.
+        admitted_shares: Admitted share of unknown customers, by plan.
+        concurrency_limit: Limit on attempts in flight; infinite before the first endpoint update.
         retry_tokens: Tokens in the retry budget; a retry costs one.
         started_at_ms: Clock time of the gateway's first event.
-        detached: By number, the clock time at which operators detached an endpoint.
-        attached: By number, the last detachment of an endpoint that operators have attached again.
+        detached: Clock time at which operators detached an endpoint, by number.
+        attached: Last detachment period of each endpoint that operators have attached again, by number.
         latencies: Mean latencies by class and size.
     """
 
@@ -106,7 +107,7 @@
     latencies: dict[str, dict[int, LatencyMean]]
 
     def to_json(self) -> dict[str, Any]:
-        """Return plain values that go into JSON."""
+        """Return the state as plain values that can be written as JSON."""
         values = {
             "customers": [_customer_to_row(*item) for item in self.customers.items()],
             "endpoints": [_endpoint_to_row(*item) for item in self.endpoints.items()],
@@ -127,15 +128,15 @@
 
     @classmethod
     def from_json(cls, state: dict[str, Any], settings: Settings, now_ms: float) -> EngineState:
-        """Read what another process has left; plans and classes not known here are ignored.
+        """Read the state that another process exported; plans and classes not known here are ignored.
 
         Args:
-            state: What ``to_json`` of this version or an earlier one has made.
-            settings: Of this process.
-            now_ms: The time by the clock of this process. Times after it are read as this time.
+            state: The result of ``to_json`` of this version or an earlier one.
+            settings: Settings of this process.
+            now_ms: Current time by the clock of this process. Later times in ``state`` are read as this time.
 
         Raises:
-            StateError: Any part of it is malformed.
+            StateError: A part of the state is malformed.
         """
         try:
             values = {
@@ -182,7 +183,7 @@
 
 
 class _SnapshotReader:
-    """Reads the parts of a snapshot for the settings and by the clock of this process."""
+    """Reads the parts of a snapshot with the settings and the clock of this process."""
 
     def __init__(self, settings: Settings, now_ms: float) -> None:
         self._plans = {plan.name for plan in settings.plans}
@@ -191,7 +192,7 @@
         self._now_ms = now_ms
 
     def read(self, values: dict[str, Any]) -> EngineState:
-        """Read the values of all fields, still as JSON has them."""
+        """Read the JSON values of all fields."""
         return EngineState(
             customers=self._customers(values["customers"]),
             endpoints=self._endpoints(values["endpoints"]),
@@ -271,16 +272,16 @@
         return Moment(self._past_ms(value[0]), int(value[1]))
 
     def _past_ms(self, value: Any) -> float:
-        """Read a time; one that is ahead of this process's clock counts as now."""
+        """Read a clock time; a time ahead of this process's clock is read as now."""
         return min(self._now_ms, _number(value))
 
 
 def _number(value: Any) -> float:
-    """Read a number, perhaps infinite.
+    """Read a number, which may be infinite.
 
     Raises:
-        StateError: It is not a number.
+        StateError: The value is not a number.
     """
     if isinstance(value, bool) or not isinstance(value, (int, float)) or value != value:
-        raise StateError(f"state snapshot is malformed: {value!r} is no number")
+        raise StateError(f"state snapshot is malformed: {value!r} is not a number")
     return value
--- a/quota_gateway/model/timers.py
+++ b/quota_gateway/model/timers.py
@@ -10,7 +10,7 @@
 
 
 class WaitOver(NamedTuple):
-    """A request's delay is over, or the time for which a limit made it wait: it may be scheduled."""
+    """The delay of a request, or a wait required by a limit, is over: the request may be scheduled."""
 
     pending: PendingRequest
 
@@ -42,7 +42,7 @@
 
 
 class PollDue:
-    """Discovery is to be asked for endpoint updates."""
+    """A poll of discovery for endpoint updates is due."""
 
     __slots__ = ()
 
@@ -52,7 +52,7 @@
 
 
 class TimerTable:
-    """What each armed timer is for, by its token."""
+    """The armed timers, by token."""
 
     __slots__ = ("_last_token", "armed")
 
@@ -61,7 +61,7 @@
         self.armed: dict[int, Timer] = {}
 
     def arm(self, delay_ms: float, timer: Timer) -> SetTimer:
-        """Set a timer that fires after ``delay_ms``; a request keeps the tokens of its timers."""
+        """Arm a timer that fires after ``delay_ms``; the request, if any, keeps the token of its timer."""
         self._last_token += 1
         token = self._last_token
         self.armed[token] = timer
@@ -70,11 +70,11 @@
         return SetTimer(token, delay_ms)
 
     def take(self, event: TimerFired) -> Timer | None:
-        """Return what the fired timer is for, or None if it was dropped."""
+        """Remove and return the timer that has fired; return None if it was dropped."""
         return self.armed.pop(event.token, None)
 
     def drop(self, pending: PendingRequest) -> None:
-        """Forget the timers of a request, as they would keep it in memory until the last of them is due."""
+        """Discard the timers of a request, which would keep it in memory until the last of them is due."""
         for token in pending.timer_tokens:
             self.armed.pop(token, None)
         pending.timer_tokens.clear()
--- a/quota_gateway/model/validation.py
+++ b/quota_gateway/model/validation.py
@@ -8,8 +8,8 @@
 
     Attributes:
         field: Name of the field.
-        value: Its value.
-        reason: What is allowed, as the end of a sentence: ``is not a number above 0``.
+        value: Value of the field.
+        reason: What is wrong with the value, as the end of a sentence: ``is not a number above 0``.
     """
 
     def __init__(self, owner: object, field: str, value: object, reason: str) -> None:
@@ -24,11 +24,11 @@
 
     Args:
         owner: The object whose fields are checked.
-        minimum: The least value that is allowed.
-        names: The fields.
+        minimum: Lowest value that is allowed.
+        names: Names of the fields.
 
     Raises:
-        FieldError: A field is no number of at least ``minimum``.
+        FieldError: A field is not a finite number of at least ``minimum``.
     """
     for name in names:
         value = getattr(owner, name)
@@ -41,22 +41,22 @@
     """Check that a field that is a number is above 0.
 
     Raises:
-        FieldError: It is not.
+        FieldError: The field is not above 0.
     """
     require(getattr(owner, name) > 0, owner, name, "is not a number above 0")
 
 
 def require(is_allowed: bool, owner: object, name: str, reason: str) -> None:
-    """Check that a field has a value that is allowed.
+    """Raise an error unless a field has a value that is allowed.
 
     Args:
-        is_allowed: Whether it has.
+        is_allowed: Whether the value is allowed.
         owner: The object that has the field.
-        name: The field.
-        reason: What is allowed, as the end of a sentence: ``is not a number above 0``.
+        name: Name of the field.
+        reason: What is wrong with the value, as the end of a sentence: ``is not a number above 0``.
 
     Raises:
-        FieldError: It has not.
+        FieldError: The value is not allowed.
     """
     if not is_allowed:
         raise FieldError(owner, name, getattr(owner, name), reason)
