--- a/tests/model/__init__.py
+++ b/tests/model/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the types that go in and out of the policy engine."""
+"""Tests of the input and output types of the policy engine."""
--- a/tests/model/test_snapshot.py
+++ b/tests/model/test_snapshot.py
@@ -1,8 +1,8 @@
-"""The state snapshot keeps the form that earlier versions read and write.
+"""Tests that the state snapshot keeps the format that earlier versions read and write.
 
-``engine-state-4431b5a.json`` was exported by the engine of commit 4431b5a after sixty requests of all plans,
-``engine-state-4abec57.json`` by that of 4abec57 after ``replay`` of
-``tests/process/test_recorded_handover.py``, with three endpoints of a cached update before it.
+``engine-state-4431b5a.json`` was exported by the engine of commit 4431b5a after sixty requests of all plans.
+``engine-state-4abec57.json`` was exported by the engine of commit 4abec57 after a cached update with three
+endpoints, followed by the events of ``replay`` in ``tests/process/test_recorded_handover.py``.
 """
 
 import json
@@ -27,17 +27,17 @@
 SNAPSHOTS = Path(__file__).parent.parent / "support" / "snapshots"
 RECORDED = SNAPSHOTS / "engine-state-4431b5a.json"
 RECORDED_BY_4ABEC57 = SNAPSHOTS / "engine-state-4abec57.json"
-LATER_MS = 10_000.0  # than all times in the record
-EARLY_MS = 100.0  # before most of them
+LATER_MS = 10_000.0  # clock time after all times in the recorded snapshot
+EARLY_MS = 100.0  # clock time before most times in the recorded snapshot
 
 
-def test_snapshot_of_the_version_before_is_read_and_written_without_a_change():
+def test_snapshot_of_4431b5a_is_read_and_written_without_a_change():
     recorded = json.loads(RECORDED.read_text())
     state = EngineState.from_json(recorded, SETTINGS, LATER_MS)
     assert json.dumps(state.to_json()) == json.dumps(recorded)
 
 
-def test_engine_goes_on_from_the_snapshot_of_the_version_before():
+def test_engine_restores_and_exports_the_snapshot_of_4431b5a_without_a_change():
     recorded = json.loads(RECORDED.read_text())
     harness = EngineHarness()
     harness.servers(make_endpoint(1), make_endpoint(2), make_endpoint(3, started_ms=900.0), make_endpoint(4))
@@ -59,7 +59,7 @@
     assert not harness.gateway.has_peer_process
 
 
-def test_times_ahead_of_this_process_s_clock_count_as_now():
+def test_times_ahead_of_the_clock_are_read_as_now():
     recorded = json.loads(RECORDED.read_text())
     state = EngineState.from_json(recorded, SETTINGS, EARLY_MS)
     records = [*state.failures.values(), *(r for e in state.endpoints.values() for r in e.failures.values())]
@@ -106,7 +106,7 @@
 
 
 def shape(value):
-    """The keys and the types of the columns of a JSON value, of each row of a list."""
+    """Return a JSON value with each value that is no object or list replaced by its type."""
     if isinstance(value, dict):
         return {key: shape(item) for key, item in value.items()}
     if isinstance(value, list):
@@ -114,7 +114,7 @@
     return type(value)
 
 
-def test_engine_that_sees_the_events_of_4abec57_writes_the_same_snapshot(recorded_by_4abec57):
+def test_engine_writes_the_snapshot_of_4abec57_after_the_same_events(recorded_by_4abec57):
     harness = EngineHarness()
     harness.servers(*(make_endpoint(number) for number in (1, 2, 3)), kind=UpdateKind.CACHED)
     replay(harness)
@@ -125,7 +125,7 @@
     assert written == recorded_by_4abec57
 
 
-def test_keys_and_columns_of_the_json_are_those_of_every_version(recorded_by_4abec57):
+def test_keys_and_columns_of_the_json_are_those_of_4abec57(recorded_by_4abec57):
     assert list(JSON_KEYS.values()) == list(recorded_by_4abec57)
     assert {len(row) for row in recorded_by_4abec57["customers"]} == {len(CustomerRow._fields)}
 
@@ -136,12 +136,12 @@
         EngineState.from_json({**recorded_by_4abec57, key: None}, SETTINGS, LATER_MS)
 
 
-def test_snapshot_without_admitted_shares_is_read_as_none_of_them(recorded_by_4abec57):
+def test_snapshot_without_admitted_shares_is_read_with_no_shares(recorded_by_4abec57):
     del recorded_by_4abec57["open"]
     assert EngineState.from_json(recorded_by_4abec57, SETTINGS, LATER_MS).admitted_shares == {}
 
 
-def test_customers_of_unknown_plans_and_latencies_of_unknown_classes_are_passed_over(recorded_by_4abec57):
+def test_customers_of_unknown_plans_and_latencies_of_unknown_classes_are_ignored(recorded_by_4abec57):
     recorded_by_4abec57["customers"].append(["unknown plan", "c", "malformed"])
     recorded_by_4abec57["latency"]["unknown class"] = "malformed"
     state = EngineState.from_json(recorded_by_4abec57, SETTINGS, LATER_MS)
@@ -149,7 +149,7 @@
     assert "unknown class" not in state.latencies
 
 
-def test_columns_that_a_later_version_appends_to_an_endpoint_are_passed_over(recorded_by_4abec57):
+def test_columns_that_a_later_version_appends_to_an_endpoint_are_ignored(recorded_by_4abec57):
     expected = EngineState.from_json(recorded_by_4abec57, SETTINGS, LATER_MS)
     for key in ("servers", "attached"):
         for row in recorded_by_4abec57[key]:
--- a/tests/policy/test_answer_reasons.py
+++ b/tests/policy/test_answer_reasons.py
@@ -1,4 +1,4 @@
-"""The table of reasons in docs/decisions/README.md and the rules in the policy agree."""
+"""Tests that the table of reasons in docs/decisions/README.md agrees with the rules of the policy."""
 
 import ast
 import re
@@ -18,7 +18,7 @@
 
 
 class ReasonRow(NamedTuple):
-    """A row of the table: the function that decides, its inputs, and what to look at next."""
+    """A row of the table: the function that gives the reason, its inputs, and what to look at next."""
 
     place: str
     inputs: str
@@ -26,21 +26,21 @@
 
 
 def read_table() -> dict[str, ReasonRow]:
-    """The rows of the table by label; a label that stands twice is an error."""
+    """Return the rows of the table by label; a duplicate label is an error."""
     lines = (ROOT / "docs/decisions/README.md").read_text().splitlines()
     rows: dict[str, ReasonRow] = {}
     for line in lines[lines.index(TABLE_HEADER) + 2 :]:
         if not line.startswith("|"):
             break
         match = REASON_ROW.match(line)
-        assert match, f"not a row of a reason: {line}"
-        assert match["label"] not in rows, f"two rows: {match['label']}"
+        assert match, f"malformed row in the table of reasons: {line}"
+        assert match["label"] not in rows, f"duplicate row of the reason {match['label']}"
         rows[match["label"]] = ReasonRow(match["place"], match["inputs"], match["next"])
     return rows
 
 
 def references_by_reason() -> dict[str, list[str]]:
-    """For each member of AnswerReason the functions of policy that name it, as ``path.py:Class.method``."""
+    """Return the functions of policy that use each member of AnswerReason, as ``path.py:Class.method``."""
     found: dict[str, list[str]] = {}
     for path in source_files("quota_gateway/policy"):
         for name, member in _references(ast.parse(path.read_text()), ""):
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize("reason", GIVEN_REASONS, ids=lambda reason: reason.value)
-def test_reason_has_a_row_and_is_given_out_by_the_function_that_it_names_alone(reason):
+def test_reason_has_a_row_and_is_used_only_by_the_function_that_the_row_names(reason):
     row = read_table()[reason.value]
     path, _, name = row.place.partition(":")
     assert name in defined_names(Path(ROOT / path))
@@ -72,7 +72,7 @@
     assert list(read_table()) == [reason.value for reason in GIVEN_REASONS]
 
 
-def test_policy_gives_out_no_unspecified_reason():
+def test_policy_never_uses_the_unspecified_reason():
     assert "UNSPECIFIED" not in references_by_reason()
 
 
@@ -80,7 +80,7 @@
     assert all(row.inputs.strip() and row.next_step.strip() for row in read_table().values())
 
 
-def test_labels_of_the_reasons_stay_as_dashboards_have_them():
+def test_labels_of_the_reasons_stay_the_same_for_dashboards():
     assert {reason.value for reason in AnswerReason} == {
         "unspecified",
         "unknown_class_or_plan",
--- a/tests/policy/test_mechanisms.py
+++ b/tests/policy/test_mechanisms.py
@@ -1,4 +1,4 @@
-"""Each mechanism of the policy is made and used without an engine."""
+"""Tests of each mechanism of the policy without an engine."""
 
 import pytest
 
@@ -55,14 +55,14 @@
     return PendingRequest(request, request_class, plan, customer, now_ms, 0.0)
 
 
-def test_statistics_decay_with_time_but_not_before_an_endpoint_could_be_met_again():
+def test_statistics_decay_with_time_but_not_before_each_endpoint_may_have_been_tried_again():
     clock = clock_at(1000.0 + DECAY_MS)
-    assert clock.remaining(Moment(1000.0, 0)) == 1.0  # no attempt was started since
+    assert clock.remaining(Moment(1000.0, 0)) == 1.0  # no attempt has been started since then
     clock.attempts = 1
     assert clock.remaining(Moment(1000.0, 0)) == pytest.approx(0.3679, abs=1e-4)
 
 
-def test_leaky_bucket_admits_the_burst_then_delays_then_rejects_without_an_excess():
+def test_leaky_bucket_admits_the_burst_then_delays_then_rejects_without_adding_excess():
     clock = clock_at(1000.0)
     bucket = LeakyBucket(SETTINGS, clock, LocalQuota(SETTINGS, clock))
     pending = pending_request(METERED)
@@ -89,7 +89,7 @@
     assert ceiling.wait_ms(pending_request(CEILING)) == 100.0
 
 
-def test_customer_table_forgets_one_that_is_as_new():
+def test_customer_table_evicts_a_customer_that_is_equivalent_to_a_new_one():
     clock = clock_at(1000.0)
     table = CustomerTable(SETTINGS, clock, LocalQuota(SETTINGS, clock), HardCeiling(clock))
     table.use(Request("r", SAFE.name, FREE.name, "first", 4000.0), FREE)
@@ -98,19 +98,19 @@
     assert list(table.by_key) == [(FREE.name, "second")]
 
 
-def test_concurrency_limit_is_cut_by_a_slow_answer_and_lifted_by_a_quick_one_while_used_up():
+def test_concurrency_limit_falls_by_a_slow_response_and_rises_by_a_fast_one_while_used_up():
     limit = ConcurrencyLimit()
     limit.set_initial(1, 2)
     limit.on_response(SAFE, SAFE.latency_objective_ms)
     assert limit.limit == 3.0 - LIMIT_DECREASE_PER_SLOW_RESPONSE
     limit.on_response(SAFE, 1.0)
-    assert limit.limit == 3.0 - LIMIT_DECREASE_PER_SLOW_RESPONSE  # it is not used up
+    assert limit.limit == 3.0 - LIMIT_DECREASE_PER_SLOW_RESPONSE  # the limit is not used up
     limit.on_start("r", 0)
     limit.on_response(SAFE, 1.0)
     assert limit.limit == 3.0 - LIMIT_DECREASE_PER_SLOW_RESPONSE + LIMIT_INCREASE_PER_FAST_RESPONSE
 
 
-def test_queue_sheds_the_least_value_for_its_work():
+def test_queue_sheds_the_request_of_least_value_per_work():
     queue = PendingQueue(LatencyStatistics(CLASSES, clock_at(1000.0)))
     small, large = pending_request(name="small"), pending_request(name="large", units=2.0)
     assert queue.add(small)
@@ -120,7 +120,7 @@
     assert queue.by_value() == [large, small]
 
 
-def test_latency_is_a_part_of_the_objective_until_answers_are_seen():
+def test_mean_latency_is_a_share_of_the_objective_before_any_response():
     latencies = LatencyStatistics(CLASSES, clock_at(1000.0))
     assert latencies.mean_ms(pending_request()) == INITIAL_LATENCY_OBJECTIVE_SHARE * SAFE.latency_objective_ms
 
@@ -135,7 +135,7 @@
     assert not detector.is_outlier_under_key(endpoint, "")
 
 
-def test_slow_start_gives_the_initial_share_then_the_whole_capacity():
+def test_slow_start_gives_the_initial_share_then_the_full_capacity():
     clock = clock_at(1000.0)
     slow_start = SlowStart(SETTINGS.contract, clock)
     endpoint = EndpointState(Endpoint(1, "a", started_ms=1000.0), 0.0)
@@ -145,7 +145,7 @@
     assert slow_start.capacity_share(endpoint) == 1.0
 
 
-def test_retry_budget_charges_retries_and_lets_free_ones_pass():
+def test_retry_budget_charges_retries_and_permits_free_ones():
     budget = RetryBudget(GatewayLimits(max_attempts=3))
     pending = pending_request()
     for _ in range(int(MAX_RETRY_TOKENS)):
@@ -161,7 +161,7 @@
     assert not is_retry_harmless(pending)
 
 
-def test_endpoint_table_keeps_a_detached_endpoint_out_whatever_discovery_lists():
+def test_endpoint_table_keeps_an_endpoint_detached_whatever_discovery_lists():
     clock = clock_at(1000.0)
     slow_start, detector = SlowStart(SETTINGS.contract, clock), OutlierDetector(FailureTracker(clock))
     table = EndpointTable(clock, Subset(1, 0), slow_start, detector)
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -1,4 +1,4 @@
-"""Each question on the way of a request is asked without an engine: admit, start, retry or hedge, give up."""
+"""Tests of the rules without an engine: admission, scheduling, retries, hedged requests and giving up."""
 
 from dataclasses import replace
 from random import Random
@@ -31,7 +31,7 @@
 
 @pytest.fixture
 def mechanisms() -> Mechanisms:
-    """The mechanisms of a gateway that knows two endpoints, at one second."""
+    """The mechanisms of a gateway that knows two endpoints, at a clock time of one second."""
     mechanisms = Mechanisms(SETTINGS, Random(1))
     mechanisms.clock.advance(1000.0)
     mechanisms.endpoints.update(EndpointUpdate(UpdateKind.SNAPSHOT, (Endpoint(1, "a"), Endpoint(2, "a"))))
@@ -68,36 +68,37 @@
     ]
 
 
-def test_admission_admits_at_once_then_with_a_delay_then_rejects_over_quota(admission):
+def test_admission_admits_without_then_with_a_delay_then_rejects_over_quota(admission):
     decisions = [admission.admit(make_request("metered", name=str(number))) for number in range(28)]
     delays_ms = [decision.delay_ms for decision in decisions[:9]]
-    assert delays_ms == [0.0] * 8 + [100.0]  # burst 8, rate 10 a second
+    assert delays_ms == [0.0] * 8 + [100.0]  # burst of 8 units, rate of 10 units per second
     assert decisions[-1] == Rejected(AnswerReason.OVER_QUOTA, retry_after_ms=None)
 
 
-def test_scheduler_starts_an_attempt_where_no_limit_holds_it_back(mechanisms, admission):
+def test_scheduler_starts_an_attempt_if_no_limit_is_reached(mechanisms, admission):
     decision = Scheduler(mechanisms).schedule(admit(admission))
     assert isinstance(decision, StartNow)
     assert decision.endpoint.id in (1, 2)
 
 
-def test_scheduler_waits_for_capacity_under_a_used_up_limit(mechanisms, admission):
+def test_scheduler_waits_for_capacity_if_the_concurrency_limit_is_used_up(mechanisms, admission):
     pending = admit(admission)
     mechanisms.concurrency.limit = 1.0
     mechanisms.concurrency.on_start("other", 0)
     assert Scheduler(mechanisms).schedule(pending) is WAIT_FOR_CAPACITY
 
 
-def test_scheduler_waits_until_the_ceiling_holds_the_units_and_gives_up_where_it_never_will(
+def test_scheduler_waits_until_the_ceiling_holds_the_units_and_gives_up_if_it_never_can(
     mechanisms, admission
 ):
     scheduler = Scheduler(mechanisms)
-    assert scheduler.schedule(admit(admission, plan="ceiling")) == Wait(100.0)  # 10 units a second, none yet
-    too_large = admit(admission, plan="ceiling", units=21.0)  # the ceiling holds 20
+    # The ceiling is empty and refills at 10 units per second.
+    assert scheduler.schedule(admit(admission, plan="ceiling")) == Wait(100.0)
+    too_large = admit(admission, plan="ceiling", units=21.0)  # the ceiling holds 20 units
     assert scheduler.schedule(too_large) == GiveUp(AnswerReason.NO_CAPACITY_IN_TIME)
 
 
-def test_failed_attempt_is_retried_at_an_endpoint_not_tried_yet_and_free_if_none_was_connected(
+def test_failed_attempt_is_retried_at_an_untried_endpoint_and_free_after_a_failed_connection(
     mechanisms, admission
 ):
     rules, pending = RetryRules(SETTINGS.limits, mechanisms), admit(admission)
@@ -106,13 +107,13 @@
     assert decision == Retry(mechanisms.endpoints.by_id[2], is_free=True)
     attempt = pending.end_attempt(start_attempt(mechanisms, pending, 2), AttemptStatus.ERROR)
     decision = rules.after_failure(pending, AttemptStatus.ERROR, attempt)
-    assert decision == GiveUp(AnswerReason.NO_FURTHER_ATTEMPT)  # both have been tried
+    assert decision == GiveUp(AnswerReason.NO_FURTHER_ATTEMPT)  # both endpoints have been tried
 
 
 @pytest.mark.parametrize(
     ("limits", "is_hedged"), [(HEDGING, True), (SETTINGS.limits, False)], ids=["hedged", "moved"]
 )
-def test_slow_attempt_is_hedged_or_moved_only_once_it_is_presumed_lost(
+def test_slow_attempt_is_hedged_or_cancelled_only_once_it_is_presumed_lost(
     mechanisms, admission, limits, is_hedged
 ):
     rules, pending = RetryRules(limits, mechanisms), admit(admission)
