--- a/quota_gateway/policy/slow_start.py
+++ b/quota_gateway/policy/slow_start.py
@@ -36,7 +36,7 @@
         Each warming endpoint is assigned a range of the draws from 0 to 1, as wide as its share of the
         capacity of all ready endpoints. The ranges follow each other from 0; the draws after the last range
         belong to no warming endpoint. A request may be sent to a warming endpoint only if its draw is in the
-        first part of the endpoint's range, see ``_open_share``.
+        first part of the endpoint's range, see ``_usable_range_share``.
 
         Args:
             draw: ``PendingRequest.random_draw``, so that the pick stays the same as endpoints warm up.
@@ -47,19 +47,19 @@
             The endpoint, or None if the draw is not in the first part of any range.
         """
         total_capacity = sum(self.capacity_share(endpoint) for endpoint in ready)
-        open_share = self._open_share(total_capacity, len(ready))
+        usable_share = self._usable_range_share(total_capacity, len(ready))
         range_start = 0.0
         for endpoint in warming:
             capacity_share = self.capacity_share(endpoint)
             if not endpoint.is_ready or capacity_share >= 1.0:
                 continue
             range_width = capacity_share / total_capacity
-            if 0.0 <= draw - range_start < open_share * range_width:
+            if 0.0 <= draw - range_start < usable_share * range_width:
                 return endpoint
             range_start += range_width
         return None
 
-    def _open_share(self, total_capacity: float, ready_count: int) -> float:
+    def _usable_range_share(self, total_capacity: float, ready_count: int) -> float:
         """Return the first part of a range, as a share of it, that fits its endpoint's overload budget."""
         load_factor = OVERLOAD_BUDGET_SHARE * self._rules.overload_factor
         return min(1.0, load_factor * total_capacity / ready_count)
