--- a/quota_gateway/policy/endpoints.py
+++ b/quota_gateway/policy/endpoints.py
@@ -111,7 +111,7 @@
         """Apply an update from discovery, then select the endpoints to use."""
         if event.kind in (UpdateKind.SNAPSHOT, UpdateKind.CACHED):
             listed = {endpoint.server for endpoint in event.endpoints}
-            self._remove(number for number in list(self.by_id) if number not in listed)
+            self._remove(endpoint_id for endpoint_id in list(self.by_id) if endpoint_id not in listed)
         for endpoint in event.endpoints:
             self._apply(endpoint)
         self.listed_count = event.listed or len(self.by_id)
@@ -135,9 +135,9 @@
         self._selector.on_membership_change()
         return state
 
-    def _remove(self, numbers: Iterable[int]) -> None:
-        for number in numbers:
-            state = self.by_id.pop(number, None)
+    def _remove(self, endpoint_ids: Iterable[int]) -> None:
+        for endpoint_id in endpoint_ids:
+            state = self.by_id.pop(endpoint_id, None)
             if state:
                 state.is_ready = False
                 self._selector.on_membership_change()
@@ -170,33 +170,33 @@
             if self._slow_start.capacity_share(replacement) < 1.0:
                 self.warming.append(replacement)
 
-    def detach(self, number: int, since_ms: float | None = None) -> bool:
+    def detach(self, endpoint_id: int, since_ms: float | None = None) -> bool:
         """Stop sending requests to an endpoint, which may be unknown so far.
 
         Args:
-            number: The endpoint's id.
+            endpoint_id: The endpoint's id.
             since_ms: Clock time of the detachment, from a restored state; None means now.
 
         Returns:
             Whether the endpoint was not detached before.
         """
-        is_new = number not in self.detached
+        is_new = endpoint_id not in self.detached
         if is_new or since_ms is not None:
-            self.detached[number] = self._clock.now_ms if since_ms is None else since_ms
-        self.attached.pop(number, None)
-        state = self.by_id.get(number)
+            self.detached[endpoint_id] = self._clock.now_ms if since_ms is None else since_ms
+        self.attached.pop(endpoint_id, None)
+        state = self.by_id.get(endpoint_id)
         if state:
             state.is_ready = False
         self.select()
         return is_new
 
-    def attach(self, number: int) -> bool:
+    def attach(self, endpoint_id: int) -> bool:
         """Use a detached endpoint again, as if it had just started; return whether it was detached."""
-        since_ms = self.detached.pop(number, None)
+        since_ms = self.detached.pop(endpoint_id, None)
         if since_ms is None:
             return False
-        self.attached[number] = DetachmentPeriod(since_ms, self._clock.now_ms)
-        state = self.by_id.get(number)
+        self.attached[endpoint_id] = DetachmentPeriod(since_ms, self._clock.now_ms)
+        state = self.by_id.get(endpoint_id)
         if state:
             state.reset()
             state.is_ready = state.is_listed
@@ -207,7 +207,7 @@
     def restore(self, records: dict[int, EndpointRecord], attached: dict[int, DetachmentPeriod]) -> None:
         """Restore the records of endpoints from the previous process, then select the endpoints to use."""
         self.attached.update(attached)
-        for number, state in self.by_id.items():
-            if number in records:
-                state.restore(records[number])
+        for endpoint_id, state in self.by_id.items():
+            if endpoint_id in records:
+                state.restore(records[endpoint_id])
         self.select()
