--- a/tests/model/test_snapshot.py
+++ b/tests/model/test_snapshot.py
@@ -25,20 +25,20 @@
 from tests.support.engine_harness import SETTINGS, EngineHarness, make_endpoint
 
 SNAPSHOTS = Path(__file__).parent.parent / "support" / "snapshots"
-RECORDED = SNAPSHOTS / "engine-state-4431b5a.json"
+RECORDED_BY_4431B5A = SNAPSHOTS / "engine-state-4431b5a.json"
 RECORDED_BY_4ABEC57 = SNAPSHOTS / "engine-state-4abec57.json"
 LATER_MS = 10_000.0  # clock time after all times in the recorded snapshot
 EARLY_MS = 100.0  # clock time before most times in the recorded snapshot
 
 
 def test_snapshot_of_4431b5a_is_read_and_written_without_a_change():
-    recorded = json.loads(RECORDED.read_text())
+    recorded = json.loads(RECORDED_BY_4431B5A.read_text())
     state = EngineState.from_json(recorded, SETTINGS, LATER_MS)
     assert json.dumps(state.to_json()) == json.dumps(recorded)
 
 
 def test_engine_restores_and_exports_the_snapshot_of_4431b5a_without_a_change():
-    recorded = json.loads(RECORDED.read_text())
+    recorded = json.loads(RECORDED_BY_4431B5A.read_text())
     harness = EngineHarness()
     harness.servers(make_endpoint(1), make_endpoint(2), make_endpoint(3, started_ms=900.0), make_endpoint(4))
     harness.run(LATER_MS)
@@ -50,7 +50,7 @@
 
 @pytest.mark.parametrize("key", ["customers", "servers", "marks", "sends", "pool", "retries", "started_at"])
 def test_snapshot_without_a_part_is_malformed_and_none_of_it_is_restored(key):
-    recorded = json.loads(RECORDED.read_text())
+    recorded = json.loads(RECORDED_BY_4431B5A.read_text())
     del recorded[key]
     harness = EngineHarness()
     with pytest.raises(StateError, match=key):
@@ -60,7 +60,7 @@
 
 
 def test_times_ahead_of_the_clock_are_read_as_now():
-    recorded = json.loads(RECORDED.read_text())
+    recorded = json.loads(RECORDED_BY_4431B5A.read_text())
     state = EngineState.from_json(recorded, SETTINGS, EARLY_MS)
     records = [*state.failures.values(), *(r for e in state.endpoints.values() for r in e.failures.values())]
     assert records
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -26,7 +26,7 @@
 from quota_gateway.policy.shutdown import ShutdownDeadline
 from tests.support.engine_harness import SETTINGS
 
-HEDGING = replace(SETTINGS.limits, may_duplicate=True)
+LIMITS_WITH_HEDGING = replace(SETTINGS.limits, may_duplicate=True)
 
 
 @pytest.fixture
@@ -111,7 +111,7 @@
 
 
 @pytest.mark.parametrize(
-    ("limits", "is_hedged"), [(HEDGING, True), (SETTINGS.limits, False)], ids=["hedged", "moved"]
+    ("limits", "is_hedged"), [(LIMITS_WITH_HEDGING, True), (SETTINGS.limits, False)], ids=["hedged", "moved"]
 )
 def test_slow_attempt_is_hedged_or_cancelled_only_once_it_is_presumed_lost(
     mechanisms, admission, limits, is_hedged
