--- a/quota_gateway/policy/admission.py
+++ b/quota_gateway/policy/admission.py
@@ -1,4 +1,7 @@
-"""Admission: decides whether a request is admitted, delayed or rejected: docs/decisions/admission.md."""
+"""Admission: decides whether a request is admitted, delayed or rejected.
+
+See docs/decisions/admission.md.
+"""
 
 from typing import NamedTuple
 
--- a/quota_gateway/policy/attempt_feedback.py
+++ b/quota_gateway/policy/attempt_feedback.py
@@ -32,7 +32,7 @@
         return number
 
     def on_slow_timer(self, pending: PendingRequest, number: int) -> None:
-        """Stop counting an attempt that has become slow under the concurrency limit."""
+        """Stop counting an attempt under the concurrency limit, as it has become slow."""
         self._concurrency.on_end(pending.request.request_id, number)
 
     def on_slow_attempt(self, pending: PendingRequest, endpoint: EndpointState) -> None:
--- a/quota_gateway/policy/give_up.py
+++ b/quota_gateway/policy/give_up.py
@@ -1,4 +1,7 @@
-"""Giving up: when an admitted request is answered without being served: docs/decisions/engine.md."""
+"""Giving up: decides when an admitted request is answered without being served.
+
+See docs/decisions/engine.md.
+"""
 
 from typing import NamedTuple
 
--- a/quota_gateway/policy/latency.py
+++ b/quota_gateway/policy/latency.py
@@ -46,7 +46,7 @@
         return self._clock.now_ms - started_ms >= ATTEMPT_LOST_AFTER_MEAN_LATENCIES * self.mean_ms(pending)
 
     def record(self, pending: PendingRequest, endpoint: EndpointState, latency_ms: float) -> None:
-        """Record a successful response in the mean of its class and size and in the relative latency."""
+        """Update the mean of class and size and the endpoint's relative latency by a successful response."""
         mean_ms = self._update_mean(pending, latency_ms)
         relative_latency = current_relative_latency(endpoint, self._clock)
         deviation = latency_ms / mean_ms - relative_latency
--- a/quota_gateway/policy/leaky_bucket.py
+++ b/quota_gateway/policy/leaky_bucket.py
@@ -12,7 +12,7 @@
 
 # A request is delayed if the excess is above one burst, and rejected if it is above this many bursts.
 MAX_EXCESS_BURSTS = 2.0
-MAX_PRIORITY_BURST_INCREASE_SHARE = 0.25  # share of the burst, approached as the weight grows
+MAX_PRIORITY_BURST_INCREASE_SHARE = 0.25  # share of the burst, approached as the priority weight grows
 LOWEST_PRIORITY_MAX_DELAY_OBJECTIVE_SHARE = 0.1  # share of the shortest latency objective
 # This many requests may arrive together by chance. Full headroom adds as many bursts.
 HEADROOM_BURST_REQUESTS = 2.0
--- a/quota_gateway/policy/retries.py
+++ b/quota_gateway/policy/retries.py
@@ -1,4 +1,7 @@
-"""Retries: decides what follows a failed or a slow attempt: docs/decisions/retries.md."""
+"""Retries: decides what follows a failed or a slow attempt.
+
+See docs/decisions/retries.md.
+"""
 
 from enum import Enum, auto
 from typing import NamedTuple
--- a/quota_gateway/policy/subset.py
+++ b/quota_gateway/policy/subset.py
@@ -1,4 +1,7 @@
-"""Deterministic subsetting: the part of the listed servers that a gateway uses: docs/decisions/subset.md."""
+"""Deterministic subsetting: the part of the listed servers that a gateway uses.
+
+See docs/decisions/subset.md.
+"""
 
 from __future__ import annotations
 
