--- a/tests/policy/test_answer_reasons.py
+++ b/tests/policy/test_answer_reasons.py
@@ -11,7 +11,7 @@
 from tests.support.source_index import ROOT, defined_names, source_files
 
 REASON_ROW = re.compile(
-    r"^\| `(?P<label>[a-z_]+)` \| `(?P<place>[^`]+)` \| (?P<inputs>[^|]+) \| (?P<next>[^|]+) \|$"
+    r"^\| `(?P<label>[a-z_]+)` \| `(?P<function>[^`]+)` \| (?P<inputs>[^|]+) \| (?P<next>[^|]+) \|$"
 )
 TABLE_HEADER = "| reason | function that decides | inputs | what to look at next |"
 GIVEN_REASONS = [reason for reason in AnswerReason if reason is not AnswerReason.UNSPECIFIED]
@@ -20,7 +20,7 @@
 class ReasonRow(NamedTuple):
     """A row of the table: the function that gives the reason, its inputs, and what to look at next."""
 
-    place: str
+    function: str
     inputs: str
     next_step: str
 
@@ -35,7 +35,7 @@
         match = REASON_ROW.match(line)
         assert match, f"malformed row in the table of reasons: {line}"
         assert match["label"] not in rows, f"duplicate row of the reason {match['label']}"
-        rows[match["label"]] = ReasonRow(match["place"], match["inputs"], match["next"])
+        rows[match["label"]] = ReasonRow(match["function"], match["inputs"], match["next"])
     return rows
 
 
@@ -63,9 +63,9 @@
 @pytest.mark.parametrize("reason", GIVEN_REASONS, ids=lambda reason: reason.value)
 def test_reason_has_a_row_and_is_used_only_by_the_function_that_the_row_names(reason):
     row = read_table()[reason.value]
-    path, _, name = row.place.partition(":")
+    path, _, name = row.function.partition(":")
     assert name in defined_names(Path(ROOT / path))
-    assert references_by_reason()[reason.name] == [row.place]
+    assert references_by_reason()[reason.name] == [row.function]
 
 
 def test_table_has_rows_for_no_other_reasons():
