--- a/quota_gateway/net/upstream/attempt.py
+++ b/quota_gateway/net/upstream/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at a command: its payload, its callbacks and its outcome. It knows no socket."""
+"""One attempt at a command: its payload, callbacks and outcome, independent of any socket."""
 
 from __future__ import annotations
 
@@ -7,18 +7,19 @@
 
 from quota_gateway.model import AttemptStatus
 
-BodyConsumer = Callable[[bytes], None]  # takes the bytes of a large value, piece by piece
+# A body consumer takes the bytes of a large value, piece by piece.
+BodyConsumer = Callable[[bytes], None]
 
 
 class UpstreamReply(NamedTuple):
     """The outcome of an attempt.
 
     Attributes:
-        status: How it ended.
-        value: The value of a good reply, empty for one that was streamed in pieces.
-        usage_percent: The customer's metered use over all gateways, in percent of its rate.
-        final_units: The units that the request took.
-        load: A figure for each of ``Settings.load_report_fields``.
+        status: How the attempt ended.
+        value: The value of a good reply; empty if the value was streamed in pieces.
+        usage_percent: The customer's metered use over all gateways, as a percentage of its rate.
+        final_units: The number of units that the request took.
+        load: The load report, with a number for each of ``Settings.load_report_fields``.
     """
 
     status: AttemptStatus
@@ -29,28 +30,28 @@
 
 
 class AttemptConnection(Protocol):
-    """The connection that carries an attempt, as far as those who hold the attempt need it."""
+    """The part of a connection's interface that the holders of its attempt use."""
 
     @property
     def fully_sent(self) -> bool:
-        """Whether the kernel has the attempt's last byte."""
+        """Whether the kernel has the last byte of the attempt."""
 
     @property
     def is_established(self) -> bool:
         """Whether the connection is established."""
 
     def pause(self, pause: bool) -> None:
-        """Read no more for now, or go on."""
+        """Pause reading from the connection, or resume it."""
 
     def close(self, status: AttemptStatus) -> None:
-        """Close at once; the attempt ends with this status."""
+        """Close the connection at once; its attempt ends with this status."""
 
 
 def discard_piece(piece: bytes) -> None:
-    """Consume a piece of a value that nobody wants."""
+    """Discard a piece of a value that is not wanted."""
 
 
-def _discard_body(length: int) -> BodyConsumer:  # noqa: ARG001 (stands in for ``Attempt.on_body_started``)
+def _discard_body(length: int) -> BodyConsumer:  # noqa: ARG001 (the signature of ``Attempt.on_body_started``)
     return discard_piece
 
 
@@ -67,16 +68,18 @@
 
 
 class Attempt:
-    """A command on its way to a server.
+    """One attempt to run a command on a server.
 
     Args:
-        payload: The command's bytes.
+        payload: The bytes of the command.
         on_done: Called once, with the outcome.
-        on_body_started: Called with the length of a large value as its first bytes come; returns the
-            consumer of its pieces. Such a value is not buffered, the outcome's value is empty then.
-        encode_again: Encodes the command again for a new connection, as the remaining timeout has changed.
-        refusal_to_send: Asked before the first and the last bytes go: None, or how the attempt ends instead.
-        on_sent: Called when the last byte has gone to the kernel.
+        on_body_started: Called with the length of a large value when its first bytes arrive; returns the
+            consumer of its pieces. Such a value is not buffered, and the value of the outcome is then empty.
+        encode_again: Encodes the command again once a new connection is established, as the remaining
+            timeout has changed.
+        refusal_to_send: Called before the first and before the last bytes are sent; returns None, or the
+            status with which the attempt ends instead.
+        on_sent: Called when the kernel has the last byte.
     """
 
     __slots__ = (
@@ -107,18 +110,20 @@
         self.refusal_to_send = refusal_to_send
         self.on_sent = on_sent
         self.connection: AttemptConnection | None = None
-        self.body_consumer: BodyConsumer | None = None  # once a large value has begun
-        self.on_deadline: Callable[[], bool] = _not_timed  # whether a value that has begun fails then
+        self.body_consumer: BodyConsumer | None = None  # the consumer of a large value that has begun
+        # Called at the deadline if a large value has begun; returns whether the attempt times out.
+        self.on_deadline: Callable[[], bool] = _not_timed
 
     def pause(self, pause: bool) -> None:
-        """Read no more of the value for now, or go on."""
+        """Pause reading the value from the connection, or resume it."""
         if self.connection:
             self.connection.pause(pause)
 
     def finish(self, reply: UpstreamReply) -> None:
-        """Report the outcome, the first only, and drop the command and all callbacks.
+        """Report the outcome, on the first call only, and release the command and all callbacks.
 
-        The timer of an attempt holds it until it is due; see docs/decisions/upstream-attempts.md.
+        The attempt's timer refers to the attempt until the timer is due; see
+        docs/decisions/upstream-attempts.md.
         """
         on_done = self.on_done
         self.on_done = None
--- a/quota_gateway/net/upstream/command_writer.py
+++ b/quota_gateway/net/upstream/command_writer.py
@@ -1,4 +1,4 @@
-"""Writes the command of an attempt, the end of a long one only while the client still waits."""
+"""Writes the command of an attempt. The end of a long command is written only if the client still waits."""
 
 from __future__ import annotations
 
@@ -8,19 +8,24 @@
 from quota_gateway.model import AttemptStatus
 from quota_gateway.net.upstream.attempt import Attempt
 
-MAX_WHOLE_WRITE_BYTES = 16 * 1024  # of a command that the kernel takes at once, as nothing else waits there
-WITHHELD_BYTES = 2  # of a longer command's end: without its CR LF a server does not run it
+# A command up to this length is written whole: the kernel takes it at once, as nothing else is queued.
+MAX_WHOLE_WRITE_BYTES = 16 * 1024
+WITHHELD_BYTES = 2  # The final CR LF of a longer command is withheld: a server does not run it without.
 
 
 class CommandWriter:
     """Writes one command at a time on a connection.
 
-    The last byte starts an attempt, and it must not go out for a client that has left; see
-    docs/decisions/upstream-attempts.md. The transport has to report an empty buffer (a limit of 0).
+    The server runs a command once it has the last byte, which must not be sent for a client that has left;
+    see docs/decisions/upstream-attempts.md. The write buffer limit of the transport has to be 0 so that the
+    transport reports an empty buffer.
 
     Args:
-        transport: Of the connection, established.
-        close: Closes the connection with the status of its attempt.
+        transport: The transport of the established connection.
+        close: Closes the connection; its attempt ends with the given status.
+
+    Attributes:
+        fully_sent: Whether the kernel has the last byte of the attempt.
     """
 
     __slots__ = ("_attempt", "_close", "_transport", "_withheld", "fully_sent")
@@ -29,11 +34,11 @@
         self._transport = transport
         self._close = close
         self._attempt: Attempt | None = None
-        self._withheld = b""  # end of the command, not written until the kernel has the rest
-        self.fully_sent = False  # whether the kernel has the attempt's last byte
+        self._withheld = b""  # the end of a long command, not written until the kernel has the rest
+        self.fully_sent = False
 
     def write(self, attempt: Attempt, payload: bytes) -> None:
-        """Write a command; the end of one that the kernel may not take at once only once it has the rest."""
+        """Write a command. The end of a long command is withheld until the kernel has the rest."""
         self._attempt = attempt
         self.fully_sent = False
         if len(payload) <= MAX_WHOLE_WRITE_BYTES:
@@ -45,19 +50,22 @@
         self.on_buffer_empty()
 
     def on_buffer_empty(self) -> None:
-        """Go on once the kernel has all that was written; a write that failed leaves nothing either."""
+        """Continue once the kernel has all that was written.
+
+        A failed write leaves the buffer empty too, so the transport has to be open as well.
+        """
         if self._is_open() and self._transport.get_write_buffer_size() == 0:
             self._on_written()
 
     def on_attempt_ended(self) -> None:
-        """Write nothing more for the attempt."""
+        """Stop writing for the attempt, as it has ended."""
         self._attempt = None
 
     def _is_open(self) -> bool:
         return not self._transport.is_closing()
 
     def _on_written(self) -> None:
-        """Write what was withheld, if the client still waits, or note that the command is fully sent."""
+        """Write the withheld end if the client still waits, or record that the command is fully sent."""
         withheld = self._withheld
         self._withheld = b""
         if not withheld:
--- a/quota_gateway/net/upstream/connection.py
+++ b/quota_gateway/net/upstream/connection.py
@@ -1,7 +1,7 @@
 """One connection to a server, with at most one attempt on it at a time.
 
 The outcome of an attempt follows PROTOCOL's table: an attempt whose last byte was not handed to the kernel
-never ran, one whose last byte was may have run, however it ended.
+never ran. If the last byte was handed to the kernel, the attempt may have run, however it ended.
 """
 
 from __future__ import annotations
@@ -24,12 +24,13 @@
 
 log = logging.getLogger(__name__)
 
-RECEIVE_BUFFER_BYTES = 32 * 1024  # of the kernel, about: what is read at once of a large value
-LOGGED_REPLY_BYTES = 60  # of a malformed reply
+# The size of the kernel's receive buffer is about the size of a piece of a large value that is read at once.
+RECEIVE_BUFFER_BYTES = 32 * 1024
+LOGGED_REPLY_BYTES = 60  # the maximum length of a malformed reply in the log
 
 
 class ConnectionOwner(Protocol):
-    """The pool that a connection belongs to, as far as the connection needs it."""
+    """The part of the upstream pool's interface that its connections use."""
 
     loop: asyncio.AbstractEventLoop
     connect_timeout_s: float
@@ -37,20 +38,24 @@
     telemetry: Telemetry
 
     def count_buffered(self, change_bytes: int) -> None:
-        """Count bytes buffered for a reply; raises ProtocolError where there are too many."""
+        """Add a change to the number of bytes buffered for replies.
+
+        Raises:
+            ProtocolError: Too many bytes are buffered.
+        """
 
     def release(self, connection: UpstreamConnection) -> None:
-        """Keep the connection of an attempt that has ended with a reply, or close it."""
+        """Keep a connection for reuse after its attempt has ended with a reply, or close it."""
 
     def on_closing(self, connection: UpstreamConnection) -> None:
         """Forget a connection that is closing; its descriptor is still open."""
 
     def on_descriptor_closed(self) -> None:
-        """Count the descriptor of a connection as closed; it is as the loop goes on."""
+        """Count the descriptor of a connection as closed; it is closed by the time the loop continues."""
 
 
 class UpstreamConnection(asyncio.Protocol):
-    """One connection to a server."""
+    """One connection to a server, with at most one attempt on it at a time."""
 
     def __init__(self, owner: ConnectionOwner, host: UpstreamHost, attempt: Attempt) -> None:
         self.owner = owner
@@ -63,18 +68,18 @@
         self.task: asyncio.Task[None] | None = None
         self.idle_since_s = 0.0
         self.paused = False
-        self._writer: CommandWriter | None = None  # once established
+        self._writer: CommandWriter | None = None  # the writer of an established connection
         self._receiver = ReplyReceiver(owner.reply_parser, owner.count_buffered, owner.loop.time)
         attempt.connection = self
 
     @property
     def is_established(self) -> bool:
-        """Whether the connection is established, or was."""
+        """Whether the connection is or was established."""
         return self.transport is not None
 
     @property
     def closed(self) -> bool:
-        """Whether it is closed, or about to be."""
+        """Whether the connection is closed, or about to be."""
         return self.state is ConnectionState.CLOSED
 
     @property
@@ -90,7 +95,7 @@
     # ---- Connecting
 
     async def open(self) -> None:
-        """Connect within the timeout of the settings, then send the attempt that asked for it."""
+        """Connect within the configured timeout; ``connection_made`` then sends the attempt."""
         sock = None
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -101,34 +106,35 @@
                 await self.owner.loop.sock_connect(sock, self.host.address)
             self.socket = sock
             await self.owner.loop.create_connection(lambda: self, sock=sock)
-        except (OSError, TimeoutError):  # out of descriptors is an OSError too: an outcome, not a crash
+        except (OSError, TimeoutError):
+            # Running out of descriptors is an OSError too: it ends the attempt, not the gateway.
             self.close(AttemptStatus.CONNECT_FAILED)
         finally:
             if sock and self.socket is None:
                 sock.close()
 
     def on_open_ended(self, _task: asyncio.Task[None]) -> None:
-        """Count the descriptor as closed where ``open`` has ended, or never began, without a transport."""
+        """Count the descriptor as closed if ``open`` ended without a transport, or never began."""
         if self.transport is None:
             self.owner.on_descriptor_closed()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Send the attempt, unless its server or its client has gone meanwhile."""
-        # uvloop's transports are not asyncio.Transport by class: no isinstance here
+        """Send the attempt, unless its server or its client has gone in the meantime."""
+        # uvloop's transports do not inherit from asyncio.Transport, so an isinstance check would fail.
         self.transport = cast(asyncio.Transport, transport)
-        # With a limit of 0 the loop calls resume_writing when the last byte has gone to the kernel.
+        # With a limit of 0 the loop calls resume_writing when the kernel has the last byte.
         self.transport.set_write_buffer_limits(0)
         self._writer = CommandWriter(self.transport, self.close)
         attempt = self.attempt
         if self.closed or attempt is None:
             self.transport.abort()
         elif self.epoch != self.host.epoch or not self.host.is_ready:
-            self.close(AttemptStatus.CONNECT_FAILED)  # no first byte to a server that is draining or gone
+            self.close(AttemptStatus.CONNECT_FAILED)  # A server that is draining or gone gets no first byte.
         else:
             payload = attempt.encode_again() if attempt.encode_again else attempt.payload
             refusal = attempt.refusal_to_send()
             if refusal:
-                self.close(refusal)  # the client has left, its end may not have been handled yet
+                self.close(refusal)  # The client has left; its disconnect may not have been handled yet.
             else:
                 self._write(attempt, payload)
 
@@ -149,22 +155,22 @@
             self.close(AttemptStatus.CONNECT_FAILED)
 
     def _is_host_ready(self) -> bool:
-        """Whether the first byte may go; a host that is not ready was refused before."""
+        """Whether the first byte may be sent; callers have already rejected hosts that are not ready."""
         check = self.owner.telemetry.invariants.check
         return self.host.is_ready or check(Invariant.NO_SEND_TO_UNREADY, False, repr(self.host.address))
 
     def resume_writing(self) -> None:
-        """Go on writing: the kernel has all that was written, unless the connection has broken."""
+        """Continue writing: the kernel has all that was written, or the connection is broken."""
         if self._writer:
             self._writer.on_buffer_empty()
 
     # ---- Receiving
 
     def data_received(self, data: bytes) -> None:
-        """Take a reply, or a part of one; it is judged before the connection is used again.
+        """Read a reply, or a part of one; a complete reply is checked before the connection is reused.
 
-        A connection with a malformed reply, or with bytes behind a reply or out of turn, is closed: those
-        bytes would be taken for the reply to a later request. See docs/decisions/upstream-replies.md.
+        A malformed reply, bytes after a reply and bytes without an attempt in flight close the connection:
+        such bytes would be taken for the reply to a later request. See docs/decisions/upstream-replies.md.
         """
         if self.closed:
             return
@@ -176,7 +182,7 @@
             reply = self._receiver.feed(data, attempt)
         except ProtocolError as error:
             log.warning("upstream reply malformed data=%.60r reason=%s", data[:LOGGED_REPLY_BYTES], error)
-            self.close(AttemptStatus.ERROR)  # it may have run
+            self.close(AttemptStatus.ERROR)  # The attempt may have run.
             return
         if reply:
             self._on_reply(attempt, reply)
@@ -190,12 +196,12 @@
         attempt.finish(reply)
 
     def set_idle(self, now_s: float) -> None:
-        """Wait for another attempt, since this time of the loop."""
+        """Mark the connection as idle since ``now_s``, in loop time, and available for another attempt."""
         self._enter(ConnectionState.IDLE)
         self.idle_since_s = now_s
 
     def pause(self, pause: bool) -> None:
-        """Read no more for now, or go on: backpressure from a client slower than the server."""
+        """Pause reading, or resume it: backpressure from a client that is slower than the server."""
         if self.transport is None or self.closed or pause == self.paused:
             return
         self.paused = pause
@@ -206,16 +212,16 @@
             self.transport.resume_reading()
 
     def is_stalled(self, before_s: float) -> bool:
-        """Whether nothing of a large value that has begun was received since this time of the loop."""
+        """Whether no byte of a large value that has begun was received since ``before_s``, in loop time."""
         attempt = self.attempt
         if attempt is None or attempt.body_consumer is None or self.paused:
             return False
         return self._receiver.last_progress_s < before_s
 
     def is_alive(self) -> bool:
-        """Whether the server has neither closed it nor written out of turn while it was idle.
+        """Whether the server has neither closed the idle connection nor sent unsolicited bytes on it.
 
-        The kernel is asked, as the loop may not have read the end yet; see
+        The socket is read directly, as the loop may not have seen the end of the connection yet; see
         docs/decisions/upstream-connections.md.
         """
         assert self.socket is not None
@@ -232,9 +238,9 @@
     # ---- Closing
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 (asyncio's signature)
-        """Close: the connection has ended, and the loop closes its descriptor as this returns.
+        """Handle the end of the connection; the loop closes its descriptor when this method returns.
 
-        The socket detaches its descriptor so that it is not closed twice; see
+        The socket object gives up its descriptor so that it is not closed twice; see
         docs/decisions/upstream-connections.md.
         """
         if self.socket:
@@ -243,10 +249,10 @@
         self.owner.on_descriptor_closed()
 
     def close(self, status: AttemptStatus) -> None:
-        """Close at once; the attempt on it, if any, ends with this status.
+        """Close the connection at once; its attempt, if any, ends with this status.
 
-        The socket is shut down before the outcome is reported, so that a retry, which the outcome may bring
-        about, never finds this attempt still in flight.
+        The socket is shut down before the outcome is reported. The outcome may lead to a retry, which must
+        not find this attempt still in flight.
         """
         attempt = self._end_attempt()
         if not self.closed:
--- a/quota_gateway/net/upstream/host.py
+++ b/quota_gateway/net/upstream/host.py
@@ -10,22 +10,31 @@
 
 
 class HostConnection(Protocol):
-    """A connection to a host, as far as the host needs it while the connection is idle."""
+    """The part of a connection's interface that its host uses while the connection is idle."""
 
     idle_since_s: float
 
     def is_alive(self) -> bool:
-        """Whether the server has neither closed it nor written on it while it was idle."""
+        """Whether the server has neither closed the idle connection nor sent bytes on it."""
 
     def send(self, attempt: Attempt) -> None:
-        """Send an attempt."""
+        """Send an attempt on the connection."""
 
     def close(self, status: AttemptStatus) -> None:
-        """Close at once."""
+        """Close the connection at once."""
 
 
 class UpstreamHost:
-    """A server as discovery last described it. Each change that makes old connections useless is an epoch."""
+    """A server as discovery last described it.
+
+    Each change that makes existing connections unusable starts a new epoch.
+
+    Attributes:
+        epoch: The number of the current epoch.
+        listed: Whether discovery lists the server as ready.
+        detached: Whether operators have detached the server.
+        idle: The idle connections, the most recently used one last.
+    """
 
     __slots__ = ("address", "cell", "detached", "epoch", "idle", "listed", "started_ms", "zone")
 
@@ -35,19 +44,19 @@
         self.zone = ""
         self.cell = 0
         self.epoch = 0
-        self.listed = False  # as ready, by discovery
-        self.detached = False  # by operators
-        self.idle: list[HostConnection] = []  # the most recently used last
+        self.listed = False
+        self.detached = False
+        self.idle: list[HostConnection] = []
 
     @property
     def is_ready(self) -> bool:
-        """Whether anything may go there."""
+        """Whether attempts may be sent to the server."""
         return self.listed and not self.detached
 
     def update(self, endpoint: Endpoint, address: Address, detached: bool) -> None:
-        """Take over what discovery says; connections that it makes useless are closed.
+        """Apply discovery's description of the server, and close connections that it makes unusable.
 
-        A server that restarted, or whose address was replaced, is another server to its old connections.
+        Old connections are unusable after a restart of the server or a change of its address.
         """
         unchanged = self.address == address and self.started_ms == endpoint.started_ms
         self.address = address
@@ -60,7 +69,7 @@
             self.start_epoch()
 
     def start_epoch(self) -> None:
-        """Close the idle connections; those with an attempt in flight are not kept after it."""
+        """Close the idle connections; one with an attempt in flight is not reused after the attempt."""
         self.epoch += 1
         self.close_idle()
 
@@ -70,14 +79,15 @@
             connection.close(AttemptStatus.RESET)
 
     def close_idle_since(self, before_s: float) -> None:
-        """Close the connections that have been idle since before a time of the loop."""
+        """Close the connections that have been idle since before ``before_s``, in loop time."""
         for connection in [c for c in self.idle if c.idle_since_s < before_s]:
             connection.close(AttemptStatus.RESET)
 
     def take_idle(self, latest_s: float) -> HostConnection | None:
-        """Take the most recently used connection that is alive and idle since ``latest_s`` or earlier.
+        """Remove and return the most recently used connection that is alive; None if there is none.
 
-        Connections that turn out to have ended are closed.
+        It has to be idle since ``latest_s`` or earlier, in loop time. Connections that turn out to have ended
+        are closed.
         """
         for connection in reversed(list(self.idle)):
             if connection.idle_since_s > latest_s:
--- a/quota_gateway/net/upstream/host_table.py
+++ b/quota_gateway/net/upstream/host_table.py
@@ -1,4 +1,4 @@
-"""The servers of discovery's list, by number, with those that operators detached."""
+"""The servers that discovery lists, by number, and those that operators have detached."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 
 class HostTable:
-    """The hosts that the gateway has connections to; each change closes the connections it makes useless."""
+    """The host of each listed server. A change closes the connections that it makes unusable."""
 
     __slots__ = ("_detached", "by_server")
 
     def __init__(self) -> None:
         self.by_server: dict[int, UpstreamHost] = {}
-        self._detached: set[int] = set()  # by operators, also those that no list names now
+        self._detached: set[int] = set()  # servers that operators have detached, listed or not
 
     def update(self, update: EndpointUpdate, addresses: Mapping[int, Address]) -> None:
-        """Take over an endpoint update.
+        """Apply an endpoint update.
 
         Args:
-            update: A snapshot names all hosts, a delta those that changed.
-            addresses: Of all endpoints in it, by their numbers.
+            update: A snapshot, which names all hosts, or a delta, which names those that changed.
+            addresses: The addresses of all endpoints in the update, by number.
         """
         if update.kind is not UpdateKind.DELTA:
             listed = {endpoint.server for endpoint in update.endpoints}
@@ -44,7 +44,7 @@
             host.start_epoch()
 
     def set_detached(self, server: int, detached: bool) -> UpstreamHost | None:
-        """Detach or attach a server; return its host, if it is listed."""
+        """Detach or attach a server; return its host, or None if it is not listed."""
         if detached:
             self._detached.add(server)
         else:
@@ -57,12 +57,12 @@
         return host
 
     def longest_idle(self) -> HostConnection | None:
-        """Return the connection that has been idle longest, over all hosts."""
+        """Return the connection that has been idle longest, of all hosts; None if no connection is idle."""
         longest_of_each = [host.idle[0] for host in self.by_server.values() if host.idle]
         return min(longest_of_each, key=lambda connection: connection.idle_since_s, default=None)
 
     def close_idle_since(self, before_s: float) -> None:
-        """Close the connections that have been idle since before a time of the loop."""
+        """Close the connections that have been idle since before ``before_s``, in loop time."""
         for host in self.by_server.values():
             host.close_idle_since(before_s)
 
--- a/quota_gateway/net/upstream/pool.py
+++ b/quota_gateway/net/upstream/pool.py
@@ -1,4 +1,4 @@
-"""The upstream pool: attempts on connections to the servers of discovery's list, within limits."""
+"""The upstream pool: sends attempts on a limited number of connections to the listed servers."""
 
 from __future__ import annotations
 
@@ -20,20 +20,23 @@
 
 __all__ = ["Attempt", "UpstreamConnection", "UpstreamPool", "UpstreamReply"]
 
-IDLE_LIMIT_SHARE = 0.4  # of the servers' idle limit: connections are retired well before servers close them
-REUSE_DELAY_S = 0.012  # after a reply: bytes that come right behind it have shown by then
-SWEEP_INTERVAL_S = 1.0  # between two looks at idle and stalled connections: short against both limits
-STALL_TIMEOUT_S = 10.0  # without a byte of a large value that has begun
+# Idle connections are closed at this share of the servers' idle limit, well before servers close them.
+IDLE_LIMIT_SHARE = 0.4
+# A connection is not reused sooner after a reply: surplus bytes right after the reply have arrived by then.
+REUSE_DELAY_S = 0.012
+SWEEP_INTERVAL_S = 1.0  # The interval between sweeps is short compared to the idle and the stall limit.
+STALL_TIMEOUT_S = 10.0  # the longest time without a byte of a large value that has begun
 
 
 class UpstreamPool:
-    """All connections to the servers of discovery's list, bounded over all of them.
+    """All connections to the servers that discovery lists, with limits over all of them.
 
     Args:
         settings: The gateway's settings.
-        max_connections: Connections, and descriptors, at a time, those of the peer process included.
-        max_buffered_bytes: Bytes of replies that are not complete yet, over all connections.
-        telemetry: Of the process.
+        max_connections: The maximum number of connections, and of descriptors, at a time, those of the peer
+            process included.
+        max_buffered_bytes: The maximum number of bytes buffered for incomplete replies, over all connections.
+        telemetry: The telemetry of the process.
     """
 
     def __init__(
@@ -49,7 +52,7 @@
         self.idle_limit_s = settings.limits.connection_idle_ms / MS_PER_S * IDLE_LIMIT_SHARE
         self.reply_parser = ReplyParser(settings.load_report_fields, settings.max_request_units)
         self.max_buffered_bytes = max_buffered_bytes
-        self.buffered_bytes = 0  # of replies that are not complete yet
+        self.buffered_bytes = 0  # bytes of incomplete replies, over all connections
         self.limiter = ConnectionLimiter(max_connections)
         self.connections = self.limiter.connections
         self._host_table = HostTable()
@@ -59,13 +62,13 @@
     # ---- Servers
 
     def update(self, update: EndpointUpdate, addresses: Mapping[int, Address]) -> None:
-        """Take over an endpoint update; connections that it makes useless are closed."""
+        """Apply an endpoint update, and close connections that it makes unusable."""
         self._host_table.update(update, addresses)
 
     def set_detached(self, server: int, detached: bool) -> None:
         """Detach a server, or attach it again.
 
-        A detached server gets no new attempts, nor those on connections that are still connecting.
+        A detached server gets neither new attempts nor those whose connections are not established yet.
         """
         host = self._host_table.set_detached(server, detached)
         if host is None or not detached:
@@ -76,7 +79,10 @@
     # ---- Attempts
 
     def start(self, server: int, attempt: Attempt) -> None:
-        """Send on the most recently used connection, or on a new one; nothing where nobody waits any more."""
+        """Send an attempt on the most recently used idle connection, or on a new one.
+
+        The attempt ends unsent if its server is not ready, or if its ``refusal_to_send`` returns a status.
+        """
         host = self.hosts.get(server)
         if host is None or not host.is_ready:
             attempt.finish(UpstreamReply(AttemptStatus.CONNECT_FAILED))
@@ -92,13 +98,16 @@
             self._connect(host, attempt)
 
     def stop(self, attempt: Attempt, status: AttemptStatus) -> None:
-        """Stop waiting: the connection is closed, then the outcome reported. One not up yet never ran."""
+        """Stop an attempt: close its connection, then report its outcome.
+
+        An attempt whose connection is not established yet never ran, and ends with CONNECT_FAILED.
+        """
         connection = attempt.connection
         if attempt.on_done and connection:
             connection.close(status if connection.is_established else AttemptStatus.CONNECT_FAILED)
 
     def cancel_unsent(self, attempt: Attempt) -> None:
-        """Stop an attempt that is not fully sent, and so never ran; any other one goes on."""
+        """Stop an attempt that is not fully sent, and so never ran; a fully sent attempt goes on."""
         connection = attempt.connection
         if attempt.on_done and connection and not connection.fully_sent:
             connection.close(AttemptStatus.NOT_SENT)
@@ -112,16 +121,17 @@
         self.limiter.add(UpstreamConnection(self, host, attempt))
 
     def _evict(self) -> bool:
-        """Close the connection that has been idle longest, if any, to stay within the limit."""
+        """Close the connection that has been idle longest, to make room; return whether there was one."""
         longest_idle = self._host_table.longest_idle()
         if longest_idle:
             longest_idle.close(AttemptStatus.RESET)
         return longest_idle is not None
 
     def release(self, connection: UpstreamConnection) -> None:
-        """Keep the connection of an attempt that has ended with a reply, unless its server changed meanwhile.
+        """Keep a connection for reuse after its attempt has ended with a reply, or close it.
 
-        Nor is it kept where the reply came before the command was fully sent: the rest would still follow.
+        It is closed if its server has changed in the meantime, or if the reply came before the command was
+        fully sent: the rest of the command would still follow.
         """
         if connection.closed or connection.epoch != connection.host.epoch or not connection.fully_sent:
             connection.close(AttemptStatus.RESET)
@@ -131,18 +141,18 @@
         connection.host.idle.append(connection)
 
     def count_buffered(self, change_bytes: int) -> None:
-        """Count bytes buffered for a reply.
+        """Add a change to the number of bytes buffered for replies.
 
         Raises:
-            ProtocolError: All replies together would outgrow the memory there is for them.
+            ProtocolError: All incomplete replies together exceed ``max_buffered_bytes``.
         """
         self.buffered_bytes += change_bytes
         if change_bytes > 0 and self.buffered_bytes > self.max_buffered_bytes:
-            raise ProtocolError("more replies than there is memory for")
+            raise ProtocolError("buffered replies exceed the memory limit")
 
     @property
     def descriptors_in_use(self) -> int:
-        """Descriptors of connections, counted from before they are opened until they are closed."""
+        """The number of descriptors of connections, from before they are opened until they are closed."""
         return self.limiter.descriptors_in_use
 
     def on_closing(self, connection: UpstreamConnection) -> None:
@@ -152,19 +162,19 @@
         self.limiter.remove(connection)
 
     def on_descriptor_closed(self) -> None:
-        """Count the descriptor of a connection as closed; it is as the loop goes on."""
+        """Count the descriptor of a connection as closed; it is closed by the time the loop continues."""
         self.limiter.on_descriptor_closed()
 
     # ---- Closing
 
     def _sweep(self) -> None:
-        """Close idle connections well before their servers do, and stalled ones."""
+        """Close stalled connections, and idle ones well before their servers do."""
         self._sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         self._host_table.close_idle_since(self.loop.time() - self.idle_limit_s)
         stalled_before_s = self.loop.time() - STALL_TIMEOUT_S
         for connection in [c for c in self.connections if c.is_stalled(stalled_before_s)]:
             connection.close(AttemptStatus.RESET)
-        self.limiter.open_waiting()  # the peer process may have closed some of its own
+        self.limiter.open_waiting()  # The peer process may have closed some of its connections.
 
     def close_idle(self, server: int) -> None:
         """Close the idle connections to a server."""
@@ -173,11 +183,11 @@
             host.close_idle()
 
     def close_all_idle(self) -> None:
-        """Close every idle connection: the next process serves now, and the limits are over both."""
+        """Close every idle connection: the next process serves now, and the limits cover both processes."""
         self._host_table.close_all_idle()
 
     def close(self) -> None:
-        """Close everything, at the end."""
+        """Stop the sweeps, and close all connections."""
         self._sweep_timer.cancel()
         for connection in list(self.connections):
             connection.close(AttemptStatus.CANCELLED)
--- a/quota_gateway/net/upstream/reply_parser.py
+++ b/quota_gateway/net/upstream/reply_parser.py
@@ -1,4 +1,4 @@
-"""The meaning of a server's reply: status, value, usage figures and load reports."""
+"""Parses a server's reply into its status, value, usage figures and load report."""
 
 from __future__ import annotations
 
@@ -14,18 +14,23 @@
 
 log = logging.getLogger(__name__)
 
-MAX_USAGE_PERCENT = 100_000.0  # of a quota; a higher figure is impossible
-MAX_LOAD_FIGURE = 1_000_000.0  # of any figure in a load report, whatever its unit
-MAX_UNITS_PER_GUESSED_UNIT = 10.0  # final units of a request, over the largest guess
+MAX_USAGE_PERCENT = 100_000.0  # the highest possible usage, as a percentage of a quota
+MAX_LOAD_FIGURE = 1_000_000.0  # the maximum of each figure in a load report, whatever its unit
+# The final units of a request are at most this multiple of the largest estimate.
+MAX_UNITS_PER_GUESSED_UNIT = 10.0
 FIGURE_PATTERN = re.compile(r"[a-z_0-9]{1,20}=[0-9]{1,9}(\.[0-9]{1,20})?")
 
 ERROR_WORDS = frozenset({"ERR", "BUSY", "NOPERM", "SYNTAX"})  # first words of the protocol's error lines
-OVERLOADED_WORD = "BUSY"  # the server did nothing, a retry elsewhere is harmless
-SYNTAX_WORD = "SYNTAX"  # the server could not read the command
+OVERLOADED_WORD = "BUSY"  # An overloaded server did nothing, so a retry elsewhere is harmless.
+SYNTAX_WORD = "SYNTAX"  # The server could not parse the command.
 
 
 def _parse_figures(text: str) -> dict[str, float]:
-    """Parse ``a=1,b=2`` into numbers; return none if any part is of another form, negative or no number."""
+    """Parse ``a=1,b=2`` into numbers by name.
+
+    Returns:
+        The numbers; an empty dict if any part has another form, is negative or is not a number.
+    """
     parts = text.split(",")
     if not all(FIGURE_PATTERN.fullmatch(part) for part in parts):
         return {}
@@ -33,14 +38,14 @@
 
 
 class ReplyParser:
-    """Parses the replies of servers, with the figures on use and load reports in them.
+    """Parses the replies of servers, with the usage figures and load reports in them.
 
-    Figures that can't be read, or can't be true, are dropped and the good value is served; see
+    Figures that are malformed or impossible are dropped, and the value is served all the same; see
     docs/decisions/upstream-replies.md.
 
     Args:
-        load_report_fields: Fields that a load report has to have, in the order wanted.
-        max_request_units: The largest guess of a request's units.
+        load_report_fields: The fields that a load report must have, in the order of the parsed numbers.
+        max_request_units: The largest estimate of a request's units.
     """
 
     def __init__(self, load_report_fields: tuple[str, ...], max_request_units: float) -> None:
@@ -48,10 +53,10 @@
         self.max_final_units = MAX_UNITS_PER_GUESSED_UNIT * max_request_units
 
     def parse(self, answer: RawReply) -> UpstreamReply:
-        """Return what an answer means by the protocol's table.
+        """Return the status, value and reports of a reply, by the protocol's table.
 
         Raises:
-            ProtocolError: It is an error line that no server writes.
+            ProtocolError: The reply is an error line with an unknown first word.
         """
         if isinstance(answer, str):
             return self._parse_error(answer)
@@ -62,7 +67,7 @@
     def _parse_error(self, line: str) -> UpstreamReply:
         word, *reports = line.split(" ")
         if word not in ERROR_WORDS:
-            raise ProtocolError("an error line that no server writes")
+            raise ProtocolError("error line has an unknown first word")
         if word == SYNTAX_WORD:
             log.error("upstream rejected command syntax reply=%.200s", line)
         overloaded = word == OVERLOADED_WORD
@@ -82,7 +87,7 @@
         return UpstreamReply(status, value, usage_percent, final_units, load)
 
     def _load_report(self, figures: dict[str, float]) -> tuple[float, ...] | None:
-        """Return a figure for each of the fields wanted, None if one of them is missing or impossible."""
+        """Return a number for each required field; None if one of them is missing or impossible."""
         load = {
             REPORT_FIELD.get(name, name): value for name, value in figures.items() if value <= MAX_LOAD_FIGURE
         }
--- a/quota_gateway/net/upstream/reply_receiver.py
+++ b/quota_gateway/net/upstream/reply_receiver.py
@@ -10,12 +10,17 @@
 
 
 class ReplyReceiver:
-    """Puts the bytes of one connection together to replies, and counts those that it buffers.
+    """Assembles replies from the bytes of one connection, and counts the bytes that it buffers.
 
     Args:
-        parser: Of complete replies.
-        count_buffered: Takes the change of the buffered bytes; raises ProtocolError where there are too many.
-        clock_s: The time of the event loop.
+        parser: Parses complete replies.
+        count_buffered: Called with each change of the number of buffered bytes; raises ProtocolError if
+            there are too many.
+        clock_s: Returns the time of the event loop, in seconds.
+
+    Attributes:
+        last_progress_s: The loop time at which a piece of a large value was last received, or reading was
+            last paused or resumed.
     """
 
     __slots__ = (
@@ -38,20 +43,24 @@
         self._count_buffered = count_buffered
         self._clock_s = clock_s
         self._reader = ReplyReader()
-        self._buffered_bytes = 0  # of a reply that is not complete yet
+        self._buffered_bytes = 0  # bytes of an incomplete reply
         self._is_closed = False
-        self.last_progress_s = 0.0  # when a piece of a large value was last received, or reading went on
+        self.last_progress_s = 0.0
 
     @property
     def has_surplus_bytes(self) -> bool:
-        """Whether bytes were received behind the last complete reply."""
+        """Whether bytes were received after the last complete reply."""
         return bool(self._reader.buffer)
 
     def feed(self, data: bytes, attempt: Attempt) -> UpstreamReply | None:
-        """Take bytes; return the reply once it is complete, None too where the connection was closed over it.
+        """Add received bytes to the reply to an attempt.
+
+        Returns:
+            The reply once it is complete; None until then, and if a callback of the attempt closed the
+            connection.
 
         Raises:
-            ProtocolError: The reply is malformed, or there is no memory for it.
+            ProtocolError: The reply is malformed, or too many bytes are buffered.
         """
         self._reader.receive_data(data)
         answer = self._reader.next_reply()
@@ -67,25 +76,25 @@
         return self._parser.parse(answer)
 
     def _stream_body(self, attempt: Attempt, bytes_left: int) -> None:
-        """Stream the bytes of a large value, which is never buffered completely."""
+        """Stream the received bytes of a large value, which is never buffered completely."""
         piece = self._reader.take_piece()
         if not piece:
-            return  # a header alone commits nobody: other attempts may still be quicker
+            return  # The header alone starts no stream, as another attempt may still be quicker.
         self.last_progress_s = self._clock_s()
         if attempt.body_consumer is None:
             attempt.payload = b""
             body_consumer = attempt.on_body_started(bytes_left)
             if self._is_closed:
-                return  # nobody wants it any more
+                return  # The connection was closed because the value is no longer wanted.
             attempt.body_consumer = body_consumer
         attempt.body_consumer(piece)
 
     def on_reading_changed(self) -> None:
-        """Count the time without progress from now on: reading was paused or resumed."""
+        """Measure the time without progress from now on, as reading was paused or resumed."""
         self.last_progress_s = self._clock_s()
 
     def close(self) -> None:
-        """Drop what is buffered, as the connection closes."""
+        """Discard the buffered bytes, as the connection closes."""
         self._is_closed = True
         self._change_buffered(-self._buffered_bytes)
 
