--- a/quota_gateway/net/upstream/attempt.py
+++ b/quota_gateway/net/upstream/attempt.py
@@ -59,7 +59,7 @@
     return None
 
 
-def _not_timed() -> bool:
+def _ignore_deadline() -> bool:
     return False
 
 
@@ -112,7 +112,7 @@
         self.connection: AttemptConnection | None = None
         self.body_consumer: BodyConsumer | None = None  # the consumer of a large value that has begun
         # Called at the deadline if a large value has begun; returns whether the attempt times out.
-        self.on_deadline: Callable[[], bool] = _not_timed
+        self.on_deadline: Callable[[], bool] = _ignore_deadline
 
     def pause(self, pause: bool) -> None:
         """Pause reading the value from the connection, or resume it."""
@@ -133,6 +133,6 @@
         self.on_body_started = _discard_body
         self.refusal_to_send = _never_refused
         self.on_sent = _ignore_sent
-        self.on_deadline = _not_timed
+        self.on_deadline = _ignore_deadline
         if on_done:
             on_done(reply)
--- a/quota_gateway/net/upstream/host_table.py
+++ b/quota_gateway/net/upstream/host_table.py
@@ -58,8 +58,8 @@
 
     def longest_idle(self) -> HostConnection | None:
         """Return the connection that has been idle longest, of all hosts; None if no connection is idle."""
-        longest_of_each = [host.idle[0] for host in self.by_server.values() if host.idle]
-        return min(longest_of_each, key=lambda connection: connection.idle_since_s, default=None)
+        longest_idle_per_host = [host.idle[0] for host in self.by_server.values() if host.idle]
+        return min(longest_idle_per_host, key=lambda connection: connection.idle_since_s, default=None)
 
     def close_idle_since(self, before_s: float) -> None:
         """Close the connections that have been idle since before ``before_s``, in loop time."""
--- a/quota_gateway/net/upstream/reply_parser.py
+++ b/quota_gateway/net/upstream/reply_parser.py
@@ -17,7 +17,7 @@
 MAX_USAGE_PERCENT = 100_000.0  # the highest possible usage, as a percentage of a quota
 MAX_LOAD_FIGURE = 1_000_000.0  # the maximum of each figure in a load report, whatever its unit
 # The final units of a request are at most this multiple of the largest estimate.
-MAX_UNITS_PER_GUESSED_UNIT = 10.0
+MAX_FINAL_UNITS_PER_ESTIMATED_UNIT = 10.0
 FIGURE_PATTERN = re.compile(r"[a-z_0-9]{1,20}=[0-9]{1,9}(\.[0-9]{1,20})?")
 
 ERROR_WORDS = frozenset({"ERR", "BUSY", "NOPERM", "SYNTAX"})  # first words of the protocol's error lines
@@ -50,17 +50,17 @@
 
     def __init__(self, load_report_fields: tuple[str, ...], max_request_units: float) -> None:
         self.load_report_fields = load_report_fields
-        self.max_final_units = MAX_UNITS_PER_GUESSED_UNIT * max_request_units
+        self.max_final_units = MAX_FINAL_UNITS_PER_ESTIMATED_UNIT * max_request_units
 
-    def parse(self, answer: RawReply) -> UpstreamReply:
+    def parse(self, raw_reply: RawReply) -> UpstreamReply:
         """Return the status, value and reports of a reply, by the protocol's table.
 
         Raises:
             ProtocolError: The reply is an error line with an unknown first word.
         """
-        if isinstance(answer, str):
-            return self._parse_error(answer)
-        value, *reports = answer
+        if isinstance(raw_reply, str):
+            return self._parse_error(raw_reply)
+        value, *reports = raw_reply
         texts = [report.decode("latin-1") for report in reports if report is not None]
         return self._make_reply(AttemptStatus.OK, value, texts)
 
--- a/quota_gateway/net/upstream/reply_receiver.py
+++ b/quota_gateway/net/upstream/reply_receiver.py
@@ -63,17 +63,17 @@
             ProtocolError: The reply is malformed, or too many bytes are buffered.
         """
         self._reader.receive_data(data)
-        answer = self._reader.next_reply()
-        if answer is None and self._reader.streamed_bytes_left is not None:
+        raw_reply = self._reader.next_reply()
+        if raw_reply is None and self._reader.streamed_bytes_left is not None:
             self._stream_body(attempt, self._reader.streamed_bytes_left)
             if self._is_closed:
                 return None
-            answer = self._reader.next_reply()
-        if answer is None:
+            raw_reply = self._reader.next_reply()
+        if raw_reply is None:
             self._change_buffered(len(self._reader.buffer) - self._buffered_bytes)
             return None
         self._change_buffered(-self._buffered_bytes)
-        return self._parser.parse(answer)
+        return self._parser.parse(raw_reply)
 
     def _stream_body(self, attempt: Attempt, bytes_left: int) -> None:
         """Stream the received bytes of a large value, which is never buffered completely."""
