--- a/quota_gateway/net/discovery/client.py
+++ b/quota_gateway/net/discovery/client.py
@@ -1,4 +1,4 @@
-"""Follows discovery's endpoint list at the address that was named last."""
+"""Follows discovery's endpoint list at the address that was set last."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 
 class DiscoveryClient:
-    """Watches at the address named last, and at the previous one until the last one has sent an update.
+    """Watches discovery at the address set last, and at the previous one until the new one sends an update.
 
     Attributes:
-        registry: Reads the updates.
-        active: The watcher whose updates count.
-        candidate: The watcher of the address named last, while it has sent nothing.
+        registry: The endpoint registry, which reads the updates.
+        active: The watcher that delivered the last update.
+        candidate: The watcher of the address set last, until it delivers its first update.
     """
 
     def __init__(
@@ -37,14 +37,14 @@
         seed: int,
         metrics: Metrics | None = None,
     ) -> None:
-        """Watch nothing yet.
+        """Create a client without a watch.
 
         Args:
-            registry: Reads the updates.
-            on_update: Called with each update, and by number with the addresses of the endpoints in it.
-            on_unavailable: Called when a watch ends whose watcher has had no update yet.
-            seed: For the jitter of all waits.
-            metrics: Of the process.
+            registry: The endpoint registry, which reads the updates.
+            on_update: Called with each update, and with the addresses of its endpoints by number.
+            on_unavailable: Called when a watch ends before its watcher has had any update.
+            seed: The seed for the jitter of all waits.
+            metrics: The metrics of the process.
         """
         self.registry = registry
         self.active: DiscoveryWatcher | None = None
@@ -55,7 +55,7 @@
         self._metrics = metrics or Metrics()
 
     def load_known(self, document: Any) -> None:
-        """Read the complete snapshot of the configuration or of the previous process; it may be old."""
+        """Read a complete snapshot from the configuration or the previous process, which may be outdated."""
         try:
             change = self.registry.read(document, is_cached=True)
         except DiscoveryError as error:
@@ -64,9 +64,10 @@
         self._on_update(change.update, change.addresses)
 
     def watch(self, address: Address) -> None:
-        """Watch at this address from now on.
+        """Watch discovery at this address from now on.
 
-        The previous watch counts until this one has an update: docs/decisions/discovery-address-change.md.
+        The previous watch stays in use until this one has an update; see
+        docs/decisions/discovery-address-change.md.
         """
         if self.candidate:
             self.candidate.end()
@@ -75,7 +76,7 @@
         )
 
     def end(self) -> None:
-        """Watch no more."""
+        """Stop watching."""
         for watcher in (self.active, self.candidate):
             if watcher:
                 watcher.end()
--- a/quota_gateway/net/discovery/endpoint_registry.py
+++ b/quota_gateway/net/discovery/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""Discovery's endpoint list: the names that it lists, and rows and numbers of the nearest endpoints."""
+"""Discovery's endpoint list: the names of all endpoints, and the rows and numbers of the nearest ones."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 class EndpointRegistry(EndpointTable):
     """Reads updates of the endpoint list, and carries the list from one process to the next.
 
-    An endpoint that is none of the nearest to this gateway costs the memory of its name alone. Long documents
-    are read by ``StreamingSnapshotReader``.
+    Only the name is held in memory for an endpoint that is not among the nearest to this gateway. Long
+    documents are read by ``StreamingSnapshotReader``.
     """
 
     def read(self, document: Any, is_cached: bool = False) -> RegistryChange:
-        """Read one update at once.
+        """Read one update as a whole.
 
         Args:
-            document: The update as discovery sent it, or a complete snapshot that was known before.
-            is_cached: Whether it is such a snapshot, which may be old.
+            document: The update as discovery sent it, or a cached complete snapshot.
+            is_cached: Whether the document is a cached snapshot, which may be outdated.
 
         Raises:
-            DiscoveryError: The document is malformed, or no row of a complete snapshot can be read.
+            DiscoveryError: The document is malformed, or no row of a complete snapshot is valid.
         """
         try:
             is_complete = is_cached or bool(document["reset"])
@@ -45,14 +45,14 @@
         return reader.change(_update_kind(is_complete, is_cached), endpoints, generation)
 
     def export_state(self) -> dict[str, Any]:
-        """Return the state for a process that takes over, as an object of JSON."""
+        """Return the state for a process that takes over, as a JSON object."""
         return RegistryState(list(self.rows.values()), self.numbers, self.absent, self.detached).to_json()
 
     def restore_state(self, document: Any) -> dict[str, Any]:
-        """Restore numbers and detached endpoints from the state that the previous process has exported.
+        """Restore numbers and detached endpoints from the state that the previous process exported.
 
         Returns:
-            Its endpoint list, to be read as a cached snapshot: each endpoint gets its number back.
+            The endpoint list of that process. Read as a cached snapshot, it gives each endpoint its number.
 
         Raises:
             StateError: The document is malformed; nothing is restored.
--- a/quota_gateway/net/discovery/endpoint_row.py
+++ b/quota_gateway/net/discovery/endpoint_row.py
@@ -1,4 +1,4 @@
-"""One row of discovery's endpoint list: foreign JSON in, a checked endpoint with its address out."""
+"""Parses a row of discovery's endpoint list: turns untrusted JSON into an endpoint with its address."""
 
 from __future__ import annotations
 
@@ -11,23 +11,24 @@
 from quota_gateway.errors import DiscoveryError
 from quota_gateway.net.address import Address
 
-MAX_NAME_CHARACTERS = 256  # names of all listed endpoints are held, rows of the nearest only
-PORT_LIMIT = 1 << 16  # the first number that is no TCP port
-LIFECYCLE_GONE = "Gone"  # discovery's word for an endpoint that is not listed any more
-LIFECYCLES = {  # by the words that discovery uses
+# The name of every listed endpoint is held in memory, while rows are held of the nearest endpoints only.
+MAX_NAME_CHARACTERS = 256
+PORT_LIMIT = 1 << 16  # the lowest number above all TCP ports
+LIFECYCLE_GONE = "Gone"  # discovery's value for an endpoint that is no longer listed
+LIFECYCLES = {  # lifecycles by the values that discovery sends
     "Ready": api.EndpointLifecycle.READY,
     "Terminating": api.EndpointLifecycle.DRAINING,
     LIFECYCLE_GONE: api.EndpointLifecycle.GONE,
 }
-NO_ADDRESS: Address = ("", 0)  # of an endpoint that is gone
+NO_ADDRESS: Address = ("", 0)  # the placeholder address of an endpoint that is gone
 
-EndpointRow = dict[str, Any]  # a row as discovery gave it
+EndpointRow = dict[str, Any]  # a row as discovery sent it
 
 
 class AddressedEndpoint(NamedTuple):
-    """An endpoint as the policy engine knows it, and where it is reached.
+    """An endpoint as the policy engine knows it, with its address.
 
-    A named tuple, as each row makes one.
+    A named tuple is cheap to create, and one is created for each row.
     """
 
     endpoint: api.Endpoint
@@ -35,11 +36,11 @@
 
 
 class RegistryChange(NamedTuple):
-    """The changes of one update of the endpoint list, or a part of them.
+    """The changes that one update makes to the endpoint list, or a part of them.
 
     Attributes:
-        update: For the policy engine.
-        addresses: Of the endpoints in the update, by number.
+        update: The changed endpoints for the policy engine.
+        addresses: The addresses of these endpoints, by number.
     """
 
     update: api.EndpointUpdate
@@ -47,7 +48,7 @@
 
 
 def name_in(row: object) -> str | None:
-    """Return the name in a row; None if it has none that is valid."""
+    """Return the endpoint's name in a row; None if the row has no valid name."""
     if not isinstance(row, dict):
         return None
     name = row.get("instanceId")
@@ -63,15 +64,16 @@
     number_for: Callable[[str], int],
     started_for: Callable[[str, float], float] = _as_reported,
 ) -> AddressedEndpoint:
-    """Read one row.
+    """Parse one row.
 
     Args:
-        row: The row as discovery gave it.
-        number_for: Returns the number for a name; called once everything else is checked.
-        started_for: Returns the start by the gateway's clock, from the name and the reported one, in ms.
+        row: The row as discovery sent it.
+        number_for: Returns the number for a name; called once all fields are checked.
+        started_for: Returns the start time by the gateway's clock for a name and a reported start time,
+            all in milliseconds.
 
     Raises:
-        DiscoveryError: A field is missing, of another type, or out of range.
+        DiscoveryError: A field is missing, has the wrong type or is out of range.
     """
     try:
         return _parse_fields(row, number_for, started_for)
@@ -99,7 +101,7 @@
         and isfinite(started_ms)
     ):
         raise DiscoveryError(
-            f"out of range: instanceId {name!r:.80}, zone {zone!r:.80}, machineType {kind!r:.80}, "
+            f"field is invalid: instanceId {name!r:.80}, zone {zone!r:.80}, machineType {kind!r:.80}, "
             f"cell {cell!r:.80}, weight {size}, startedAtMs {started_ms}"
         )
     endpoint = api.Endpoint(
--- a/quota_gateway/net/discovery/endpoint_table.py
+++ b/quota_gateway/net/discovery/endpoint_table.py
@@ -10,23 +10,25 @@
 from quota_gateway.net.discovery.start_times import StartTimes
 from quota_gateway.policy.subset import Subset
 
-MAX_ABSENT_NUMBERS = 256  # of endpoints without a row: one that returns soon gets its number back
+# Numbers of endpoints without a row are kept, so that one that returns soon gets its number back.
+MAX_ABSENT_NUMBERS = 256
 
 
 class EndpointTable:
-    """The endpoints that are listed; the nearest of them have a row and a number.
+    """The listed endpoints; the nearest of them have a row and a number.
 
-    A number is never used for another endpoint: an attempt on one that is gone may still be in flight.
+    A number is never reused for another endpoint: an attempt on an endpoint that is gone may still be in
+    flight.
 
     Attributes:
         subset: Ranks endpoints by their names.
-        start_times: Translates the start times of endpoints.
-        nearest: The names of ``rows``, ranked.
-        other_names: The names of all other endpoints that are listed.
-        numbers: By name, the numbers of endpoints with a row, as the policy engine knows them.
-        absent: By name, the numbers of endpoints without a row, the latest last.
-        detached: Names of endpoints that operators detached; their numbers are never forgotten.
-        rows: By name, the rows as discovery gave them last.
+        start_times: Translates the start times of endpoints to the gateway's clock.
+        nearest: The names of the endpoints with a row, ranked.
+        other_names: The names of all other listed endpoints.
+        numbers: The numbers of endpoints with a row, by name; the policy engine uses the same numbers.
+        absent: The numbers of endpoints without a row, by name, the latest last.
+        detached: The names of endpoints that operators detached; their numbers are never forgotten.
+        rows: The rows as discovery last sent them, by name.
     """
 
     def __init__(self, subset: Subset | None = None, start_times: StartTimes | None = None) -> None:
@@ -41,22 +43,22 @@
         self._unused_numbers = count(1)
 
     def find(self, name: str) -> int | None:
-        """Return the number of an endpoint that has a row, or had one lately."""
+        """Return the number of an endpoint that has a row or recently had one; None for any other."""
         return self.numbers.get(name, self.absent.get(name))
 
     def is_known(self, name: str) -> bool:
-        """Whether an endpoint is listed, or was lately."""
+        """Whether an endpoint is listed, or recently was."""
         return name in self.other_names or self.find(name) is not None
 
     def number_of(self, name: str) -> int:
-        """Return the number of an endpoint that either process knows; a new one if it has none."""
+        """Return the number of an endpoint that this or the peer process knows; a new one if it has none."""
         number = self.find(name)
         if number is None:
             number = self.absent[name] = next(self._unused_numbers)
         return number
 
     def number_for_row(self, name: str) -> int:
-        """Return the number of an endpoint that has a row from now on."""
+        """Return the number of an endpoint that gets a row; a new one if it has none."""
         number = self.numbers.get(name)
         if number is None:
             number = self.absent.pop(name, 0) or next(self._unused_numbers)
@@ -64,14 +66,14 @@
         return number
 
     def needs_complete_snapshot(self) -> bool:
-        """Whether so many of the nearest are gone that only a complete snapshot says which come next."""
+        """Whether so many of the nearest are gone that only a complete snapshot tells the next nearest."""
         return self.nearest.certain_count() < self.subset.size(self.nearest.listed)
 
     def forget(self, name: str) -> AddressedEndpoint | None:
-        """Drop the row of an endpoint that is gone, or displaced by nearer ones.
+        """Remove the row of an endpoint that is gone, or displaced by nearer ones.
 
         Returns:
-            The gone endpoint for the policy engine; None if it had no row.
+            The endpoint, marked as gone, for the policy engine; None if it had no row.
         """
         row = self.rows.pop(name, None)
         self.start_times.forget(name)
@@ -84,7 +86,7 @@
         return AddressedEndpoint(gone, NO_ADDRESS)
 
     def _bound_absent(self, latest: str) -> None:
-        """Forget the oldest number of an endpoint that is not detached, if there are too many."""
+        """If there are too many numbers, forget the oldest one of an endpoint that is not detached."""
         if len(self.absent) <= MAX_ABSENT_NUMBERS:
             return
         oldest = next((name for name in self.absent if name not in self.detached), None)
--- a/quota_gateway/net/discovery/json_lines.py
+++ b/quota_gateway/net/discovery/json_lines.py
@@ -1,4 +1,4 @@
-"""Finds the JSON documents in a stream of lines: one a line, or indented over many."""
+"""Splits a stream of lines into JSON documents: one per line, or indented over many lines."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 
 
 class JsonLineReader:
-    """Puts the lines of a document together until it is complete.
+    """Collects the lines of a document until it is complete.
 
-    A string holds no line end, so that brackets can be counted line by line. An indented document is not
-    taken for a document a line: docs/decisions/discovery-long-lists.md.
+    A JSON string contains no line break, so brackets can be counted line by line. The lines of an indented
+    document are not taken for a document each; see docs/decisions/discovery-long-lists.md.
 
     Attributes:
-        size_bytes: Length of the document that is not complete yet.
+        size_bytes: The length of the incomplete document.
     """
 
     def __init__(self) -> None:
@@ -39,31 +39,31 @@
         self._open_brackets = 0
 
     def add_line(self, line: bytes) -> Any:
-        """Take the next line, without its end.
+        """Add the next line, without its line break.
 
         Returns:
-            The document that it completes; HEARTBEAT for an empty line between two documents; None if there
-            is nothing to read yet, and for a document that is JSON's null.
+            The document that the line completes; HEARTBEAT for an empty line between two documents; None
+            while the document is incomplete, and for a document that is JSON's null.
 
         Raises:
-            DiscoveryError: No document can come of the lines any more.
+            DiscoveryError: The lines cannot form a document.
         """
         if not line.strip():
             if self._lines:
-                raise DiscoveryError("a document breaks off")
+                raise DiscoveryError("empty line within a document")
             return HEARTBEAT
         if not self._lines:
             try:
                 return json.loads(line)
             except (ValueError, RecursionError):
-                pass  # perhaps the first line of many
+                pass  # The line may be the first of an indented document.
         self._append(line)
         if self._open_brackets > 0:
             return None
         return self._parse(self.take_incomplete())
 
     def take_incomplete(self) -> bytes:
-        """Return the document so far, to be read elsewhere, and begin the next one."""
+        """Return the lines of the incomplete document, for another reader, and start a new document."""
         text = b"\n".join(self._lines)
         self._lines = []
         self._open_brackets = 0
@@ -80,4 +80,4 @@
         try:
             return json.loads(text)
         except (ValueError, RecursionError) as error:
-            raise DiscoveryError(f"not JSON: {error}") from error
+            raise DiscoveryError(f"document is not valid JSON: {error}") from error
--- a/quota_gateway/net/discovery/nearest_endpoints.py
+++ b/quota_gateway/net/discovery/nearest_endpoints.py
@@ -9,7 +9,8 @@
 
 from quota_gateway.policy.subset import Subset
 
-# The distance, in rings, and the name: compares by distance. A bare tuple, as each row makes two of them.
+# The distance, as a fraction of a ring, and the name; ordered by distance. Each row creates two of these, so
+# they are plain tuples.
 RankedName = tuple[float, str]
 
 
@@ -18,7 +19,7 @@
 
     Attributes:
         is_retained: Whether the name is among the nearest.
-        displaced: The name that it displaced, if any.
+        displaced: The name that the offered one displaced; None if there is none.
     """
 
     is_retained: bool
@@ -32,19 +33,19 @@
 class NearestEndpoints:
     """The nearest names of a list, as many as the subset retains; iterates with the nearest first.
 
-    A row costs by how many names are retained, not by how many are listed. Each name has to be offered once
-    when it is listed and dropped once when it no longer is, retained or not.
+    The cost of a row depends on the number of retained names, not of listed names. Each name has to be
+    offered once when it becomes listed, and dropped once when it is no longer listed, retained or not.
 
     Attributes:
-        subset: Ranks the names, and says how many are retained.
-        listed: How many names are listed.
+        subset: Ranks the names, and determines how many are retained.
+        listed: The number of listed names.
     """
 
     def __init__(self, subset: Subset) -> None:
         self.subset = subset
         self.listed = 0
-        self._ranked: list[RankedName] = []  # in order
-        self._nearest_not_retained: RankedName = (inf, "")  # or displaced
+        self._ranked: list[RankedName] = []  # the retained names, the nearest first
+        self._nearest_not_retained: RankedName = (inf, "")  # the nearest name displaced or never retained
 
     def __len__(self) -> int:
         return len(self._ranked)
@@ -58,14 +59,14 @@
 
     @property
     def farthest(self) -> float:
-        """Distance of the farthest retained name, in rings; 0 without any."""
+        """The distance of the farthest retained name, as a fraction of a ring; 0 if none is retained."""
         return self._ranked[-1][0] if self._ranked else 0.0
 
     def offer(self, name: str) -> OfferResult:
-        """Count a name that is listed now, and retain it if it is near.
+        """Count a name that has become listed, and retain it if it is among the nearest.
 
         Returns:
-            Whether it is retained, and which name it displaced.
+            Whether the name is retained, and which name it displaced.
         """
         ranked_name = self.subset.distance(name), name
         position = bisect_left(self._ranked, ranked_name)
@@ -82,10 +83,10 @@
         return OfferResult(is_retained=True, displaced=displaced[1])
 
     def drop(self, name: str) -> bool:
-        """Forget a name that is not listed any more.
+        """Forget a name that is no longer listed.
 
         Returns:
-            Whether it was retained.
+            Whether the name was retained.
         """
         self.listed = max(0, self.listed - 1)
         ranked_name = self.subset.distance(name), name
@@ -98,8 +99,8 @@
     def certain_count(self) -> int:
         """Return how many names, from the nearest on, are certain to be the nearest of all listed ones.
 
-        Fewer than the subset's size after many have gone: then a complete snapshot has to be offered to
-        another instance.
+        After many names are gone, this is less than the subset's size: a complete snapshot then has to be
+        offered to another instance.
         """
         return bisect_left(self._ranked, self._nearest_not_retained)
 
--- a/quota_gateway/net/discovery/registry_state.py
+++ b/quota_gateway/net/discovery/registry_state.py
@@ -1,4 +1,4 @@
-"""The state of the endpoint registry that a process hands over to the next one, to and from JSON."""
+"""The state of the endpoint registry, as the JSON object that a process hands over to the next process."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from quota_gateway.errors import StateError
 from quota_gateway.net.discovery.endpoint_row import EndpointRow
 
-# The keys on the channel between two processes: one of another version may be at its other end.
+# The keys on the channel between two processes, which may be of different versions.
 ROWS_KEY = "rows"
 NUMBERS_KEY = "numbers"
 ABSENT_KEY = "absent"
@@ -16,12 +16,12 @@
 
 
 class RegistryState(NamedTuple):
-    """The endpoint list, and which number stands for which endpoint.
+    """The endpoint list, and the numbers of its endpoints.
 
     Attributes:
-        rows: As discovery gave them; foreign JSON, checked when they are read.
-        numbers: By name, the numbers of endpoints with a row.
-        absent: By name, the numbers of endpoints without a row.
+        rows: The rows as discovery sent them; untrusted JSON, which is checked when the rows are read.
+        numbers: The numbers of endpoints with a row, by name.
+        absent: The numbers of endpoints without a row, by name.
         detached: The names of endpoints that operators detached.
     """
 
@@ -31,7 +31,7 @@
     detached: set[str]
 
     def to_json(self) -> dict[str, Any]:
-        """The state as an object of JSON."""
+        """Return the state as a JSON object."""
         return {
             ROWS_KEY: self.rows,
             NUMBERS_KEY: self.numbers,
@@ -41,7 +41,7 @@
 
     @classmethod
     def from_json(cls, document: Any) -> RegistryState:
-        """Read the state that the previous process has exported.
+        """Read the state that the previous process exported.
 
         Raises:
             StateError: A key is missing, a value has the wrong type, or the values contradict each other.
@@ -59,7 +59,7 @@
         return state
 
     def all_numbers(self) -> dict[str, int]:
-        """By name, all numbers that are in use."""
+        """Return all numbers that are in use, by name."""
         return {**self.numbers, **self.absent}
 
 
--- a/quota_gateway/net/discovery/snapshot_document.py
+++ b/quota_gateway/net/discovery/snapshot_document.py
@@ -1,4 +1,4 @@
-"""The JSON form of a long endpoint list, parsed in pieces: plain fields, and rows one after the other."""
+"""Parses the JSON document of a long endpoint list in pieces: scalar fields, and rows one after the other."""
 
 from __future__ import annotations
 
@@ -7,34 +7,34 @@
 
 from quota_gateway.errors import DiscoveryError
 
-MAX_ROW_BYTES = 64 * 1024  # of the document without the end of a row
+MAX_ROW_BYTES = 64 * 1024  # the longest part of a document without the end of a row
 
-# Brackets that are open at each part of the document: {"reset": …, "instances": [{"instanceId": …}, …]}
+# The number of open brackets in each part of a document: {"reset": …, "instances": [{"instanceId": …}, …]}
 OUTSIDE_DEPTH = 0
 DOCUMENT_DEPTH = 1
 ROWS_DEPTH = 2
 ROW_DEPTH = 3
 DEPTHS_WITH_FIELDS = frozenset((DOCUMENT_DEPTH, ROW_DEPTH))
 ROWS_FIELD = "instances"
-OPENING_EVENTS = frozenset(("start_map", "start_array"))  # of ijson
-CLOSING_EVENTS = frozenset(("end_map", "end_array"))
+OPENING_EVENTS = frozenset(("start_map", "start_array"))  # ijson's events for an opening bracket
+CLOSING_EVENTS = frozenset(("end_map", "end_array"))  # ijson's events for a closing bracket
 
 
 class SnapshotDocumentParser:
     """Parses one document of any length; holds one row at a time.
 
     Attributes:
-        fields: The document's fields beside its rows, as far as they were received.
-        row_count: Rows that have ended.
+        fields: The fields of the document that were received so far, without its rows.
+        row_count: The number of complete rows.
     """
 
     def __init__(self, on_row: Callable[[Any], None]) -> None:
-        """Begin a document.
+        """Start a document.
 
         Args:
-            on_row: Called with each row, which may be any value of JSON, when it has ended.
+            on_row: Called with each complete row, which may be any JSON value.
         """
-        import ijson  # here, as only a long list needs it, and no start does
+        import ijson  # The import is here because only a long list needs ijson, and no process start does.
 
         self.fields: dict[str, Any] = {}
         self.row_count = 0
@@ -47,13 +47,13 @@
         self._depth = OUTSIDE_DEPTH
         self._bytes_since_row = 0
         self._has_ended = False
-        self._is_line_blank = True  # so far
+        self._is_line_blank = True  # The current line is blank so far.
 
     def feed(self, data: bytes) -> bytes | None:
         """Parse the next bytes.
 
         Returns:
-            What followed the end of the document; None before its end.
+            The bytes after the end of the document; None before its end.
 
         Raises:
             DiscoveryError: The document is malformed, or a row is longer than ``MAX_ROW_BYTES``.
@@ -61,8 +61,8 @@
         while data:
             line, line_end, data = data.partition(b"\n")
             self._is_line_blank = self._is_line_blank and not line.strip()
-            if line_end and self._is_line_blank:  # a heartbeat, which only comes between documents
-                raise DiscoveryError("an endpoint list breaks off")
+            if line_end and self._is_line_blank:  # A heartbeat is sent only between documents.
+                raise DiscoveryError("empty line within an endpoint list")
             self._is_line_blank = self._is_line_blank or bool(line_end)
             self._parse(line, line_end)
             if self._has_ended:
@@ -74,7 +74,7 @@
         try:
             self._parser.send(line + line_end)
         except self._json_errors as error:
-            raise DiscoveryError(f"not JSON: {error}") from error
+            raise DiscoveryError(f"document is not valid JSON: {error}") from error
         for event, value in self._events:
             self._on_event(event, value)
         del self._events[:]
@@ -84,7 +84,7 @@
             raise DiscoveryError(f"no row ends within {MAX_ROW_BYTES} bytes")
 
     def _on_event(self, event: str, value: Any) -> None:
-        # Keys and values of rows, nearly all of a document, are handled inline: calls would cost more.
+        # Keys and values of rows are nearly all of a document; they are handled inline, as calls cost more.
         if event == "map_key":
             if self._depth in DEPTHS_WITH_FIELDS:
                 self._key = value
@@ -103,20 +103,20 @@
         elif self._depth == DOCUMENT_DEPTH:
             self.fields[self._key] = value
         elif self._depth == OUTSIDE_DEPTH:
-            raise DiscoveryError("the document is a plain value, no object")
+            raise DiscoveryError("the document is a scalar, not an object")
 
     def _on_open(self, event: str) -> None:
         self._depth += 1
         if self._depth == DOCUMENT_DEPTH:
             if event != "start_map":
-                raise DiscoveryError("the document is an array, no object")
+                raise DiscoveryError("the document is an array, not an object")
         elif self._depth == ROWS_DEPTH:
             if self._key != ROWS_FIELD or event != "start_array":
-                raise DiscoveryError(f"field {self._key!r} is no plain value, or the rows are no array")
+                raise DiscoveryError(f"field {self._key!r} is not a scalar, or the rows are not an array")
         elif self._depth == ROW_DEPTH:
             self._row = {}
         else:
-            self._row[self._key] = None  # no field of a row is an object or an array
+            self._row[self._key] = None  # Objects and arrays are no valid fields of a row.
 
     def _on_close(self) -> None:
         self._depth -= 1
--- a/quota_gateway/net/discovery/snapshot_reader.py
+++ b/quota_gateway/net/discovery/snapshot_reader.py
@@ -22,20 +22,21 @@
 
 log = logging.getLogger(__name__)
 
-MAX_LISTED_ENDPOINTS = 400_000  # ten times the largest planned fleet; each costs the memory of its name
-MIN_ROWS_PER_CHANGE = 32  # of a long document, delivered to the policy engine at a time
-MAX_CHANGES_PER_DOCUMENT = 64  # after each, the engine sorts all endpoints that it knows
+# The limit is ten times the largest planned fleet; the name of each endpoint is held in memory.
+MAX_LISTED_ENDPOINTS = 400_000
+MIN_ROWS_PER_CHANGE = 32  # the fewest rows of a long document that the policy engine gets at a time
+MAX_CHANGES_PER_DOCUMENT = 64  # The policy engine sorts all endpoints that it knows after each change.
 
 
 class SnapshotReader:
-    """One update while it is read. A complete snapshot changes the table only when it replaces its endpoints.
+    """Reads one update. A complete snapshot leaves the table unchanged until all of its rows are added.
 
     Attributes:
-        table: The state that the update alters.
+        table: The endpoint table that the update changes.
         is_complete: Whether the update is a complete snapshot, not a delta.
-        nearest: The names that are nearest, this update taken into account.
-        other_names: The names of all other endpoints that are listed then.
-        rows: By name, the rows that are delivered to the policy engine, in the order of the update.
+        nearest: The nearest names after this update.
+        other_names: The names of all other endpoints that are listed after this update.
+        rows: The rows to deliver to the policy engine, by name, in the order of the update.
     """
 
     def __init__(self, table: EndpointTable, is_complete: bool) -> None:
@@ -47,7 +48,10 @@
         self._has_rows = False
 
     def add_row(self, row: Any) -> None:
-        """Take the next row: retained if its endpoint is near, else its name alone; ignored without a name.
+        """Add the next row.
+
+        The row is retained if its endpoint is among the nearest, otherwise only its name. A row without a
+        valid name is ignored.
 
         Raises:
             DiscoveryError: More than ``MAX_LISTED_ENDPOINTS`` are listed.
@@ -74,10 +78,10 @@
     def changes(self, generation: int) -> Iterator[RegistryChange]:
         """Read all rows into the table as several changes; only the last one has the update's generation.
 
-        A complete snapshot replaces the previous endpoints after its rows.
+        A complete snapshot replaces the previous endpoints after its rows have been read.
 
         Raises:
-            DiscoveryError: No row of a complete snapshot can be read; the previous endpoints stay.
+            DiscoveryError: No row of a complete snapshot is valid; the previous endpoints are kept.
         """
         rows_per_change = max(MIN_ROWS_PER_CHANGE, len(self.rows) // MAX_CHANGES_PER_DOCUMENT)
         names = iter(list(self.rows))
@@ -100,20 +104,20 @@
         """Replace the endpoints of the table by those of this complete snapshot.
 
         Returns:
-            The endpoints that are gone, as only the previous ones had them.
+            The previous endpoints that the snapshot does not list, marked as gone.
 
         Raises:
-            DiscoveryError: No row can be read; the previous endpoints stay.
+            DiscoveryError: No row is valid; the previous endpoints are kept.
         """
         if self._has_rows and not self.rows:
-            raise DiscoveryError("no row of the endpoint list can be read")
+            raise DiscoveryError("endpoint list has no valid row")
         self.table.nearest = self.nearest
         self.table.other_names = self.other_names
         dropped = (self.table.forget(name) for name in list(self.table.rows) if name not in self.rows)
         return [endpoint for endpoint in dropped if endpoint]
 
     def _offer(self, name: str, row: EndpointRow) -> None:
-        """Retain the row of an endpoint that was not listed before if it is near."""
+        """Retain the row of a newly listed endpoint if it is among the nearest, otherwise only its name."""
         offered = self.nearest.offer(name)
         if offered.is_retained:
             self.rows[name] = row
@@ -125,7 +129,7 @@
             raise DiscoveryError(f"more than {MAX_LISTED_ENDPOINTS} endpoints are listed")
 
     def _retain_name_only(self, name: str) -> None:
-        """Retain no more than the name of a listed endpoint, as others are nearer."""
+        """Retain only the name of a listed endpoint, as others are nearer."""
         self.other_names.add(name)
         if self.is_complete or name not in self.table.rows:
             self.rows.pop(name, None)
@@ -136,7 +140,11 @@
         return [endpoint for name in names if (endpoint := self._read_row(name))]
 
     def _read_row(self, name: str) -> AddressedEndpoint | None:
-        """Read the row of this name into the table; return None if neither it nor a previous one is valid."""
+        """Read an endpoint's row into the table.
+
+        Returns:
+            The endpoint, by its previous row if the new one is malformed; None if there is no previous row.
+        """
         row = self.rows[name]
         try:
             addressed = parse_row(row, self.table.number_for_row, self.table.start_times.by_gateway_clock)
@@ -147,9 +155,10 @@
         return addressed
 
     def _read_previous_row(self, name: str) -> AddressedEndpoint | None:
-        """Return the endpoint by its previous row, as the new one is malformed.
+        """Return the endpoint described by its previous row, as the new row is malformed.
 
-        One malformed row costs neither the list nor the endpoint: docs/decisions/discovery-malformed-rows.md.
+        A malformed row invalidates neither the list nor the endpoint; see
+        docs/decisions/discovery-malformed-rows.md.
         """
         known_row = self.table.rows.get(name)
         if known_row is None:
@@ -164,6 +173,6 @@
     def _store(self, name: str, row: EndpointRow, addressed: AddressedEndpoint) -> None:
         self.table.rows[name] = row
         if addressed.endpoint.state is api.EndpointLifecycle.GONE:
-            if name in self.nearest:  # else it was displaced, and is still listed
+            if name in self.nearest:  # A displaced endpoint is still listed.
                 self.nearest.drop(name)
             self.table.forget(name)
--- a/quota_gateway/net/discovery/start_times.py
+++ b/quota_gateway/net/discovery/start_times.py
@@ -1,4 +1,4 @@
-"""Start times of servers by the gateway's clock: docs/decisions/wall-clock.md."""
+"""Translates start times of servers to the gateway's clock; see docs/decisions/wall-clock.md."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 from quota_gateway.net.clock import MS_PER_S
 
-MAX_CLOCK_SKEW_MS = 1000.0  # between clocks of machines that were not set
+MAX_CLOCK_SKEW_MS = 1000.0  # the maximum skew between machines whose clocks have not been set
 
 
 def unix_time_ms() -> float:
-    """Return the wall clock's time, which may be set at any time."""
+    """Return the time of the wall clock, in milliseconds; the clock may be set at any time."""
     return time.time() * MS_PER_S
 
 
 class KnownStart(NamedTuple):
-    """A start as discovery reported it, and the same by the gateway's clock."""
+    """A start time as discovery reported it, and the same time by the gateway's clock."""
 
     reported_ms: float
     started_ms: float
@@ -26,8 +26,9 @@
 class StartTimes:
     """Translates start times of servers from Unix time to the gateway's clock, which is never set.
 
-    Where the wall clock has been set since the gateway's clock was read, the reported start may be by either
-    of them: the later one that is in the past is taken. A server then warms up for too long at worst.
+    If the wall clock has been set since the gateway's clock was started, a reported start time may be by
+    either clock. The later of the possible times that is in the past is used: at worst, a server warms up for
+    too long.
 
     Args:
         clock: The gateway's clock, in milliseconds.
@@ -38,11 +39,13 @@
         self._known: dict[str, KnownStart] = {}
 
     def by_gateway_clock(self, name: str, reported_ms: float) -> float:
-        """Return when a server started; the same for as long as discovery reports the same start.
+        """Return the start time of a server by the gateway's clock, in milliseconds.
+
+        The result stays the same for as long as discovery reports the same start time.
 
         Args:
             name: The server's name.
-            reported_ms: Its start in Unix time, 0 if it was long ago.
+            reported_ms: The server's start time in Unix time; 0 if it was long ago.
         """
         if reported_ms <= 0.0:
             return reported_ms
@@ -52,7 +55,7 @@
         return known.started_ms
 
     def forget(self, name: str) -> None:
-        """Forget a server that is not listed any more."""
+        """Forget a server that is no longer listed."""
         self._known.pop(name, None)
 
     def _translate(self, reported_ms: float) -> float:
--- a/quota_gateway/net/discovery/streaming_snapshot_reader.py
+++ b/quota_gateway/net/discovery/streaming_snapshot_reader.py
@@ -1,4 +1,4 @@
-"""Reads an update that is too long to be read at once: docs/decisions/discovery-long-lists.md."""
+"""Reads an update that is too long to be read as a whole; see docs/decisions/discovery-long-lists.md."""
 
 from __future__ import annotations
 
@@ -13,41 +13,42 @@
 
 
 class StreamingSnapshotReader:
-    """Reads one long document in pieces of any size; indented or not.
+    """Reads one long document, indented or not, in pieces of any size.
 
     Attributes:
-        table: The state that the update alters.
-        reader: What has been read, once it is known whether the update is a complete snapshot.
-        generation: The generation of the update, once ``changes`` has been called.
-        is_complete_snapshot: Whether it is one, once ``changes`` has been called.
+        table: The endpoint table that the update changes.
+        reader: The reader of the rows; None until it is known whether the update is a complete snapshot.
+        generation: The generation of the update; valid once ``changes`` has been called.
+        is_complete_snapshot: Whether the update is a complete snapshot; valid once ``changes`` has been
+            called.
     """
 
     def __init__(self, table: EndpointTable) -> None:
         self.table = table
         self.reader: snapshot_reader.SnapshotReader | None = None
         self._document = SnapshotDocumentParser(self._on_row)
-        self._early_rows: list[Any] = []  # received before the field ``reset``
+        self._early_rows: list[Any] = []  # rows received before the field ``reset``
         self.generation = 0
         self.is_complete_snapshot = False
 
     @property
     def row_count(self) -> int:
-        """Rows read so far."""
+        """The number of rows read so far."""
         return self._document.row_count
 
     def feed(self, data: bytes) -> bytes | None:
         """Read the next bytes.
 
         Returns:
-            What followed the end of the document; None before its end.
+            The bytes after the end of the document; None before its end.
 
         Raises:
-            DiscoveryError: The document is malformed, or has more rows than ``MAX_LISTED_ENDPOINTS``.
+            DiscoveryError: The document is malformed, or has more than ``MAX_LISTED_ENDPOINTS`` rows.
         """
         return self._document.feed(data)
 
     def changes(self) -> Iterator[RegistryChange]:
-        """Return the changes of the document, once it has ended.
+        """Return the changes of the document after it has ended.
 
         Raises:
             DiscoveryError: A field is missing or malformed.
@@ -57,7 +58,7 @@
             self.generation = int(fields["generation"])
             self.is_complete_snapshot = bool(fields["reset"])
         except (KeyError, TypeError, ValueError, OverflowError) as error:
-            raise DiscoveryError(f"a field is missing or malformed: {error!r}") from error
+            raise DiscoveryError(f"endpoint list has a missing or malformed field: {error!r}") from error
         reader = self.reader or self._begin()
         return reader.changes(self.generation)
 
@@ -69,7 +70,7 @@
         else:
             self._early_rows.append(row)
         if self._document.row_count > snapshot_reader.MAX_LISTED_ENDPOINTS:
-            raise DiscoveryError(f"more than {snapshot_reader.MAX_LISTED_ENDPOINTS} rows")
+            raise DiscoveryError(f"endpoint list has more than {snapshot_reader.MAX_LISTED_ENDPOINTS} rows")
 
     def _begin(self) -> snapshot_reader.SnapshotReader:
         self.reader = snapshot_reader.SnapshotReader(self.table, bool(self._document.fields["reset"]))
--- a/quota_gateway/net/discovery/watch.py
+++ b/quota_gateway/net/discovery/watch.py
@@ -24,12 +24,13 @@
 
 
 class DiscoveryWatcher:
-    """Keeps a watch open at one address, each from where the last one there ended.
+    """Keeps a watch open at one address. Each watch resumes where the previous one ended.
 
     Attributes:
-        address: Where discovery is watched.
-        registry: Reads the updates.
-        generation: The generation read last; None where the next watch asks for the complete snapshot.
+        address: The address of discovery.
+        registry: The endpoint registry, which reads the updates.
+        generation: The generation of the last update read; None if the next watch requests the complete
+            snapshot.
         was_rejected: Whether discovery rejected the last watch.
     """
 
@@ -42,15 +43,15 @@
         jitter_source: random.Random,
         metrics: Metrics,
     ) -> None:
-        """Open the first watch in the next turn of the loop.
+        """Open the first watch in the next iteration of the loop.
 
         Args:
-            address: Where discovery is watched.
-            registry: Reads the updates.
+            address: The address of discovery.
+            registry: The endpoint registry, which reads the updates.
             on_change: Called with the changes of each update, or with a part of them.
             on_unavailable: Called when a watch ends and no update has been read yet.
-            jitter_source: For the waits between watches.
-            metrics: Of the process.
+            jitter_source: The random source for the waits between watches.
+            metrics: The metrics of the process.
         """
         self.address = address
         self.registry = registry
@@ -66,7 +67,7 @@
         self._task = asyncio.get_running_loop().create_task(self._run(), name="discovery watch")
 
     def read_document(self, document: Any, connection: WatchConnection) -> bool:
-        """Read one update at once; return whether its watch goes on."""
+        """Read one update as a whole; return whether its watch stays open."""
         if self._has_ended or connection is not self._connection:
             return False
         try:
@@ -85,10 +86,10 @@
     def on_document_read(
         self, generation: int, is_complete_snapshot: bool, connection: WatchConnection
     ) -> bool:
-        """Take note that an update was read to its end; return whether its watch goes on.
+        """Record that an update was read to its end; return whether its watch stays open.
 
-        Where too many of the nearest endpoints are gone, the complete snapshot is asked for: it alone says
-        which come next.
+        If too many of the nearest endpoints are gone, the watch is closed and the next one requests the
+        complete snapshot, as only that tells which endpoints are the next nearest.
         """
         self._backoff.reset()
         self.generation = generation
@@ -100,13 +101,16 @@
         return False
 
     def reject_document(self, error: DiscoveryError, connection: WatchConnection) -> None:
-        """Log the error, keep what is known, and have the next watch ask for the complete snapshot."""
+        """Log the error and close the watch, but keep the known endpoints.
+
+        The next watch requests the complete snapshot.
+        """
         log.error("malformed discovery document error=%s", error)
         self.generation = None
         connection.close(WatchEndReason.MALFORMED_DOCUMENT)
 
     def end(self) -> None:
-        """Watch no more."""
+        """Stop watching."""
         self._has_ended = True
         self._task.cancel()
         if self._connection:
@@ -130,7 +134,8 @@
         except (OSError, TimeoutError) as error:
             host, port = self.address
             log.warning("discovery not reachable host=%s port=%d error=%r", host, port, error)
-            if self._connection:  # the previous one, or one that was established just after the timeout
+            # This is the previous connection, or one that was established just after the timeout.
+            if self._connection:
                 self._connection.close(WatchEndReason.REPLACED)
 
     def _new_connection(self) -> WatchConnection:
--- a/quota_gateway/net/discovery/watch_connection.py
+++ b/quota_gateway/net/discovery/watch_connection.py
@@ -1,7 +1,7 @@
-"""One watch on discovery: an HTTP exchange with an endless response, an update or a heartbeat a line.
+"""One watch on discovery: an HTTP exchange whose endless response has an update or a heartbeat per line.
 
-How the timeouts follow from the time after which an update counts as notified:
-docs/decisions/discovery-timeouts.md. How long documents are read: docs/decisions/discovery-long-lists.md.
+See docs/decisions/discovery-timeouts.md for how the timeouts follow from the time after which an update
+counts as notified, and docs/decisions/discovery-long-lists.md for how long documents are read.
 """
 
 from __future__ import annotations
@@ -25,15 +25,15 @@
 
 log = logging.getLogger(__name__)
 
-HEARTBEAT_TIMEOUT_S = 4.2  # two heartbeats, which discovery sends every 2 s, are missing
-FIRST_LINE_TIMEOUT_S = 2.5  # of a watch; after two silent ones a third still opens before draining ends
-STREAMING_THRESHOLD_BYTES = 64 * 1024  # a longer document is read in pieces
-PIECE_BYTES = 16 * 1024  # of a long document, read in one turn of the loop
+HEARTBEAT_TIMEOUT_S = 4.2  # Discovery sends a heartbeat every 2 s, so that two are missing by then.
+FIRST_LINE_TIMEOUT_S = 2.5  # After two silent watches, a third one still opens before draining ends.
+STREAMING_THRESHOLD_BYTES = 64 * 1024  # Documents above the threshold are read in pieces.
+PIECE_BYTES = 16 * 1024  # the bytes of a long document that are read in one iteration of the loop
 STATUS_OK = 200
 
 
 class WatchEndReason(Enum):
-    """Why a watch ended, in the words of the log."""
+    """The reason why a watch ended, as the log names it."""
 
     HEARTBEAT_TIMEOUT = "heartbeat_timeout"
     RESPONSE_COMPLETE = "response_complete"
@@ -46,7 +46,7 @@
 
 
 class UpdateReader(Protocol):
-    """The watcher that opened a watch, as far as the watch needs it."""
+    """The part of the watcher's interface that its watch connections use."""
 
     address: Address
     registry: EndpointRegistry
@@ -54,7 +54,7 @@
     metrics: Metrics
 
     def read_document(self, document: Any, connection: WatchConnection) -> bool:
-        """Read one update at once; return whether its watch goes on."""
+        """Read one update as a whole; return whether its watch stays open."""
 
     def deliver(self, change: RegistryChange) -> None:
         """Deliver the changes of an update, or a part of them."""
@@ -62,17 +62,20 @@
     def on_document_read(
         self, generation: int, is_complete_snapshot: bool, connection: WatchConnection
     ) -> bool:
-        """Take note that an update was read to its end; return whether its watch goes on."""
+        """Record that an update was read to its end; return whether its watch stays open."""
 
     def reject_document(self, error: DiscoveryError, connection: WatchConnection) -> None:
-        """Log the error, keep what is known, and have the next watch ask for the complete snapshot."""
+        """Log the error and close the watch, but keep the known endpoints.
+
+        The next watch requests the complete snapshot.
+        """
 
 
 class WatchConnection(asyncio.Protocol):
-    """One HTTP exchange: a chunked response with a JSON object a line, which may be indented.
+    """One HTTP exchange: a chunked response of JSON objects, one per line or indented over many lines.
 
     Attributes:
-        closed: Done once the connection has ended and all that was received has been read.
+        closed: A future that is done once the connection has ended and all received bytes have been read.
     """
 
     def __init__(self, watcher: UpdateReader, target: str) -> None:
@@ -84,8 +87,8 @@
         self._liveness = LivenessTimer(partial(self.close, WatchEndReason.HEARTBEAT_TIMEOUT))
         self._incomplete_line = bytearray()
         self._lines = JsonLineReader()
-        self._long_document: StreamingSnapshotReader | None = None  # while one is read in pieces
-        self._backlog = bytearray()  # of the long document, not read yet
+        self._long_document: StreamingSnapshotReader | None = None  # the long document being read, if any
+        self._backlog = bytearray()  # received bytes of the long document that are not read yet
         self._reading: asyncio.Task[None] | None = None
         self._is_ended = False
         self._is_response_complete = False
@@ -93,7 +96,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Send the request for the endpoint list."""
-        # uvloop's transports are not asyncio.Transport by class: no isinstance here
+        # uvloop's transports do not inherit from asyncio.Transport, so an isinstance check would fail.
         self._transport = cast(asyncio.Transport, transport)
         if self._is_ended:
             self._transport.abort()
@@ -105,7 +108,7 @@
         self._liveness.restart(FIRST_LINE_TIMEOUT_S)
 
     def close(self, reason: WatchEndReason, detail: object = "none") -> None:
-        """End the exchange; what is still received on it is ignored."""
+        """End the exchange; bytes that are still received on it are ignored."""
         if self._is_ended:
             return
         self._is_ended = True
@@ -133,7 +136,7 @@
             self.close(WatchEndReason.REJECTED, status)
 
     def on_body(self, body: bytes) -> None:
-        """Read bytes of the body, at once or behind a long document that is being read."""
+        """Read bytes of the body, or queue them while a long document is being read."""
         if self._parser.get_status_code() != STATUS_OK or self._is_ended:
             return
         if self._long_document:
@@ -143,16 +146,16 @@
             self._read_lines(body)
 
     def on_message_complete(self) -> None:
-        """End the exchange, once all that was received has been read."""
+        """End the exchange once all received bytes have been read."""
         self._is_response_complete = True
         if self._reading is None:
             self.close(WatchEndReason.RESPONSE_COMPLETE)
 
-    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - asyncio.Protocol has it
-        """Report the end of the connection, once all that was received has been read."""
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 (asyncio's signature)
+        """Report the end of the connection once all received bytes have been read."""
         self._is_connection_lost = True
         if self._reading:
-            return  # which calls this again at its end
+            return  # The reading task calls this method again when it ends.
         self._liveness.cancel()
         if not self.closed.done():
             self.closed.set_result(None)
@@ -171,9 +174,10 @@
             self._read_in_pieces(b"\n".join([incomplete, rest]) if incomplete else rest)
 
     def _read_line(self, line: bytes) -> bool:
-        """Read one line; return whether the watch goes on.
+        """Read one line; return whether the watch stays open.
 
-        A document or a heartbeat is a sign of life. Bytes alone are not, as they may never become a document.
+        A document or a heartbeat is a sign of life. Other bytes are not, as they may never complete a
+        document.
         """
         try:
             document = self._lines.add_line(line)
@@ -186,14 +190,14 @@
         return document is HEARTBEAT or self._watcher.read_document(document, self)
 
     def _read_in_pieces(self, beginning: bytes) -> None:
-        """Read a long document, which begins with these bytes, without one long stall of all requests."""
+        """Read a long document that begins with these bytes in pieces, so that it does not stall requests."""
         self._incomplete_line.clear()
         self._backlog = bytearray(beginning)
         self._long_document = StreamingSnapshotReader(self._watcher.registry)
         self._ensure_reading()
 
     def _ensure_reading(self) -> None:
-        """Read the backlog, and receive no more meanwhile: bytes may come faster than they are read."""
+        """Read the backlog, and pause receiving, as bytes may arrive faster than they are read."""
         if self._reading is None:
             if self._transport:
                 self._transport.pause_reading()
@@ -220,7 +224,7 @@
             self._transport.resume_reading()
 
     async def _read_piece(self, document: StreamingSnapshotReader) -> None:
-        """Read one piece; after the last one, deliver the changes of the document, some at a time."""
+        """Read one piece; after the last one, deliver the changes of the document one after the other."""
         piece = bytes(self._backlog[:PIECE_BYTES])
         del self._backlog[:PIECE_BYTES]
         row_count_before = document.row_count
