--- a/quota_gateway/net/discovery/json_lines.py
+++ b/quota_gateway/net/discovery/json_lines.py
@@ -71,8 +71,10 @@
         return text
 
     def _append(self, line: bytes) -> None:
-        bare = STRING.sub(b"", line)
-        self._open_brackets += len(OPENING_BRACKET.findall(bare)) - len(CLOSING_BRACKET.findall(bare))
+        line_without_strings = STRING.sub(b"", line)
+        self._open_brackets += len(OPENING_BRACKET.findall(line_without_strings)) - len(
+            CLOSING_BRACKET.findall(line_without_strings)
+        )
         self._lines.append(line)
         self.size_bytes += len(line)
 
--- a/quota_gateway/net/discovery/snapshot_reader.py
+++ b/quota_gateway/net/discovery/snapshot_reader.py
@@ -85,8 +85,8 @@
         """
         rows_per_change = max(MIN_ROWS_PER_CHANGE, len(self.rows) // MAX_CHANGES_PER_DOCUMENT)
         names = iter(list(self.rows))
-        while some_names := list(islice(names, rows_per_change)):
-            yield self.change(api.UpdateKind.DELTA, self._read_named(some_names), 0)
+        while name_batch := list(islice(names, rows_per_change)):
+            yield self.change(api.UpdateKind.DELTA, self._read_named(name_batch), 0)
         gone = self.replace_endpoints() if self.is_complete else []
         yield self.change(api.UpdateKind.DELTA, gone, generation)
 
--- a/quota_gateway/net/discovery/watch_connection.py
+++ b/quota_gateway/net/discovery/watch_connection.py
@@ -228,11 +228,11 @@
         piece = bytes(self._backlog[:PIECE_BYTES])
         del self._backlog[:PIECE_BYTES]
         row_count_before = document.row_count
-        behind = document.feed(piece)
+        trailing_bytes = document.feed(piece)
         if document.row_count > row_count_before:
             self._liveness.restart(HEARTBEAT_TIMEOUT_S)
         await asyncio.sleep(0)
-        if behind is None:
+        if trailing_bytes is None:
             return
         for change in document.changes():
             if self._is_ended:
@@ -240,7 +240,7 @@
             self._watcher.deliver(change)
             self._liveness.restart(HEARTBEAT_TIMEOUT_S)
             await asyncio.sleep(0)
-        rest = behind + bytes(self._backlog)
+        rest = trailing_bytes + bytes(self._backlog)
         self._long_document = None
         self._backlog.clear()
         if self._watcher.on_document_read(document.generation, document.is_complete_snapshot, self):
