--- a/tests/net/discovery/test_discovery_client.py
+++ b/tests/net/discovery/test_discovery_client.py
@@ -19,7 +19,7 @@
 
 
 def make_client(updates: asyncio.Queue, on_unavailable) -> DiscoveryClient:
-    """A client that puts each update, with the addresses of its endpoints, into the queue."""
+    """Make a client that puts each update, with the addresses of its endpoints, into the queue."""
 
     def put_update(update, addresses):
         updates.put_nowait((update, addresses))
@@ -29,7 +29,7 @@
 
 @asynccontextmanager
 async def running_client():
-    """A running client, the fake discovery that it watches, and the updates it passed on."""
+    """Yield a running client, the fake discovery that it watches, and the queue of its updates."""
     fake = await FakeDiscovery().start()
     updates = asyncio.Queue()
     discovery = make_client(updates, lambda: None)
@@ -50,11 +50,12 @@
         assert update.kind is UpdateKind.CACHED
         assert addresses == {1: ("127.0.0.1", 1), 2: ("127.0.0.1", 2)}
         target, watch = await fake.next_watch()
-        assert target == "/discovery/hosts?watch=1"  # the cached list may be old, or that of another agent
+        # The client does not resume from the cached list, which may be outdated or that of another agent.
+        assert target == "/discovery/hosts?watch=1"
         line = encode_update(
             43, make_instance("s-2", 2, "Terminating"), make_instance("s-3", 3, started_ms=9)
         )
-        for part in (line[:20], line[20:], b"\n"):  # a line over two chunks, then an empty one
+        for part in (line[:20], line[20:], b"\n"):  # one line in two chunks, then an empty line
             watch.write(encode_chunk(part))
         update, addresses = await updates.get()
         assert update.kind is UpdateKind.DELTA
@@ -129,7 +130,7 @@
         instances = malformed_known, malformed_new, 7, draining, make_instance("s-3", 3)
         watch.write(encode_chunk(encode_update(2, *instances, reset=reset)))
         update, addresses = await updates.get()
-        # the draining endpoint and the new one are in the update; the malformed known one stays as it was
+        # The update has the draining endpoint and the new one; the malformed known one stays unchanged.
         assert [(endpoint.server, endpoint.state) for endpoint in update.endpoints] == [
             (1, EndpointLifecycle.READY),
             (2, EndpointLifecycle.DRAINING),
@@ -152,7 +153,7 @@
             update, addresses = await updates.get()
             assert update.version == generation
             assert list(addresses.values()) == [("127.0.0.1", generation)]
-        assert fake.request_targets.empty()  # all on one watch
+        assert fake.request_targets.empty()  # All updates came on one watch.
 
 
 async def test_bytes_that_never_complete_a_document_do_not_restart_the_heartbeat_timeout(monkeypatch):
@@ -162,7 +163,7 @@
         watch.write(encode_chunk(encode_update(5, make_instance("s-1", 1), reset=True)))
         await updates.get()
         watch.write(encode_chunk(b'{"generation":6,"reset":false,"instances":[\n'))
-        while not watch.is_closing():  # whitespace without end, which never completes the document
+        while not watch.is_closing():  # Endless whitespace never completes the document.
             watch.write(encode_chunk(b" \t"))
             await asyncio.sleep(0.02)
         target, watch = await fake.next_watch()
@@ -176,12 +177,12 @@
     monkeypatch.setattr(watch_connection, "FIRST_LINE_TIMEOUT_S", 0.05)
     async with running_client() as (_, fake, updates):
         for _ in range(3):
-            await fake.next_watch()  # silent from its start: it is replaced
+            await fake.next_watch()  # A watch that is silent from its start is replaced.
         _, watch = await fake.next_watch()
         watch.write(encode_chunk(encode_update(5, make_instance("s-1", 1), reset=True)))
         await updates.get()
         await asyncio.sleep(4.0 * watch_connection.FIRST_LINE_TIMEOUT_S)
-        assert fake.request_targets.empty()  # after its first line it may be silent for longer
+        assert fake.request_targets.empty()  # A watch may be silent for longer after its first line.
         watch.write(encode_chunk(encode_update(6, make_instance("s-1", 2))))
         await updates.get()
 
@@ -190,8 +191,8 @@
     backoff = ReconnectBackoff(random.Random(1))
     waits = [backoff.next_wait_s(was_rejected=False) for _ in range(20)]
     assert max(waits) <= reconnect_backoff.MAX_LOCAL_BACKOFF_S
-    # a watch falls silent, and the next one is too, or does not come up: the third one is opened within
-    # the 6 s after which its update counts as notified and the 2 s in which attempts must have ended
+    # One watch falls silent, and the next one is silent too or is not established. The third one is opened
+    # within the 6 s after which an update counts as notified plus the 2 s in which attempts must have ended.
     assert (
         watch_connection.HEARTBEAT_TIMEOUT_S
         + sum(waits[:2])
@@ -264,7 +265,7 @@
     assert [await unavailable.get(), await unavailable.get()] == [1, 2]
     assert updates.empty()
     await updates.get()
-    await wait_until(lambda: opened_watches >= 4)  # further watches are opened after that one has ended
+    await wait_until(lambda: opened_watches >= 4)  # Further watches follow the one with the update.
     assert unavailable.empty()
     discovery.end()
     server.close()
@@ -277,9 +278,9 @@
     last_waits = [waits[-1] for waits in waits_of_gateways]
     first_backoff_s = reconnect_backoff.INITIAL_BACKOFF_S
     assert all(0.5 * first_backoff_s <= wait <= first_backoff_s for wait in first_waits)
-    # after many rejections, forty gateways open ten to twenty watches a second
+    # After many rejections, forty gateways open ten to twenty watches per second.
     assert 10.0 <= sum(1.0 / wait for wait in last_waits) <= 20.0
-    assert max(last_waits) <= 4.0  # well within the ten seconds that each gateway has
+    assert max(last_waits) <= 4.0  # Each wait is well within the ten seconds that a gateway has.
     assert len({round(sum(waits), 2) for waits in waits_of_gateways}) > 30
 
 
@@ -296,7 +297,7 @@
     (second,) = registry.numbers.values()
     registry.read({"generation": 3, "reset": False, "instances": [make_instance("s-2", 2, "Gone")]})
     registry.read({"generation": 3, "reset": False, "instances": [make_instance("s-4", 4)]})
-    assert registry.numbers["s-4"] > second  # attempts at s-2 may still be in flight under its number
+    assert registry.numbers["s-4"] > second  # Attempts on s-2 may still be in flight under its number.
     registry.read({"generation": 3, "reset": True, "instances": [make_instance("s-3", 3)]})
     assert set(registry.numbers) == {"s-3"}
 
@@ -308,7 +309,8 @@
             encode_chunk(encode_update(41, make_instance("s-1", 1), make_instance("s-2", 2), reset=True))
         )
         await updates.get()
-        for generation in (7, 3):  # more than once; versions of different agents can't be compared
+        # The address changes twice. The generations of different agents are not comparable.
+        for generation in (7, 3):
             new_fake = await FakeDiscovery().start()
             discovery.watch(("127.0.0.1", new_fake.port))
             target, new_watch = await new_fake.next_watch()
@@ -326,7 +328,7 @@
             assert sorted(addresses) == [2, 3]
             assert discovery.active.address == ("127.0.0.1", new_fake.port)
             assert discovery.candidate is None
-            await fake.closed_watches.get()  # the old watch has been closed
+            await fake.closed_watches.get()  # The old watch has been closed.
             fake, old_watch = new_fake, new_watch
 
 
--- a/tests/net/discovery/test_discovery_notification.py
+++ b/tests/net/discovery/test_discovery_notification.py
@@ -1,7 +1,7 @@
-"""An update is notified within 6 s of when discovery had it and could be reached, after any faults.
+"""An update is notified within 6 s after discovery has it and can be reached, whatever faults came before.
 
-These tests run on the virtual clock of tests/support/virtual_loop.py: faults that last a minute take a
-moment, and bounds in seconds hold on any machine.
+These tests run on the virtual clock of tests/support/virtual_loop.py: faults that last a minute take little
+real time, and bounds in seconds hold on any machine.
 """
 
 from __future__ import annotations
@@ -19,10 +19,11 @@
 from tests.support.fake_discovery import encode_chunk, encode_update, make_instance
 from tests.support.virtual_loop import VirtualLoop, run_virtual
 
-NOTIFIED_WITHIN_S = 6.0  # STANDING: of the moment in which discovery had a change and could be reached
-NOTIFIED_AFTER_SIGHUP_WITHIN_S = 4.0  # TERMS: the same after SIGHUP
-CONNECT_DELAY_S = 0.9  # that a connection takes to come up
-SLOW_CONNECT_DELAY_S = 1.5  # the same; STANDING has as much for servers
+# STANDING: the time limit for notifying a change, from when discovery has the change and can be reached.
+NOTIFIED_WITHIN_S = 6.0
+NOTIFIED_AFTER_SIGHUP_WITHIN_S = 4.0  # TERMS: the time limit for notifying an update after SIGHUP
+CONNECT_DELAY_S = 0.9  # the time in which a connection is established
+SLOW_CONNECT_DELAY_S = 1.5  # the time in which a slow connection is established, as STANDING has for servers
 LATE_REJECTION_DELAY_S = 2.4
 HEARTBEAT_INTERVAL_S = 2.0
 TEST_TIMEOUT_S = 60.0
@@ -41,13 +42,13 @@
 
 
 class FaultyDiscovery:
-    """A discovery that is up or has one of ``FAULTS``.
+    """A fake discovery that is up or has one of ``FAULTS``.
 
     Attributes:
-        state: "up" or the fault.
-        generation: The version of its endpoint list.
-        port: Where it listens, the same in each state.
-        opened_at_s: The times of the loop at which watches were opened.
+        state: "up" or the current fault.
+        generation: The version of the endpoint list.
+        port: The port on which it listens, the same in each state.
+        opened_at_s: The loop times at which watches were opened.
     """
 
     def __init__(self) -> None:
@@ -66,7 +67,7 @@
         await self._watch_opened.wait()
 
     def break_watches(self, how: str) -> None:
-        """Let all open watches "fall silent", "end", or "are reset"."""
+        """Break all open watches; ``how`` is "fall silent", "end" or "are reset"."""
         for task in list(self._open_watches):
             task.cancel(how)
 
@@ -102,7 +103,7 @@
         writer.close()
 
     async def _respond(self, writer: asyncio.StreamWriter, state: str) -> None:
-        """Answer the request for a watch as in this state."""
+        """Answer the request for a watch as discovery does in this state."""
         if state == "rejects late":
             await asyncio.sleep(LATE_REJECTION_DELAY_S)
         match state:
@@ -128,7 +129,10 @@
         task.add_done_callback(self._open_watches.discard)
 
     async def _send_updates(self, writer: asyncio.StreamWriter) -> None:
-        """Send each version of the list, and heartbeats; a cancellation says how the watch breaks."""
+        """Send each version of the list, and heartbeats, until the task is cancelled.
+
+        The argument of the cancellation tells how the watch breaks.
+        """
         sent_generation = 0
         try:
             while not writer.is_closing():
@@ -161,7 +165,7 @@
         self._update_received.set()
 
     async def received_at(self, version: int) -> float:
-        """When it was notified of this version, which may still have to come."""
+        """Wait until this version is notified; return the loop time of its notification."""
         async with asyncio.timeout(TEST_TIMEOUT_S):
             while version not in self.received_at_s:
                 self._update_received.clear()
@@ -170,7 +174,7 @@
 
 
 async def recover(discovery: FaultyDiscovery, recorder: UpdateRecorder) -> float:
-    """Let discovery recover with an update; the seconds until that is notified."""
+    """Let discovery recover with an update; return the seconds until the update is notified."""
     await discovery.set_state("up")
     discovery.publish_update()
     recovered_at_s = asyncio.get_running_loop().time()
@@ -181,7 +185,7 @@
 
 
 async def start(seed: int) -> tuple[VirtualLoop, FaultyDiscovery, UpdateRecorder]:
-    """The loop, a discovery that is up, and a recorder that has its first list."""
+    """Return the loop, a discovery that is up, and a recorder that has its first list."""
     loop = asyncio.get_running_loop()
     assert isinstance(loop, VirtualLoop)
     discovery = FaultyDiscovery()
@@ -193,7 +197,7 @@
 
 
 async def wait_after_chain_of_faults(seed: int) -> float:
-    """Seconds to the notification after a chain of faults that is drawn from the seed."""
+    """Return the seconds until the notification after a random chain of faults."""
     draw = random.Random(seed)
     loop, discovery, recorder = await start(seed)
     await asyncio.sleep(draw.uniform(0.5, 10.0))
@@ -206,7 +210,10 @@
 
 
 async def wait_after_watch_opened(state: str, connect_delay_s: float, seed: int) -> float:
-    """Seconds to the notification where discovery recovers just after a watch was opened in a long fault."""
+    """Return the seconds until the notification after a long fault.
+
+    Discovery recovers just after a watch was opened.
+    """
     loop, discovery, recorder = await start(seed)
     loop.connect_delay_s = connect_delay_s
     await discovery.set_state(state)
@@ -234,7 +241,10 @@
 
 
 async def wait_after_silence(seed: int) -> float:
-    """Seconds to the notification where watches fall silent just before an update, and can be reopened."""
+    """Return the seconds until the notification if watches fall silent just before an update.
+
+    New watches can be opened at once.
+    """
     loop, discovery, recorder = await start(seed)
     await asyncio.sleep(random.Random(seed).uniform(0.0, 4.0))
     loop.connect_delay_s = SLOW_CONNECT_DELAY_S
@@ -248,7 +258,11 @@
 
 
 async def waits_after_address_change(state: str, seed: int) -> tuple[float, float]:
-    """Seconds to the notification after a change to an agent that is up, and after a faulty one recovers."""
+    """Change the address to an agent that is up, then to a faulty one that recovers.
+
+    Returns:
+        The seconds until the notification after the first change, and after the recovery.
+    """
     loop, old, recorder = await start(seed)
     new = FaultyDiscovery()
     third = FaultyDiscovery()
@@ -280,7 +294,7 @@
 
 
 async def watches_opened_by_fleet(gateways: int, state: str) -> list[float]:
-    """The times at which a fleet opens watches, 15 to 25 seconds after all of its watches were reset."""
+    """Return when a fleet opens watches, in loop time, 15 to 25 seconds after all its watches were reset."""
     discovery = FaultyDiscovery()
     await discovery.set_state("up")
     recorders = [UpdateRecorder(seed) for seed in range(gateways)]
@@ -303,4 +317,4 @@
     opened_at_s = run_virtual(watches_opened_by_fleet(200, state))
     assert len(opened_at_s) / 10.0 <= 200 / 2.5
     opened_in_tenths = Counter(int(10.0 * opened_s) for opened_s in opened_at_s)
-    assert max(opened_in_tenths.values()) <= 200 / 6  # though all began at the same time
+    assert max(opened_in_tenths.values()) <= 200 / 6  # All gateways began at the same time.
--- a/tests/net/discovery/test_endpoint_row.py
+++ b/tests/net/discovery/test_endpoint_row.py
@@ -1,4 +1,4 @@
-"""One row of discovery's list: what it may hold, and that nothing is numbered before all of it is checked."""
+"""Rows of discovery's list: valid, optional and malformed fields. Only a valid row gives a number."""
 
 import pytest
 
--- a/tests/net/discovery/test_json_lines.py
+++ b/tests/net/discovery/test_json_lines.py
@@ -1,4 +1,4 @@
-"""Documents found in lines: one a line or indented over many, heartbeats between them."""
+"""JSON documents in a stream of lines: one per line or indented over many, with heartbeats between them."""
 
 import pytest
 
--- a/tests/net/discovery/test_large_endpoint_lists.py
+++ b/tests/net/discovery/test_large_endpoint_lists.py
@@ -1,4 +1,4 @@
-"""Endpoint lists of any length: read in pieces, reduced to a subset, updated at the cost of the change."""
+"""Endpoint lists of any length are read in pieces and reduced to a subset; an update costs by its changes."""
 
 import asyncio
 import json
@@ -34,22 +34,22 @@
 
 GATEWAYS = 3800
 SERVERS = 38_000
-SUBSET_SIZE = 256  # of each of so many gateways
-SMALL_SUBSET = Subset(380, 17, min_size=16)  # of a fleet that has many gateways beside few servers
+SUBSET_SIZE = 256  # the size of each gateway's subset in a fleet of ``GATEWAYS``
+SMALL_SUBSET = Subset(380, 17, min_size=16)  # the subset in a fleet of many gateways and few servers
 
 
 def make_instances(*numbers: int, **fields):
-    """Endpoints as discovery lists them, one for each number."""
+    """Make an endpoint for each number, as discovery lists it."""
     return [make_instance(f"s-{number:06d}", 1 + number % 60_000, **fields) for number in numbers]
 
 
 def instance_names(numbers) -> list[str]:
-    """The names of the endpoints of these numbers."""
+    """Return the names of the endpoints with these numbers."""
     return [instance["instanceId"] for instance in make_instances(*numbers)]
 
 
 def watch_endpoints(subset: Subset, port: int):
-    """A client, and by name the lifecycle of each endpoint, as the updates that it passes on add up."""
+    """Start a client; return it, and the lifecycles of its endpoints by name, kept up to date."""
     known: dict[str, EndpointLifecycle] = {}
 
     def apply_update(update, addresses):
@@ -68,7 +68,7 @@
 
 
 async def wait_until_read(discovery: DiscoveryClient, generation: int) -> int:
-    """Wait until this version has been read; how many turns of the loop other tasks had meanwhile."""
+    """Wait until this generation has been read; return the iterations of the loop that this took."""
     turns = 0
     async with asyncio.timeout(30.0):
         while not (discovery.active and discovery.active.generation == generation):
@@ -79,7 +79,7 @@
 
 @asynccontextmanager
 async def client_of_thousand_endpoints():
-    """A client that has read a list of 1,000 endpoints; its fake discovery, its watch, known endpoints."""
+    """Yield a client that has read a list of 1,000 endpoints; its discovery, watch and known endpoints."""
     fake = await FakeDiscovery().start()
     discovery, known = watch_endpoints(SMALL_SUBSET, fake.port)
     _, watch = await fake.next_watch()
@@ -92,7 +92,7 @@
 
 
 def nearest_names(subset: Subset, names, count: int) -> set[str]:
-    """So many of the names, the nearest to the gateway."""
+    """Return the ``count`` names that are nearest to the gateway."""
     return set(sorted(names, key=subset.distance)[:count])
 
 
@@ -104,10 +104,11 @@
     snapshot = encode_update(7, *make_instances(*range(SERVERS)), reset=True)
     watch.write(encode_chunk(snapshot))
     turns = await wait_until_read(discovery, 7)
-    assert turns >= len(snapshot) / watch_connection.PIECE_BYTES  # other tasks had a turn after each piece
+    # Other tasks run after each piece.
+    assert turns >= len(snapshot) / watch_connection.PIECE_BYTES
     nearest = nearest_names(subset, instance_names(range(SERVERS)), 2 * SUBSET_SIZE)
     assert set(known) == nearest == set(discovery.registry.rows)
-    # of an endpoint that is not near, the name alone is kept: no row, no number, no update
+    # Only the name is kept of an endpoint that is not near: it has no row, no number and no update.
     assert len(discovery.registry.other_names) == SERVERS - 2 * SUBSET_SIZE
     assert len(discovery.registry.numbers) == 2 * SUBSET_SIZE
     watch.write(encode_chunk(encode_update(8, *make_instances(SERVERS + 1, *range(0, 200)))))
@@ -143,7 +144,7 @@
         target, watch = await fake.next_watch()
         assert target == "/discovery/hosts?watch=1&from=1"
         assert known == before
-        # a response that ends after its list is read to its end
+        # A list is read to its end even if the response ends right after it.
         watch.write(
             encode_chunk(encode_update(2, *make_instances(*range(5000, 7000)), reset=True)) + b"0\r\n\r\n"
         )
@@ -204,7 +205,7 @@
 
 
 def read_in_pieces(registry: EndpointRegistry, document, indent, cut_bytes: int):
-    """The endpoints of a document that is read in pieces of so many bytes; None if it is malformed."""
+    """Read a document in pieces of ``cut_bytes``; return its endpoints, or None if it is malformed."""
     reader = StreamingSnapshotReader(registry)
     text = json.dumps(document, indent=indent).encode() + b"\nrest"
     try:
@@ -288,12 +289,16 @@
 
 
 def make_endpoints(count: int) -> tuple[Endpoint, ...]:
-    """So many ready endpoints, numbered from 1."""
+    """Make ``count`` ready endpoints, numbered from 1."""
     return tuple(Endpoint(number, "a", name=f"s-{number}") for number in range(1, count + 1))
 
 
 def make_large_fleet_harness() -> tuple[EngineHarness, list[int]]:
-    """A gateway of a large fleet that knows its subset and reserve, and their numbers, the nearest first."""
+    """Make a gateway of a large fleet that knows its subset and its reserve.
+
+    Returns:
+        The harness, and the numbers of the servers in subset and reserve, the nearest first.
+    """
     harness = EngineHarness(LARGE_FLEET)
     known = make_endpoints(2 * SUBSET_SIZE)
     harness.do(EndpointUpdate(UpdateKind.SNAPSHOT, known, 1, SERVERS))
@@ -304,7 +309,7 @@
 
 
 def ready_servers(harness: EngineHarness) -> set[int]:
-    """The numbers of the servers that the gateway works with."""
+    """Return the numbers of the servers that the gateway works with."""
     return {server.id for server in harness.gateway.endpoints.ready}
 
 
@@ -335,7 +340,7 @@
 
 @contextmanager
 def only_ready_server(harness: EngineHarness, server: int):
-    """Let requests go to this server alone."""
+    """Make this server the only one that requests go to."""
     endpoints = harness.gateway.endpoints
     ready = endpoints.ready
     endpoints.ready = [state for state in ready if state.id == server]
@@ -344,7 +349,7 @@
 
 
 def eject(harness: EngineHarness, server: int) -> None:
-    """Let requests to this server fail until it is ejected as an outlier."""
+    """Fail requests to this server until it is ejected as an outlier."""
     for _ in range(4):
         harness.count += 1
         name = f"f{harness.count}"
@@ -360,14 +365,13 @@
     for server in ranked[:5]:
         eject(harness, server)
     assert ready_servers(harness) == set(ranked[: SUBSET_SIZE + 5])
-    harness.do(EndpointUpdate(UpdateKind.DELTA, (), 2, SERVERS))  # replacements outlast an update
+    harness.do(EndpointUpdate(UpdateKind.DELTA, (), 2, SERVERS))  # Replacements stay after an update.
     assert ready_servers(harness) == set(ranked[: SUBSET_SIZE + 5])
     harness.run(60_000.0)
-    for _ in range(100):  # the other servers are healthy
+    for _ in range(100):  # The other servers are healthy.
         harness.finish(harness.ask(class_name="unsafe"))
-    harness.gateway.mechanisms.clock.attempts += 100 * len(
-        ranked
-    )  # enough for each server to have had attempts since
+    # These attempts are enough for each server to have had some since the ejection.
+    harness.gateway.mechanisms.clock.attempts += 100 * len(ranked)
     harness.do(EndpointUpdate(UpdateKind.DELTA, (), 3, SERVERS))
     assert ready_servers(harness) == set(ranked[:SUBSET_SIZE])
 
@@ -392,7 +396,7 @@
     """A gateway of a large fleet whose endpoint list changes all the time, with requests in flight.
 
     Attributes:
-        moved_attempts: Attempts at a server that was not of the first subset.
+        moved_attempts: The number of attempts on servers outside the first subset.
     """
 
     def __init__(self, seed: int) -> None:
@@ -406,7 +410,7 @@
         self.first_subset = ready_servers(self)
 
     def update_servers(self, numbers: list[int], *, is_snapshot: bool) -> None:
-        """Let discovery list these servers: all there are in a snapshot, or those that changed."""
+        """Apply an update with these servers: all servers in a snapshot, otherwise those that changed."""
         started_ms = int(self.now) if self.random.random() < 0.3 else 0
         instances = [
             make_instance(f"s-{number}", 1, self.lifecycles[number], started_ms) for number in numbers
@@ -415,7 +419,7 @@
         self.do(self.registry.read(document).update)
 
     def do(self, event) -> list:
-        """Check that each attempt goes to a server that is ready and in the subset."""
+        """Handle an event; check that each attempt goes to a server that is ready and in the subset."""
         actions = super().do(event)
         for action in actions:
             if isinstance(action, StartAttempt):
@@ -429,7 +433,7 @@
         self.moved_attempts += attempt.server not in self.first_subset
 
     def step(self) -> None:
-        """One random event: a request, an outcome, a change of the list, or time that passes."""
+        """Run one random event (a request, an outcome or a change of the list), then let time pass."""
         draw = self.random.random()
         if draw < 0.4:
             self._ask()
@@ -443,7 +447,7 @@
         self.run(self.random.uniform(0.0, 40.0))
 
     def attempts_in_flight(self) -> list[tuple[str, int]]:
-        """The request and the number of each attempt in flight."""
+        """Return the request and the number of each attempt in flight."""
         return [
             (name, attempt)
             for name, request in self.gateway.requests.items()
@@ -494,7 +498,8 @@
         peer.send(encode_call(1))
         await slow.wait_until(lambda: len(slow.commands) == 1)
         await other.start()
-        gone = replace(slow.endpoint(1)[0], state=EndpointLifecycle.GONE), ("", 0)  # no longer in the subset
+        # The slow server is no longer in the subset.
+        gone = replace(slow.endpoint(1)[0], state=EndpointLifecycle.GONE), ("", 0)
         gateway.update_endpoints(gone, other.endpoint(2), kind=UpdateKind.DELTA)
         assert await (await gateway.connect_client()).request(encode_call(2)) == b"0000000000000002"
         slow.writers[0].write(b"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
--- a/tests/net/discovery/test_registry_state.py
+++ b/tests/net/discovery/test_registry_state.py
@@ -1,4 +1,4 @@
-"""The endpoint registry on the channel between two processes, also of different versions."""
+"""The endpoint registry's state on the channel between two processes, also of different versions."""
 
 import json
 
@@ -10,8 +10,8 @@
 from quota_gateway.net.discovery.registry_state import RegistryState
 from tests.support.fake_discovery import make_instance
 
-# Recorded from the version before these modules were split (commit 4431b5a): s-1 and s-2 were listed, s-1
-# went, s-3 came, s-1 was taken out by operators.
+# The state that the version before these modules were split (commit 4431b5a) exported: s-1 and s-2 were
+# listed, s-1 was removed, s-3 was added, and operators detached s-1.
 RECORDED = (
     '{"rows": [{"instanceId": "s-2", "hostPort": "127.0.0.1:2", "zone": "a", "machineType": "m"'
     ', "cell": 0, "lifecycle": "Ready", "weight": 1.0, "startedAtMs": 0}, {"instanceId": "s-3",'
@@ -58,7 +58,7 @@
     assert change.addresses == {2: ("127.0.0.1", 2), 3: ("127.0.0.1", 3)}
     assert registry.numbers == {"s-2": 2, "s-3": 3}
     assert registry.absent == {"s-1": 1}
-    assert registry.number_of("s-4") == 4  # no number is given twice
+    assert registry.number_of("s-4") == 4  # No number is assigned twice.
     assert json.dumps(RegistryState.from_json(json.loads(RECORDED)).to_json()) == RECORDED
 
 
--- a/tests/net/discovery/test_start_times.py
+++ b/tests/net/discovery/test_start_times.py
@@ -1,4 +1,4 @@
-"""Starts of servers by the gateway's clock, where the wall clock was set meanwhile."""
+"""Start times of servers by the gateway's clock, also if the wall clock was set in the meantime."""
 
 import time
 
@@ -22,7 +22,7 @@
         monkeypatch.setattr(time, "time", lambda: self.now_s + step_s)
 
     def __call__(self):
-        """Give the gateway's time in milliseconds."""
+        """Return the gateway's time in milliseconds."""
         return 1000.0 * self.now_s
 
 
@@ -32,7 +32,7 @@
     clock = SteppedClock(monkeypatch, step_s)
     reported_ms = 1000.0 * (NOW_S - AGE_S + (step_s if is_set_everywhere else 0.0))
     age_ms = clock() - StartTimes(clock).by_gateway_clock("s", reported_ms)
-    assert 0.0 <= age_ms <= 1000.0 * AGE_S  # it may pass for younger where both readings are possible
+    assert 0.0 <= age_ms <= 1000.0 * AGE_S  # The server may seem younger if both clocks are possible.
 
 
 @pytest.mark.parametrize("step_s", [HOUR_S, -HOUR_S])
--- a/tests/net/upstream/test_reply_parser.py
+++ b/tests/net/upstream/test_reply_parser.py
@@ -1,4 +1,4 @@
-"""The meaning of servers' replies."""
+"""Parsing of the replies of servers."""
 
 from quota_gateway import AttemptStatus
 from quota_gateway.net.upstream.attempt import UpstreamReply
--- a/tests/net/upstream/test_upstream_pool.py
+++ b/tests/net/upstream/test_upstream_pool.py
@@ -165,7 +165,7 @@
         loop = asyncio.get_running_loop()
         accepted, _ = await loop.sock_accept(listener)
         await loop.sock_recv(accepted, 1)
-        accepted.close()  # with bytes unread: a reset
+        accepted.close()  # A close with unread bytes resets the connection.
         assert await recorder.status() is AttemptStatus.CONNECT_FAILED
         listener.close()
 
@@ -192,7 +192,7 @@
             await loop.sock_sendall(accepted, encode_reply(b"v"))
             assert await recorder.status() is AttemptStatus.OK
             accepted.close()
-            gateway.upstream_pool.start(1, recorder.attempt())  # before the loop could see the end
+            gateway.upstream_pool.start(1, recorder.attempt())  # The loop has not seen the end yet.
             accepted, _ = await loop.sock_accept(listener)
             await loop.sock_recv(accepted, 1000)
             await loop.sock_sendall(accepted, encode_reply(b"v"))
@@ -242,7 +242,8 @@
         (kept,) = gateway.upstream_pool.connections
         assert kept.attempt
         await server.wait_until(lambda: server.closed_connections == 1)
-        server.writers[1].write(encode_reply(b"v"))  # what is out may finish, its connection is not kept
+        # The attempt in flight may finish, but its connection is not kept.
+        server.writers[1].write(encode_reply(b"v"))
         assert await recorder.status() is AttemptStatus.OK
         assert not gateway.upstream_pool.connections
         await server.wait_until(lambda: server.closed_connections == 2)
@@ -295,7 +296,7 @@
     with socket.create_server(("127.0.0.1", 0), backlog=0) as listener:
         port = listener.getsockname()[1]
         full = []
-        for _ in range(3):  # the backlog is full: what comes now gets no answer
+        for _ in range(3):  # These connections fill the backlog, so that a further one is not accepted.
             full.append(socket.socket())
             full[-1].setblocking(False)
             full[-1].connect_ex(("127.0.0.1", port))
@@ -325,7 +326,7 @@
         monkeypatch.setattr(gateway.driver.attempts, "clock", lambda: usual() + ahead)
         client.send(encode_call(1))
         await wait_until(lambda: bool(gateway.upstream_pool.connections))
-        ahead = 1500.0  # as if connecting had taken so long
+        ahead = 1500.0  # The clock shows that connecting took this long.
         up.set()
         assert await client.read_reply() == b"0000000000000001"
         fields = dict(part.split(b"=") for part in server.commands[0][3].split(b","))
