--- a/tests/net/upstream/test_reply_parser.py
+++ b/tests/net/upstream/test_reply_parser.py
@@ -6,13 +6,13 @@
 
 
 def test_usage_and_load_reports_are_parsed_from_replies_and_error_lines():
-    read = ReplyParser(("utilisation", "queue"), 1.0).parse
-    assert read([b"v", b"used=37,cost=4", b"inflight=7,queue=2,util=0.61"]) == UpstreamReply(
+    parse = ReplyParser(("utilisation", "queue"), 1.0).parse
+    assert parse([b"v", b"used=37,cost=4", b"inflight=7,queue=2,util=0.61"]) == UpstreamReply(
         AttemptStatus.OK, b"v", 37.0, 4.0, (0.61, 2.0)
     )
-    assert read([b"v", None, None]) == UpstreamReply(AttemptStatus.OK, b"v")
-    assert read("ERR failed used=120 util=0.5,queue=3") == UpstreamReply(
+    assert parse([b"v", None, None]) == UpstreamReply(AttemptStatus.OK, b"v")
+    assert parse("ERR failed used=120 util=0.5,queue=3") == UpstreamReply(
         AttemptStatus.ERROR, None, 120.0, None, (0.5, 3.0)
     )
-    assert read("BUSY used=9") == UpstreamReply(AttemptStatus.OVERLOADED, None, 9.0)
-    assert read([b"v", b"used=x,,=,nan", b"util=0.5"]) == UpstreamReply(AttemptStatus.OK, b"v")
+    assert parse("BUSY used=9") == UpstreamReply(AttemptStatus.OVERLOADED, None, 9.0)
+    assert parse([b"v", b"used=x,,=,nan", b"util=0.5"]) == UpstreamReply(AttemptStatus.OK, b"v")
--- a/tests/net/upstream/test_upstream_pool.py
+++ b/tests/net/upstream/test_upstream_pool.py
@@ -88,8 +88,8 @@
     async with run_gateway(server) as gateway:
         assert await (await gateway.connect_client()).request(encode_call(1)) == b"0000000000000001"
         (customer,) = gateway.driver.engine.customers.values()
-        (known,) = gateway.driver.engine.endpoints.by_id.values()
-        assert customer.usage == customer.excess == known.queue_length == 0.0
+        (endpoint_state,) = gateway.driver.engine.endpoints.by_id.values()
+        assert customer.usage == customer.excess == endpoint_state.queue_length == 0.0
 
 
 @pytest.mark.parametrize(
@@ -280,12 +280,12 @@
     server = FakeUpstream()
     async with run_gateway(server) as gateway:
 
-        def none_left(*_):
+        def raise_no_descriptors(*_):
             raise OSError(errno.EMFILE, "too many open files")
 
         recorder = AttemptRecorder()
         with monkeypatch.context() as patch:
-            patch.setattr(upstream_connection.socket, "socket", none_left)
+            patch.setattr(upstream_connection.socket, "socket", raise_no_descriptors)
             gateway.upstream_pool.start(1, recorder.attempt())
             assert await recorder.status() is AttemptStatus.CONNECT_FAILED
         gateway.upstream_pool.start(1, recorder.attempt())
@@ -295,39 +295,39 @@
 async def test_connect_timeout_is_connect_failed():
     with socket.create_server(("127.0.0.1", 0), backlog=0) as listener:
         port = listener.getsockname()[1]
-        full = []
+        queued_clients = []
         for _ in range(3):  # These connections fill the backlog, so that a further one is not accepted.
-            full.append(socket.socket())
-            full[-1].setblocking(False)
-            full[-1].connect_ex(("127.0.0.1", port))
+            queued_clients.append(socket.socket())
+            queued_clients[-1].setblocking(False)
+            queued_clients[-1].connect_ex(("127.0.0.1", port))
         async with run_gateway(limits=GatewayLimits(connect_timeout_ms=50.0)) as gateway:
             gateway.update_endpoints((Endpoint(1, "a"), ("127.0.0.1", port)))
             recorder = AttemptRecorder()
             gateway.upstream_pool.start(1, recorder.attempt())
             assert await recorder.status() is AttemptStatus.CONNECT_FAILED
             assert not gateway.upstream_pool.connections
-        for client in full:
+        for client in queued_clients:
             client.close()
 
 
-async def test_server_is_sent_the_timeout_that_remains_once_the_connection_is_up(monkeypatch):
-    up, open_connection = asyncio.Event(), upstream_connection.UpstreamConnection.open
+async def test_command_carries_the_timeout_that_remains_once_the_connection_is_established(monkeypatch):
+    may_connect, open_connection = asyncio.Event(), upstream_connection.UpstreamConnection.open
 
     async def open_late(self):
-        await up.wait()
+        await may_connect.wait()
         await open_connection(self)
 
     monkeypatch.setattr(upstream_connection.UpstreamConnection, "open", open_late)
 
     server = FakeUpstream()
     async with run_gateway(server) as gateway:
-        client, ahead = await gateway.connect_client(), 0.0
-        usual = gateway.driver.clock
-        monkeypatch.setattr(gateway.driver.attempts, "clock", lambda: usual() + ahead)
+        client, clock_ahead_ms = await gateway.connect_client(), 0.0
+        original_clock = gateway.driver.clock
+        monkeypatch.setattr(gateway.driver.attempts, "clock", lambda: original_clock() + clock_ahead_ms)
         client.send(encode_call(1))
         await wait_until(lambda: bool(gateway.upstream_pool.connections))
-        ahead = 1500.0  # The clock shows that connecting took this long.
-        up.set()
+        clock_ahead_ms = 1500.0  # The clock shows that connecting took this long.
+        may_connect.set()
         assert await client.read_reply() == b"0000000000000001"
         fields = dict(part.split(b"=") for part in server.commands[0][3].split(b","))
         assert 0 < int(fields[b"d"]) <= 4000 - 1500
