--- a/tests/net/discovery/test_discovery_notification.py
+++ b/tests/net/discovery/test_discovery_notification.py
@@ -184,7 +184,7 @@
     return wait_s
 
 
-async def start(seed: int) -> tuple[VirtualLoop, FaultyDiscovery, UpdateRecorder]:
+async def start_watched_discovery(seed: int) -> tuple[VirtualLoop, FaultyDiscovery, UpdateRecorder]:
     """Return the loop, a discovery that is up, and a recorder that has its first list."""
     loop = asyncio.get_running_loop()
     assert isinstance(loop, VirtualLoop)
@@ -199,7 +199,7 @@
 async def wait_after_chain_of_faults(seed: int) -> float:
     """Return the seconds until the notification after a random chain of faults."""
     draw = random.Random(seed)
-    loop, discovery, recorder = await start(seed)
+    loop, discovery, recorder = await start_watched_discovery(seed)
     await asyncio.sleep(draw.uniform(0.5, 10.0))
     for _ in range(draw.randint(1, 4)):
         loop.connect_delay_s = draw.choice((0.0, draw.uniform(0.0, CONNECT_DELAY_S)))
@@ -214,7 +214,7 @@
 
     Discovery recovers just after a watch was opened.
     """
-    loop, discovery, recorder = await start(seed)
+    loop, discovery, recorder = await start_watched_discovery(seed)
     loop.connect_delay_s = connect_delay_s
     await discovery.set_state(state)
     discovery.break_watches("end")
@@ -245,7 +245,7 @@
 
     New watches can be opened at once.
     """
-    loop, discovery, recorder = await start(seed)
+    loop, discovery, recorder = await start_watched_discovery(seed)
     await asyncio.sleep(random.Random(seed).uniform(0.0, 4.0))
     loop.connect_delay_s = SLOW_CONNECT_DELAY_S
     discovery.break_watches("fall silent")
@@ -263,7 +263,7 @@
     Returns:
         The seconds until the notification after the first change, and after the recovery.
     """
-    loop, old, recorder = await start(seed)
+    loop, old, recorder = await start_watched_discovery(seed)
     new = FaultyDiscovery()
     third = FaultyDiscovery()
     for discovery in (new, third):
--- a/tests/net/discovery/test_endpoint_row.py
+++ b/tests/net/discovery/test_endpoint_row.py
@@ -25,8 +25,8 @@
 
 
 def test_fields_that_may_be_missing_have_defaults():
-    needed = {key: ROW[key] for key in ("instanceId", "hostPort", "zone", "lifecycle")}
-    endpoint = parse_row(needed, {"s-1": 7}.__getitem__).endpoint
+    required = {key: ROW[key] for key in ("instanceId", "hostPort", "zone", "lifecycle")}
+    endpoint = parse_row(required, {"s-1": 7}.__getitem__).endpoint
     assert endpoint == Endpoint(7, "a", "", 0, EndpointLifecycle.DRAINING, 1.0, 0.0, "s-1")
 
 
--- a/tests/net/discovery/test_large_endpoint_lists.py
+++ b/tests/net/discovery/test_large_endpoint_lists.py
@@ -69,12 +69,12 @@
 
 async def wait_until_read(discovery: DiscoveryClient, generation: int) -> int:
     """Wait until this generation has been read; return the iterations of the loop that this took."""
-    turns = 0
+    loop_iterations = 0
     async with asyncio.timeout(30.0):
         while not (discovery.active and discovery.active.generation == generation):
             await asyncio.sleep(0)
-            turns += 1
-    return turns
+            loop_iterations += 1
+    return loop_iterations
 
 
 @asynccontextmanager
@@ -103,9 +103,9 @@
     _, watch = await fake.next_watch()
     snapshot = encode_update(7, *make_instances(*range(SERVERS)), reset=True)
     watch.write(encode_chunk(snapshot))
-    turns = await wait_until_read(discovery, 7)
+    loop_iterations = await wait_until_read(discovery, 7)
     # Other tasks run after each piece.
-    assert turns >= len(snapshot) / watch_connection.PIECE_BYTES
+    assert loop_iterations >= len(snapshot) / watch_connection.PIECE_BYTES
     nearest = nearest_names(subset, instance_names(range(SERVERS)), 2 * SUBSET_SIZE)
     assert set(known) == nearest == set(discovery.registry.rows)
     # Only the name is kept of an endpoint that is not near: it has no row, no number and no update.
@@ -204,13 +204,13 @@
 DOCUMENTS = st.lists(st.tuples(st.booleans(), INSTANCES), min_size=1, max_size=5)
 
 
-def read_in_pieces(registry: EndpointRegistry, document, indent, cut_bytes: int):
-    """Read a document in pieces of ``cut_bytes``; return its endpoints, or None if it is malformed."""
+def read_in_pieces(registry: EndpointRegistry, document, indent, piece_bytes: int):
+    """Read a document in pieces of ``piece_bytes``; return its endpoints, or None if it is malformed."""
     reader = StreamingSnapshotReader(registry)
     text = json.dumps(document, indent=indent).encode() + b"\nrest"
     try:
-        for start in range(0, len(text), cut_bytes):
-            unread = reader.feed(text[start : start + cut_bytes])
+        for start in range(0, len(text), piece_bytes):
+            unread = reader.feed(text[start : start + piece_bytes])
             if unread is not None:
                 break
         assert unread is not None
@@ -223,14 +223,14 @@
 
 @settings(deadline=None, max_examples=60)
 @given(DOCUMENTS, st.sampled_from([None, 2]), st.integers(1, 400))
-def test_list_read_in_pieces_gives_the_same_as_one_read_at_once(documents, indent, cut):
+def test_list_read_in_pieces_gives_the_same_as_one_read_at_once(documents, indent, piece_bytes):
     at_once = EndpointRegistry(SMALL_SUBSET)
     in_pieces = EndpointRegistry(SMALL_SUBSET)
     known = {}
     for generation, (reset, drawn) in enumerate(documents):
         instances = [{**make_instances(number)[0], **changed} for number, changed in drawn]
         document = {"generation": generation, "reset": reset, "instances": instances}
-        endpoints = read_in_pieces(in_pieces, document, indent, cut)
+        endpoints = read_in_pieces(in_pieces, document, indent, piece_bytes)
         try:
             update = at_once.read(document).update
         except DiscoveryError:
@@ -396,7 +396,7 @@
     """A gateway of a large fleet whose endpoint list changes all the time, with requests in flight.
 
     Attributes:
-        moved_attempts: The number of attempts on servers outside the first subset.
+        attempts_outside_first_subset: The number of attempts on servers outside the first subset.
     """
 
     def __init__(self, seed: int) -> None:
@@ -405,7 +405,7 @@
         self.registry = EndpointRegistry(SMALL_SUBSET)
         self.random = random.Random(seed)
         self.lifecycles = dict.fromkeys(range(400), "Ready")
-        self.moved_attempts = 0
+        self.attempts_outside_first_subset = 0
         self.update_servers(sorted(self.lifecycles), is_snapshot=True)
         self.first_subset = ready_servers(self)
 
@@ -430,7 +430,7 @@
         (name,) = [name for name, number in self.registry.numbers.items() if number == attempt.server]
         assert self.registry.rows[name]["lifecycle"] == "Ready"
         assert attempt.server in ready_servers(self)
-        self.moved_attempts += attempt.server not in self.first_subset
+        self.attempts_outside_first_subset += attempt.server not in self.first_subset
 
     def step(self) -> None:
         """Run one random event (a request, an outcome or a change of the list), then let time pass."""
@@ -488,14 +488,14 @@
             harness.finish(name, AttemptStatus.CANCELLED, attempt)
     assert not harness.gateway.requests
     assert len(harness.answers) == harness.count
-    assert harness.moved_attempts >= 10
+    assert harness.attempts_outside_first_subset >= 10
 
 
 async def test_reply_of_an_endpoint_that_left_the_subset_is_served_and_retries_go_elsewhere():
     slow, other = FakeUpstream(lambda _: None), FakeUpstream()
     async with run_gateway(slow) as gateway:
-        peer = await gateway.connect_client()
-        peer.send(encode_call(1))
+        first_client = await gateway.connect_client()
+        first_client.send(encode_call(1))
         await slow.wait_until(lambda: len(slow.commands) == 1)
         await other.start()
         # The slow server is no longer in the subset.
@@ -503,6 +503,6 @@
         gateway.update_endpoints(gone, other.endpoint(2), kind=UpdateKind.DELTA)
         assert await (await gateway.connect_client()).request(encode_call(2)) == b"0000000000000002"
         slow.writers[0].write(b"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
-        assert await peer.read_reply() == b"v"
+        assert await first_client.read_reply() == b"v"
         assert len(slow.commands) == 1
         await wait_until(lambda: not gateway.driver.active_requests)
--- a/tests/net/discovery/test_registry_state.py
+++ b/tests/net/discovery/test_registry_state.py
@@ -12,7 +12,7 @@
 
 # The state that the version before these modules were split (commit 4431b5a) exported: s-1 and s-2 were
 # listed, s-1 was removed, s-3 was added, and operators detached s-1.
-RECORDED = (
+RECORDED_STATE = (
     '{"rows": [{"instanceId": "s-2", "hostPort": "127.0.0.1:2", "zone": "a", "machineType": "m"'
     ', "cell": 0, "lifecycle": "Ready", "weight": 1.0, "startedAtMs": 0}, {"instanceId": "s-3",'
     ' "hostPort": "127.0.0.1:3", "zone": "a", "machineType": "m", "cell": 0, "lifecycle": "Read'
@@ -38,12 +38,12 @@
 
 
 def test_exported_state_is_to_the_byte_what_the_version_before_wrote():
-    assert json.dumps(registry_with_history().export_state()) == RECORDED
+    assert json.dumps(registry_with_history().export_state()) == RECORDED_STATE
 
 
 def test_state_that_the_version_before_wrote_is_restored():
     registry = EndpointRegistry()
-    known_list = registry.restore_state(json.loads(RECORDED))
+    known_list = registry.restore_state(json.loads(RECORDED_STATE))
     assert registry.detached == {"s-1"}
     change = registry.read(known_list, is_cached=True)
     assert change.update == EndpointUpdate(
@@ -59,7 +59,7 @@
     assert registry.numbers == {"s-2": 2, "s-3": 3}
     assert registry.absent == {"s-1": 1}
     assert registry.number_of("s-4") == 4  # No number is assigned twice.
-    assert json.dumps(RegistryState.from_json(json.loads(RECORDED)).to_json()) == RECORDED
+    assert json.dumps(RegistryState.from_json(json.loads(RECORDED_STATE)).to_json()) == RECORDED_STATE
 
 
 @pytest.mark.parametrize(
@@ -78,13 +78,13 @@
     registry = registry_with_history()
     before = json.dumps(registry.export_state())
     with pytest.raises(StateError, match="endpoint registry"):
-        registry.restore_state({**json.loads(RECORDED), **changes})
+        registry.restore_state({**json.loads(RECORDED_STATE), **changes})
     assert json.dumps(registry.export_state()) == before
 
 
 @pytest.mark.parametrize("key", ["rows", "numbers", "absent", "barred"])
 def test_state_without_one_of_its_keys_is_rejected(key):
-    document = json.loads(RECORDED)
+    document = json.loads(RECORDED_STATE)
     del document[key]
     with pytest.raises(StateError, match=key):
         EndpointRegistry().restore_state(document)
--- a/tests/net/discovery/test_start_times.py
+++ b/tests/net/discovery/test_start_times.py
@@ -27,10 +27,10 @@
 
 
 @pytest.mark.parametrize("step_s", [0.0, HOUR_S, -HOUR_S, 7.0, -7.0])
-@pytest.mark.parametrize("is_set_everywhere", [False, True])
-def test_server_that_has_just_started_is_as_old_as_it_is(monkeypatch, step_s, is_set_everywhere):
+@pytest.mark.parametrize("is_server_clock_set_too", [False, True])
+def test_server_that_has_just_started_is_as_old_as_it_is(monkeypatch, step_s, is_server_clock_set_too):
     clock = SteppedClock(monkeypatch, step_s)
-    reported_ms = 1000.0 * (NOW_S - AGE_S + (step_s if is_set_everywhere else 0.0))
+    reported_ms = 1000.0 * (NOW_S - AGE_S + (step_s if is_server_clock_set_too else 0.0))
     age_ms = clock() - StartTimes(clock).by_gateway_clock("s", reported_ms)
     assert 0.0 <= age_ms <= 1000.0 * AGE_S  # The server may seem younger if both clocks are possible.
 
