--- a/tests/net/discovery/test_discovery_client.py
+++ b/tests/net/discovery/test_discovery_client.py
@@ -228,7 +228,7 @@
         b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
     ],
 )
-async def test_watch_is_retried_after_a_response_that_is_no_watch(response):
+async def test_watch_is_retried_after_a_response_that_is_not_a_watch(response):
     requests = asyncio.Queue()
 
     async def respond(reader, writer):
@@ -244,7 +244,7 @@
     server.close()
 
 
-async def test_unavailable_is_notified_for_each_rejected_watch_until_an_update_has_come():
+async def test_unavailable_is_notified_for_each_rejected_watch_until_the_first_update():
     opened_watches = 0
     unavailable = asyncio.Queue()
     updates = asyncio.Queue()
--- a/tests/net/discovery/test_endpoint_row.py
+++ b/tests/net/discovery/test_endpoint_row.py
@@ -54,5 +54,5 @@
 
 
 @pytest.mark.parametrize("row", [None, [], "s-1", {}, {"instanceId": "n" * (MAX_NAME_CHARACTERS + 1)}])
-def test_row_without_a_usable_name_has_none(row):
+def test_name_of_a_row_without_a_valid_name_is_none(row):
     assert name_in(row) is None
--- a/tests/net/discovery/test_json_lines.py
+++ b/tests/net/discovery/test_json_lines.py
@@ -27,17 +27,17 @@
     assert read_all(b"{", rb'"a\"{": "[{"', b"}") == [None, None, {'a"{': "[{"}]
 
 
-def test_null_tells_nothing_and_is_no_heartbeat():
+def test_null_document_is_ignored_and_is_not_a_heartbeat():
     assert read_all(b"null", b"{}") == [None, {}]
 
 
 @pytest.mark.parametrize("lines", [[b"{", b""], [b"}"], [b"{", b"]"], [b"\xff"], [b"{", b'"a" 1}']])
-def test_lines_of_which_no_document_can_come_are_rejected(lines):
+def test_lines_that_cannot_form_a_document_are_rejected(lines):
     with pytest.raises(DiscoveryError):
         read_all(*lines)
 
 
-def test_incomplete_document_is_handed_over_and_the_reader_begins_anew():
+def test_incomplete_document_is_returned_and_the_reader_starts_a_new_one():
     reader = JsonLineReader()
     reader.add_line(b"{")
     reader.add_line(b'"a":')
--- a/tests/net/discovery/test_large_endpoint_lists.py
+++ b/tests/net/discovery/test_large_endpoint_lists.py
@@ -118,7 +118,7 @@
     discovery.end()
 
 
-async def test_later_snapshot_replaces_the_list_though_it_is_passed_on_in_parts():
+async def test_later_snapshot_replaces_the_list_though_it_is_delivered_in_parts():
     async with client_of_thousand_endpoints() as (discovery, _, watch, known):
         before = set(known)
         watch.write(
@@ -166,7 +166,7 @@
         b'{"generation":2,\n"reset":true,\n"instances":[\n' + b" \t{}," * 20_000 + b"\n\n",
     ],
 )
-async def test_malformed_long_document_is_rejected_and_the_list_before_is_kept(malformed):
+async def test_malformed_long_document_is_rejected_and_the_previous_list_is_kept(malformed):
     async with client_of_thousand_endpoints() as (_, fake, watch, known):
         before = dict(known)
         watch.write(encode_chunk(malformed))
@@ -376,7 +376,7 @@
     assert ready_servers(harness) == set(ranked[:SUBSET_SIZE])
 
 
-def test_gateway_whose_complete_subset_refuses_connections_still_serves_by_its_reserve():
+def test_gateway_whose_complete_subset_refuses_connections_serves_from_its_reserve():
     harness, ranked = make_large_fleet_harness()
     down = set(ranked[:SUBSET_SIZE])
     served = 0
--- a/tests/net/discovery/test_registry_state.py
+++ b/tests/net/discovery/test_registry_state.py
@@ -37,11 +37,11 @@
     return registry
 
 
-def test_exported_state_is_to_the_byte_what_the_version_before_wrote():
+def test_exported_state_is_byte_for_byte_that_of_the_previous_version():
     assert json.dumps(registry_with_history().export_state()) == RECORDED_STATE
 
 
-def test_state_that_the_version_before_wrote_is_restored():
+def test_state_exported_by_the_previous_version_is_restored():
     registry = EndpointRegistry()
     known_list = registry.restore_state(json.loads(RECORDED_STATE))
     assert registry.detached == {"s-1"}
--- a/tests/net/discovery/test_start_times.py
+++ b/tests/net/discovery/test_start_times.py
@@ -28,7 +28,9 @@
 
 @pytest.mark.parametrize("step_s", [0.0, HOUR_S, -HOUR_S, 7.0, -7.0])
 @pytest.mark.parametrize("is_server_clock_set_too", [False, True])
-def test_server_that_has_just_started_is_as_old_as_it_is(monkeypatch, step_s, is_server_clock_set_too):
+def test_age_of_a_server_that_has_just_started_is_not_overestimated(
+    monkeypatch, step_s, is_server_clock_set_too
+):
     clock = SteppedClock(monkeypatch, step_s)
     reported_ms = 1000.0 * (NOW_S - AGE_S + (step_s if is_server_clock_set_too else 0.0))
     age_ms = clock() - StartTimes(clock).by_gateway_clock("s", reported_ms)
@@ -36,7 +38,7 @@
 
 
 @pytest.mark.parametrize("step_s", [HOUR_S, -HOUR_S])
-def test_start_stays_what_it_was_when_the_clock_is_set_later(monkeypatch, step_s):
+def test_start_time_is_kept_when_the_wall_clock_is_set_later(monkeypatch, step_s):
     clock = SteppedClock(monkeypatch, 0.0)
     start_times = StartTimes(clock)
     reported_ms = 1000.0 * (NOW_S - AGE_S)
@@ -47,7 +49,7 @@
     assert start_times.by_gateway_clock("s", 0.0) == 0.0
 
 
-def test_start_that_no_clock_has_come_to_counts_from_now_on(monkeypatch):
+def test_start_time_in_the_future_is_replaced_by_the_current_time(monkeypatch):
     clock = SteppedClock(monkeypatch, 0.0)
     start_times = StartTimes(clock)
     started_ms = start_times.by_gateway_clock("s", 1000.0 * (NOW_S + HOUR_S))
@@ -56,7 +58,7 @@
     assert start_times.by_gateway_clock("s", 1000.0 * (NOW_S + HOUR_S)) == started_ms
 
 
-def test_registry_tells_the_policy_the_translated_start(monkeypatch):
+def test_registry_gives_the_policy_engine_the_translated_start_time(monkeypatch):
     clock = SteppedClock(monkeypatch, HOUR_S)
     registry = EndpointRegistry(start_times=StartTimes(clock))
     row = make_instance("s-1", 1, started_ms=int(1000.0 * (NOW_S + HOUR_S - AGE_S)))
@@ -64,7 +66,7 @@
     assert change.update.endpoints[0].started_ms == pytest.approx(1000.0 * (NOW_S - AGE_S))
 
 
-def test_clock_that_was_adopted_goes_on_from_the_other_process(monkeypatch):
+def test_adopted_clock_continues_the_clock_of_the_other_process(monkeypatch):
     old = Clock()
     wall_s = time.time()
     monkeypatch.setattr(time, "time", lambda: wall_s + HOUR_S)
