--- a/quota_gateway/net/discovery/json_lines.py
+++ b/quota_gateway/net/discovery/json_lines.py
@@ -71,10 +71,8 @@
         return text
 
     def _append(self, line: bytes) -> None:
-        line_without_strings = STRING.sub(b"", line)
-        self._open_brackets += len(OPENING_BRACKET.findall(line_without_strings)) - len(
-            CLOSING_BRACKET.findall(line_without_strings)
-        )
+        unquoted = STRING.sub(b"", line)
+        self._open_brackets += len(OPENING_BRACKET.findall(unquoted)) - len(CLOSING_BRACKET.findall(unquoted))
         self._lines.append(line)
         self.size_bytes += len(line)
 
--- a/quota_gateway/net/discovery/registry_state.py
+++ b/quota_gateway/net/discovery/registry_state.py
@@ -49,8 +49,8 @@
         try:
             state = cls(
                 rows=list(document[ROWS_KEY]),
-                numbers=_numbers(document[NUMBERS_KEY].items()),
-                absent=_numbers(document[ABSENT_KEY].items()),
+                numbers=_parse_numbers(document[NUMBERS_KEY].items()),
+                absent=_parse_numbers(document[ABSENT_KEY].items()),
                 detached={str(name) for name in document[DETACHED_KEY]},
             )
         except (KeyError, TypeError, ValueError, AttributeError) as error:
@@ -72,5 +72,5 @@
         raise StateError(f"the exported endpoint registry has no number for detached {unnumbered!r:.200}")
 
 
-def _numbers(items: Iterable[tuple[Any, Any]]) -> dict[str, int]:
+def _parse_numbers(items: Iterable[tuple[Any, Any]]) -> dict[str, int]:
     return {str(name): int(number) for name, number in items}
--- a/quota_gateway/net/discovery/streaming_snapshot_reader.py
+++ b/quota_gateway/net/discovery/streaming_snapshot_reader.py
@@ -59,20 +59,20 @@
             self.is_complete_snapshot = bool(fields["reset"])
         except (KeyError, TypeError, ValueError, OverflowError) as error:
             raise DiscoveryError(f"endpoint list has a missing or malformed field: {error!r}") from error
-        reader = self.reader or self._begin()
+        reader = self.reader or self._create_reader()
         return reader.changes(self.generation)
 
     def _on_row(self, row: Any) -> None:
         if self.reader is not None:
             self.reader.add_row(row)
         elif "reset" in self._document.fields:
-            self._begin().add_row(row)
+            self._create_reader().add_row(row)
         else:
             self._early_rows.append(row)
         if self._document.row_count > snapshot_reader.MAX_LISTED_ENDPOINTS:
             raise DiscoveryError(f"endpoint list has more than {snapshot_reader.MAX_LISTED_ENDPOINTS} rows")
 
-    def _begin(self) -> snapshot_reader.SnapshotReader:
+    def _create_reader(self) -> snapshot_reader.SnapshotReader:
         self.reader = snapshot_reader.SnapshotReader(self.table, bool(self._document.fields["reset"]))
         for row in self._early_rows:
             self.reader.add_row(row)
