--- a/quota_gateway/net/discovery/json_lines.py
+++ b/quota_gateway/net/discovery/json_lines.py
@@ -63,7 +63,7 @@
         return self._parse(self.take_incomplete())
 
     def take_incomplete(self) -> bytes:
-        """Return the lines of the incomplete document, for another reader, and start a new document."""
+        """Return the lines collected so far as one text, and start a new document."""
         text = b"\n".join(self._lines)
         self._lines = []
         self._open_brackets = 0
--- a/tests/net/discovery/test_discovery_notification.py
+++ b/tests/net/discovery/test_discovery_notification.py
@@ -197,7 +197,7 @@
 
 
 async def wait_after_chain_of_faults(seed: int) -> float:
-    """Return the seconds until the notification after a random chain of faults."""
+    """Return the seconds until the notification after a chain of faults that is drawn from the seed."""
     draw = random.Random(seed)
     loop, discovery, recorder = await start_watched_discovery(seed)
     await asyncio.sleep(draw.uniform(0.5, 10.0))
--- a/tests/net/discovery/test_endpoint_row.py
+++ b/tests/net/discovery/test_endpoint_row.py
@@ -1,4 +1,4 @@
-"""Rows of discovery's list: valid, optional and malformed fields. Only a valid row gives a number."""
+"""Rows of discovery's list: valid, optional and malformed fields; only a valid row gets a number."""
 
 import pytest
 
--- a/tests/net/discovery/test_large_endpoint_lists.py
+++ b/tests/net/discovery/test_large_endpoint_lists.py
@@ -1,4 +1,4 @@
-"""Endpoint lists of any length are read in pieces and reduced to a subset; an update costs by its changes."""
+"""Endpoint lists of any length: read in pieces, reduced to a subset, updated at the cost of each change."""
 
 import asyncio
 import json
@@ -68,7 +68,7 @@
 
 
 async def wait_until_read(discovery: DiscoveryClient, generation: int) -> int:
-    """Wait until this generation has been read; return the iterations of the loop that this took."""
+    """Wait until this generation has been read; return how many iterations of the loop that took."""
     loop_iterations = 0
     async with asyncio.timeout(30.0):
         while not (discovery.active and discovery.active.generation == generation):
