--- a/tests/net/discovery/test_endpoint_row.py
+++ b/tests/net/discovery/test_endpoint_row.py
@@ -1,4 +1,4 @@
-"""One row of discovery's list: what it may hold, and that nothing is numbered before all of it is checked."""
+"""Rows of discovery's list: valid, optional and malformed fields; only a valid row gets a number."""
 
 import pytest
 
@@ -25,8 +25,8 @@
 
 
 def test_fields_that_may_be_missing_have_defaults():
-    needed = {key: ROW[key] for key in ("instanceId", "hostPort", "zone", "lifecycle")}
-    endpoint = parse_row(needed, {"s-1": 7}.__getitem__).endpoint
+    required = {key: ROW[key] for key in ("instanceId", "hostPort", "zone", "lifecycle")}
+    endpoint = parse_row(required, {"s-1": 7}.__getitem__).endpoint
     assert endpoint == Endpoint(7, "a", "", 0, EndpointLifecycle.DRAINING, 1.0, 0.0, "s-1")
 
 
@@ -54,5 +54,5 @@
 
 
 @pytest.mark.parametrize("row", [None, [], "s-1", {}, {"instanceId": "n" * (MAX_NAME_CHARACTERS + 1)}])
-def test_row_without_a_usable_name_has_none(row):
+def test_name_of_a_row_without_a_valid_name_is_none(row):
     assert name_in(row) is None
