--- a/tests/policy/test_protocol_rules.py
+++ b/tests/policy/test_protocol_rules.py
@@ -35,7 +35,7 @@
 NOT_EXECUTED = [AttemptStatus.OVERLOADED, AttemptStatus.CONNECT_FAILED]
 POSSIBLY_EXECUTED = [AttemptStatus.ERROR, AttemptStatus.TIMEOUT, AttemptStatus.RESET]
 
-# lets the attempt in flight of a request fail
+# A function that makes the attempt in flight of a request fail.
 FailAttempt = Callable[[EngineHarness, str], None]
 
 
@@ -127,7 +127,8 @@
 
 def test_keyed_is_failed_outside_its_idempotency_window(harness):
     request_id = harness.ask(class_name="keyed", timeout_ms=3900.0)
-    harness.gateway.requests[request_id].tried_endpoints.clear()  # the window alone decides
+    # Without tried endpoints, only the idempotency window prevents a retry.
+    harness.gateway.requests[request_id].tried_endpoints.clear()
     harness.now += 3000.0
     harness.finish(request_id, AttemptStatus.ERROR)
     assert len(harness.sent[request_id]) == 1
@@ -181,16 +182,17 @@
     for _ in range(100):
         harness.finish(harness.ask())
         harness.run(20.0)
-    # 50 requests a second of 50 ms each: about 25 a second at each warm endpoint from here. The warming
-    # endpoint may get 0.7 of its overload factor of 3, times a capacity share of 0.2 to 0.36, of that rate
+    # This gateway forwards 50 requests a second of 50 ms each, about 25 a second to each warm endpoint. Of
+    # that rate the warming endpoint may get 0.7 times the overload factor of 3, times its capacity share,
+    # which grows from 0.2 to 0.36.
     sent_to_warming = sum(1 for servers in harness.sent.values() if servers == [3])
     assert sent_to_warming <= 0.7 * 3.0 * 0.36 * 25 * 2
 
 
 @pytest.mark.parametrize("gateways", [3, 60, 230])
 def test_warming_endpoint_gets_its_share_from_all_gateways_together(gateways):
-    # even share 1/10, initial capacity share 0.2, 0.33 x 3 of it: 1.98% of 6,000 requests, all at the first
-    # instant
+    # The even share of one of ten endpoints is 1/10. Times the initial capacity share of 0.2 and 0.33 of the
+    # overload factor of 3, that is 1.98% of the 6,000 requests, which are all sent at the same time.
     sent_to_warming = 0
     for index in range(gateways):
         harness = EngineHarness(replace(SETTINGS, gateways=gateways, index=index), seed=index)
@@ -210,7 +212,7 @@
     harness.servers(make_endpoint(1, started_ms=harness.now))
     request_ids = [harness.ask() for _ in range(40)]
     sent_before = len(harness.sent)
-    for _ in range(50):  # every endpoint update tries all queued requests again
+    for _ in range(50):  # each endpoint update schedules all queued requests again
         harness.servers(make_endpoint(1, started_ms=harness.now), kind=UpdateKind.DELTA)
     assert len(harness.sent) == sent_before < len(request_ids) / 2
 
@@ -221,7 +223,7 @@
 def test_ceiling_starts_empty_and_fills_at_its_share(harness):
     request_ids = [harness.ask("ceiling") for _ in range(3)]
     assert not any(request_id in harness.sent for request_id in request_ids)
-    harness.run(250.0)  # 5 units a second for this gateway
+    harness.run(250.0)  # the share of this gateway refills by 5 units a second
     assert sum(request_id in harness.sent for request_id in request_ids) == 1
 
 
@@ -231,14 +233,15 @@
     harness.run(10_000.0)
     for _ in range(200):
         harness.ask("ceiling")
-    assert len(harness.sent) <= 10  # a burst of 20 over two gateways
+    assert len(harness.sent) <= 10  # the burst of 20 units is divided between two gateways
     harness.run(1000.0)
     assert len(harness.sent) <= 10 + 5 + 1
 
 
 @pytest.mark.parametrize("gateways", [2, 10, 200])
 def test_ceiling_holds_over_all_gateways_though_one_restarts_empty(gateways):
-    # burst 20, 10 a second, slack 2, over a set of two to ten gateways; all of them have demand all the time
+    # The ceiling has a burst of 20 units, a rate of 10 units a second and a slack of 2 units. Two to ten
+    # gateways share it, and all of them have demand at all times.
     gateway_set_size = min(gateways, 10)
     start_times_ms = []
     for index in range(gateway_set_size):
@@ -261,7 +264,7 @@
         level = refilled - 1.0
         updated_ms = time_ms
         assert level >= -2.0
-    assert len(start_times_ms) >= 30, "the ceiling has to be used: 60 units refill in six seconds"
+    assert len(start_times_ms) >= 30, "fewer than 30 of the 60 units that refill in six seconds were used"
 
 
 # Beyond the rules: overload
@@ -280,13 +283,14 @@
     high_priority = harness.ask(class_name="dear")
     assert high_priority not in harness.answers
     assert len(harness.answers) == shed_before + 1
-    for request_id in forwarded[:2]:  # the draw decides over the last of a limit; two ends admit any request
+    # The random draw of a request decides about the last slot; two free slots admit any request.
+    for request_id in forwarded[:2]:
         harness.finish(request_id)
     assert high_priority in harness.sent
 
 
 def test_slow_answers_do_not_stop_forwarding(harness):
-    # mean latency above the objective: nothing may be delayed any more; what needs no delay is forwarded
+    # With a mean latency above the objective no request may be delayed, but one without a delay is forwarded.
     for _ in range(60):
         request_id = harness.ask("metered")
         if request_id in harness.sent:
@@ -325,18 +329,19 @@
 
 def test_all_gateways_together_keep_few_in_flight_before_anything_is_known():
     forwarded = 0
-    for index in range(100):  # six an endpoint over all gateways: 0.6 for each gateway with ten endpoints
+    # Six attempts for each of ten endpoints, over 100 gateways, are an initial limit of 0.6 for a gateway.
+    for index in range(100):
         harness = EngineHarness(replace(SETTINGS, gateways=100, index=index), seed=index)
         harness.servers(*(make_endpoint(number) for number in range(10)), kind=UpdateKind.CACHED)
         for _ in range(5):
             forwarded += harness.ask() in harness.sent
-    # each of five requests is forwarded with probability 0.6 while none is in flight: at 1 - 0.4 ** 5, or
-    # 99%, of the gateways one is, and at none two are
+    # While no attempt is in flight, each of the five requests is forwarded with probability 0.6. So one
+    # request is forwarded by 1 - 0.4 ** 5, or 99%, of the gateways, and two by none of them.
     assert forwarded <= 100
 
 
 def harness_with_limit_of_six() -> EngineHarness:
-    """Ten endpoints, six attempts each over ten gateways: six in flight at once from here."""
+    """A harness of one of ten gateways with ten endpoints: its share of six attempts per endpoint is six."""
     harness = EngineHarness(replace(SETTINGS, gateways=10))
     harness.servers(*(make_endpoint(number) for number in range(10)), kind=UpdateKind.CACHED)
     return harness
@@ -347,14 +352,16 @@
     request_ids = [harness.ask() for _ in range(6)]
     harness.finish(request_ids[0], latency=1001.0)  # half of the latency objective is 1000 ms
     assert harness.gateway.mechanisms.concurrency.limit == pytest.approx(6.0 - 0.3)
-    harness.finish(request_ids[1], latency=50.0)  # one of five within 5.7: one more would not have fitted
+    # Five attempts are in flight under a limit of 5.7, which does not admit a sixth: the limit is used up.
+    harness.finish(request_ids[1], latency=50.0)
     assert harness.gateway.mechanisms.concurrency.limit == pytest.approx(5.7 + 0.035)
-    harness.finish(request_ids[2], latency=50.0)  # one of four: one more would have, so nothing is shown
+    # Four attempts are in flight and a fifth would be admitted: the limit is not used up.
+    harness.finish(request_ids[2], latency=50.0)
     assert harness.gateway.mechanisms.concurrency.limit == pytest.approx(5.7 + 0.035)
 
 
 def harness_with_learned_sizes() -> EngineHarness:
-    """The same, having learned that requests of four units take 1,000 ms longer than those of one."""
+    """A harness with a limit of six, whose mean latency is 1,000 ms more for four units than for one."""
     harness = harness_with_limit_of_six()
     for units, latency in ((1, 100.0), (4, 1100.0)):
         for _ in range(40):
@@ -369,7 +376,7 @@
     harness = harness_with_learned_sizes()
     harness.finish(harness.ask(units=4), latency=1300.0)
     assert harness.gateway.mechanisms.concurrency.limit == pytest.approx(6.0)
-    # more than half of the objective beyond what four units add
+    # A latency of 2100 ms is more than half of the objective above the 1,000 ms that four units add.
     harness.finish(harness.ask(units=4), latency=2100.0)
     assert harness.gateway.mechanisms.concurrency.limit == pytest.approx(6.0 - 0.3)
     harness.finish(harness.ask(units=1), latency=1300.0)
@@ -385,7 +392,7 @@
     with_failures = {number for number, endpoint in endpoints.items() if endpoint.failures}
     assert with_failures >= set(harness.sent[small])
     assert not with_failures & set(harness.sent[large])
-    harness.run(900.0)  # beyond the objective, yet only two mean latencies of its size
+    harness.run(900.0)  # 2,400 ms exceed the objective, but are only about two mean latencies of this size
     assert large not in harness.answers
     assert len(harness.sent[large]) == 1
 
@@ -406,7 +413,8 @@
 def test_a_retry_after_a_failed_connection_is_free_and_one_after_a_rejection_is_not():
     harness = make_harness(limits=GatewayLimits(max_attempts=5, can_cancel=True))
     harness.servers(*(make_endpoint(number) for number in range(60)))
-    for _ in range(40):  # as after a start from a cached snapshot, most of whose servers are gone
+    # Connections fail like this after a start from a cached snapshot if most of its servers are gone.
+    for _ in range(40):
         request_id = harness.ask()
         for _ in range(4):
             harness.finish(request_id, AttemptStatus.CONNECT_FAILED)
@@ -441,26 +449,26 @@
 
 
 def count_at_endpoint_0(harness: EngineHarness, **request_fields: str) -> int:
-    """How many of twenty requests at once are forwarded to endpoint 0; an even share would be five."""
+    """How many of twenty simultaneous requests go to endpoint 0; an even share would be five."""
     request_ids = [harness.ask(**request_fields) for _ in range(20)]
     return sum(harness.sent[request_id][0] == 0 for request_id in request_ids)
 
 
 def reset_without_answer(harness: EngineHarness, request_id: str) -> None:
-    """Let an attempt go without an answer for half of the latency objective and then reset."""
+    """Reset the connection of an attempt that has had no answer for half of the latency objective."""
     harness.run(1000.0)
     harness.finish(request_id, AttemptStatus.RESET, latency=1000.0)
-    # a reset also counts against the endpoint as a whole, which is not meant here
+    # A reset also counts as a failure for all requests. It is removed, as only the class is tested here.
     harness.gateway.endpoints.by_id[0].failures.pop("", None)
 
 
 def answer_overloaded(harness: EngineHarness, request_id: str) -> None:
-    """Answer an attempt with the status of an overloaded server."""
+    """End an attempt with the status of an overloaded server."""
     harness.finish(request_id, AttemptStatus.OVERLOADED)
 
 
 def fail_connection(harness: EngineHarness, request_id: str) -> None:
-    """Let the connection of an attempt fail."""
+    """End an attempt with a failed connection."""
     harness.finish(request_id, AttemptStatus.CONNECT_FAILED)
 
 
@@ -522,7 +530,7 @@
 
 
 def harness_with_silent_attempt(class_name: str, mean_latency_ms: float) -> tuple[EngineHarness, str]:
-    """A harness with this mean latency of a class, and its request that is in flight without an answer."""
+    """A harness with this mean latency for a class, and the id of its request that gets no answer."""
     harness = harness_with_endpoints(2)
     harness.gateway.mechanisms.latencies.means[class_name][1] = LatencyMean(mean_latency_ms, 1)
     return harness, harness.ask(class_name=class_name)
@@ -547,7 +555,7 @@
 
 def test_attempt_as_slow_as_the_mean_suggests_is_waited_for():
     harness, request_id = harness_with_silent_attempt("unsafe", 400.0)
-    harness.run(3000.0)  # 7.5 mean latencies
+    harness.run(3000.0)  # 7.5 mean latencies; after eight the attempt is presumed lost
     assert request_id not in harness.answers
 
 
@@ -556,7 +564,7 @@
     harness.servers(make_endpoint(1), make_endpoint(2))
     first = harness.ask("only-cap")
     second = harness.ask("only-cap")
-    harness.run(1500.0)  # less than the objective by more than a mean latency
+    harness.run(1500.0)  # the latency objective ends more than a mean latency later
     assert second not in harness.answers
     assert second not in harness.sent
     harness.finish(first)
@@ -573,9 +581,8 @@
     assert len(harness.sent[request_id]) == 2
     assert not second_endpoint.failures
     request_id = harness.ask()
-    harness.finish(
-        request_id, AttemptStatus.OVERLOADED
-    )  # without an error before it, other endpoints may have capacity
+    # Without an error before it, a rejection is retried, as other endpoints may have capacity.
+    harness.finish(request_id, AttemptStatus.OVERLOADED)
     assert request_id not in harness.answers
     assert len(harness.sent[request_id]) == 2
 
@@ -583,13 +590,13 @@
 # Slow start: which requests a warming endpoint gets
 
 EIGHTEEN_SECOND_WARM_UP = ServiceRules(8.0, 500.0, 0.19, 18_000.0, 2.5, 3000.0, 10_000.0)
-# warm-up of eleven days: the capacity shares stay as they are
+# A warm-up of eleven days, so that capacity shares stay constant during a test.
 LONG_WARM_UP_FROM_HALF = ServiceRules(8.0, 500.0, 0.5, 1e9, 3.0, 2000.0, 10_000.0)
 LONG_WARM_UP_FROM_A_FIFTH = ServiceRules(8.0, 500.0, 0.2, 1e9, 3.0, 2000.0, 10_000.0)
 
 
 def harness_with_four_warming() -> EngineHarness:
-    """One warm endpoint, and four that stay at a fifth of their capacity."""
+    """A harness with one warm endpoint, and four that stay at a fifth of their capacity."""
     harness = make_harness(contract=LONG_WARM_UP_FROM_A_FIFTH)
     warming = [make_endpoint(number, started_ms=harness.now) for number in (2, 3, 4, 5)]
     harness.servers(make_endpoint(1), *warming)
@@ -597,7 +604,7 @@
 
 
 def pending_request(harness: EngineHarness, draw: float) -> PendingRequest:
-    """A pending request with this draw."""
+    """A pending request with this random draw."""
     request = Request("r", "safe", "free", "c", 1000.0)
     customer = CustomerState(harness.now, 0.0)
     return PendingRequest(request, CLASSES[0], PLANS[3], customer, harness.now, draw)
@@ -610,7 +617,7 @@
 
 
 def set_relative_latency(harness: EngineHarness, endpoint: EndpointState, relative_latency: float) -> None:
-    """Set what the engine has learned of an endpoint's latency, as of now."""
+    """Set the relative latency of an endpoint, as if it had been updated now."""
     endpoint.relative_latency = relative_latency
     endpoint.relative_latency_at = Moment(harness.now, 0)
 
@@ -619,9 +626,10 @@
     harness = harness_with_four_warming()
     endpoints = harness.gateway.endpoints.by_id
     set_relative_latency(harness, endpoints[3], 0.2)
-    set_relative_latency(harness, endpoints[4], 5.0)  # as slow as a fifth of its capacity makes it
+    set_relative_latency(harness, endpoints[4], 5.0)  # its capacity share of a fifth explains this latency
     chosen = choose_for_every_draw(harness)
-    # 0.111 by capacity, 0.2 of 1.8; but 0.12 overloads it, as 0.08 does in a burst of half as much again
+    # By capacity, each would get 0.2 of 1.8, or 0.111 of the requests. But a share of 0.12 overloads it, and
+    # in a burst of 1.5 times the traffic a share of 0.08 does.
     assert all(55 <= chosen.count(endpoints[number]) <= 65 for number in (2, 3, 4, 5))
 
 
@@ -638,7 +646,7 @@
 
 
 def test_draw_ranges_of_warming_endpoints_stay_while_they_warm_up():
-    # if they moved, a request that is queued or retried would come into the range of the next endpoint, too
+    # If ranges moved, a request that is queued or retried could fall into the range of a second endpoint.
     harness = make_harness(contract=EIGHTEEN_SECOND_WARM_UP)
     harness.servers(*(make_endpoint(number, started_ms=harness.now) for number in range(1, 12)))
     endpoints = harness.gateway.endpoints
@@ -656,8 +664,8 @@
 
 
 def test_fleet_gives_warming_endpoints_their_share_though_each_gateway_has_met_few_of_them():
-    # 40 gateways, 24 warm endpoints and 36 at half their capacity; each gateway has had a few quick answers
-    # from warming endpoints, each from another one
+    # There are 40 gateways, 24 warm endpoints and 36 at half their capacity. Each gateway has had a few fast
+    # responses from warming endpoints, each from a different one.
     warm = range(1, 25)
     warming = range(25, 61)
     counts: Counter[int] = Counter()
@@ -671,10 +679,12 @@
         for request_number in range(200):
             request_id = harness.ask()
             endpoint = harness.sent[request_id][0]
-            counts[endpoint] += request_number >= 100  # once it has met a few
+            # Requests count only after the gateway has used some warming endpoints.
+            counts[endpoint] += request_number >= 100
             harness.finish(request_id, latency=40.0 if endpoint in warming else 50.0)
     warming_share = sum(counts[number] for number in warming) / counts.total()
-    assert 0.36 <= warming_share <= 0.50  # 18 of 42 by capacity, or 0.43; a little more as they answer faster
-    # as a share of all requests, where these are what the fleet can serve
+    # The share by capacity is 18 of 42, or 0.43. It may be higher, as warming endpoints respond faster.
+    assert 0.36 <= warming_share <= 0.50
+    # The share of all requests that overloads a warming endpoint while the fleet serves all that it can.
     overload_share = LONG_WARM_UP_FROM_HALF.overload_factor * 0.5 / 42
     assert max(counts[number] / counts.total() for number in warming) < overload_share
