--- a/tests/policy/test_leaky_bucket.py
+++ b/tests/policy/test_leaky_bucket.py
@@ -1,6 +1,6 @@
 """The leaky bucket and the in-flight cap of one customer: burst, delay, rejection, quota share, usage report.
 
-Expected figures are worked out by hand, in the comments beside them.
+Expected values are calculated by hand in the comments.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 
 
 def finish_if_forwarded(harness, name) -> bool:
-    """Whether the request was forwarded; if so, it is answered at once."""
+    """Finish a request if it was forwarded; return whether it was."""
     if name in harness.sent:
         harness.finish(name)
     return name in harness.sent
 
 
 def test_burst_is_forwarded_then_excess_is_delayed_then_rejected(harness):
-    # rate 5/s and burst 4 for each of two gateways; the first request leaves an excess of one unit
+    # Each of two gateways has rate 5/s and burst 4; the first request already leaves an excess of one unit.
     names = [harness.ask("metered") for _ in range(10)]
     assert [name in harness.sent for name in names] == [True] * 4 + [False] * 6
     assert [name in harness.answers for name in names] == [False] * 8 + [True] * 2
@@ -34,7 +34,8 @@
 def test_delay_is_the_excess_over_burst_at_the_rate(harness):
     for _ in range(4):
         harness.ask("metered")
-    delayed = harness.ask("metered")  # excess 5000, burst 4000: 1000 thousandths at 5 a second are 200 ms
+    # An excess of 5000 milliunits is 1000 over the burst of 4000, a delay of 200 ms at 5 units a second.
+    delayed = harness.ask("metered")
     harness.run(199.0)
     assert delayed not in harness.sent
     harness.run(1.0)
@@ -50,7 +51,7 @@
 
 def test_excess_drains_at_the_rate_and_not_below_zero(harness):
     harness.ask("metered", units=3)
-    harness.run(400.0)  # 5 units a second: 2000 thousandths drained, 1000 added
+    harness.run(400.0)  # 2000 milliunits drain at 5 units a second; the next request adds 1000
     harness.ask("metered")
     assert harness.gateway.customers["metered", "c"].excess == 2000.0
     harness.run(5000.0)
@@ -73,7 +74,7 @@
     harness = make_harness(gateways=3)
     harness.servers(make_endpoint(1), make_endpoint(2), make_endpoint(3))
     forwarded = [harness.ask("metered", gateway_set_size=3) in harness.sent for _ in range(4)]
-    assert forwarded == [True, True, False, False]  # 8 / 3 = 2.67
+    assert forwarded == [True, True, False, False]  # the local burst is 8 / 3 = 2.67 units
     forwarded = []
     for _ in range(9):
         name = harness.ask("metered", customer="one", gateway_set_size=1)
@@ -90,7 +91,7 @@
     assert quota_share(customer) == 0.5
     harness.finish(harness.ask("metered"), used=0.0)
     assert quota_share(customer) == 0.55
-    harness.run(4001.0)  # no usage report for more than four usage periods
+    harness.run(4001.0)  # no usage report has come for more than four usage periods
     harness.ask("free")
     assert quota_share(customer) == 0.5
 
@@ -160,7 +161,8 @@
 
 
 def test_delay_past_the_shortest_latency_objective_is_a_rejection():
-    # latency objective 500 ms, first mean latency 100 ms: a delay may last 400 ms, two units at 5 a second
+    # The latency objective is 500 ms and the initial mean latency 100 ms. So a delay may last 400 ms, in
+    # which two units drain at 5 units a second.
     harness = make_harness(classes=(*CLASSES, BRIEF))
     harness.servers(make_endpoint(1), make_endpoint(2))
     for _ in range(4):
@@ -170,15 +172,15 @@
 
 
 def rig_with_priority_class() -> EngineHarness:
-    """A harness with a further class, "dear", of four times the priority weight."""
+    """A harness with an additional class "dear", which has four times the priority weight."""
     harness = make_harness(classes=(*CLASSES, DEAR))
     harness.servers(make_endpoint(1), make_endpoint(2))
     return harness
 
 
 def test_class_of_highest_priority_has_a_larger_burst_and_that_of_lowest_keeps_the_even_share():
-    # burst 4 for the lowest priority weight; 4 x (1 + 0.25 x 3 / 4) = 4.75 for the highest: 0.25 of the
-    # fifth unit is over the burst, a delay of 50 ms at 5 a second
+    # The burst is 4 for the lowest priority weight and 4 x (1 + 0.25 x 3 / 4) = 4.75 for the highest. The
+    # fifth unit exceeds it by 0.25, a delay of 50 ms at 5 units a second.
     harness = rig_with_priority_class()
     assert all(harness.ask("metered") in harness.sent for _ in range(4))
     delayed = harness.ask("metered", "dear")
@@ -188,23 +190,23 @@
 
 
 def test_excess_beyond_the_burst_is_reserved_for_classes_of_higher_priority():
-    # the shortest latency objective is 1000 ms: the class of lowest priority weight is delayed by 100 ms at
-    # most, half a unit at 5 a second
+    # The shortest latency objective is 1000 ms: the class of lowest priority weight is delayed by 100 ms at
+    # most, in which half a unit drains at 5 units a second.
     harness = rig_with_priority_class()
     for _ in range(4):
         harness.ask("metered")
     assert harness.answers[harness.ask("metered")] == "Reject"
     harness.run(150.0)
-    assert harness.ask("metered") not in harness.answers  # a quarter of a unit is missing
+    assert harness.ask("metered") not in harness.answers  # the excess is a quarter of a unit over the burst
     assert harness.ask("metered", "dear") not in harness.answers
 
 
-# Thin local quotas: of burst 8 and rate 10, each of 60 gateways has a burst of 0.13 units, and drains a
-# request of one unit in 6 s.
+# Local quotas below one request: with burst 8 and rate 10 over 60 gateways, each gateway has a burst of
+# 0.13 units and drains a request of one unit in 6 s.
 
 
 def rig_with_share_below_one_request(gateway_set_size: int = 60) -> EngineHarness:
-    """A harness of one of 60 gateways; its customer comes by a gateway set of this size."""
+    """A harness of one of 60 gateways, whose customer has a gateway set of this size."""
     harness = EngineHarness(replace(SETTINGS, gateways=60))
     harness.servers(make_endpoint(1), make_endpoint(2))
     harness.gateway_set_size = gateway_set_size
@@ -212,7 +214,7 @@
 
 
 def ask_with_share_below_one_request(harness, **request_fields) -> str:
-    """A new request of one unit by the gateway set of the harness; its id."""
+    """Send a request of one unit with the gateway set size of the harness; return its id."""
     harness.count += 1
     name = f"r{harness.count}"
     request = Request(name, "safe", "metered", "c", 4000.0, 1, harness.gateway_set_size, **request_fields)
@@ -228,14 +230,13 @@
 
 def test_headroom_of_the_last_usage_report_grows_the_burst_of_a_share_below_one_request():
     harness = rig_with_share_below_one_request()
-    harness.finish(
-        ask_with_share_below_one_request(harness), used=40.0
-    )  # burst 1 x (1 + 2 x 0.6) = 2.2 of the drained local quota
-    harness.run(5000.0)  # more than four usage periods later, less than one request takes to drain
+    # The headroom of 0.6 makes a burst of 1 x (1 + 2 x 0.6) = 2.2 units, once the local quota has drained.
+    harness.finish(ask_with_share_below_one_request(harness), used=40.0)
+    harness.run(5000.0)  # longer than four usage periods, shorter than one request takes to drain
     assert ask_with_share_below_one_request(harness) in harness.sent
     harness.run(100.0)
     assert harness.answers[ask_with_share_below_one_request(harness)] == "Reject", (
-        "three requests: more than the local quota and two requests"
+        "a third request exceeds the local quota and the burst added by headroom"
     )
 
 
@@ -247,11 +248,12 @@
         second = ask_with_share_below_one_request(harness)
         third = ask_with_share_below_one_request(harness)
         assert harness.answers[third] == "Reject"
-        assert (second in harness.sent) == (wait_ms > 6000.0)  # the first has drained by then
+        assert (second in harness.sent) == (wait_ms > 6000.0)  # the first request has drained after 6000 ms
 
 
 def test_all_gateways_together_forward_little_of_a_customer_far_over_its_quota():
-    # 60 gateways, requests for 600 s of quota in 20 s, each rejected one is retried at another gateway
+    # Requests for 600 s of the quota reach 60 gateways in 20 s. Half of them are marked as retries, as if
+    # another gateway had rejected the request before.
     forwarded = 0
     for index in range(60):
         harness = EngineHarness(replace(SETTINGS, gateways=60, index=index), seed=index)
@@ -263,12 +265,12 @@
                 harness.finish(name, used=300.0)
             harness.run(200.0)
         forwarded += len(harness.sent)
-    # by each gateway: one at first, and what drains in 20 s at 10 / 60 a second
+    # Each gateway forwards one request at first, and what drains in 20 s at 10 / 60 units a second.
     assert forwarded <= 60 * (1 + 20 * 10 / 60 + 1)
 
 
 def gateway_set_of_three(usage_percent: float | None) -> list[EngineHarness]:
-    """Three gateways at one clock, of a customer with a cap of two; each had this usage report of it."""
+    """Harnesses of three gateways with this usage report of a customer that has an in-flight cap of two."""
     rigs = [
         EngineHarness(replace(SETTINGS, gateways=3, index=index, classes=(*CLASSES, BRIEF)))
         for index in range(3)
@@ -280,7 +282,7 @@
 
 
 def gateways_that_forward(rigs: list[EngineHarness]) -> list[int]:
-    """The indexes of the gateways that forward a request of the customer at once; it is answered."""
+    """The indexes of the gateways that forward a request of the customer at once; each is finished."""
     forwarding = []
     for index, harness in enumerate(rigs):
         name = harness.ask("only-cap", "brief", gateway_set_size=3)
@@ -318,11 +320,11 @@
 def test_request_without_a_slot_is_rejected_at_once_unless_the_rotation_gives_one_in_time():
     harness = EngineHarness(replace(SETTINGS, gateways=3, index=2, classes=(*CLASSES, BRIEF)))
     harness.servers(make_endpoint(1), make_endpoint(2))
-    harness.now = 3000.0  # a rotation begins: the last gateway of the set has a slot in the next period
+    # A rotation period begins at this time, and the last gateway of the set has a slot in the next one.
+    harness.now = 3000.0
     harness.finish(harness.ask("only-cap", gateway_set_size=3), used=150.0)
-    assert (
-        harness.ask("only-cap", "brief", gateway_set_size=3) in harness.answers
-    )  # its period begins 1000 ms on
+    # The rotation gives this gateway a slot in 1000 ms, after the latency objective.
+    assert harness.ask("only-cap", "brief", gateway_set_size=3) in harness.answers
     harness.run(800.0)
     queued = harness.ask("only-cap", "brief", gateway_set_size=3)
     assert queued not in harness.sent
@@ -344,28 +346,25 @@
     for harness, name in zip(rigs, second, strict=True):
         if name in harness.sent:
             harness.finish(name)
-    assert gateways_that_forward(rigs) == [
-        0,
-        1,
-        2,
-    ]  # no longer contended: no request has found its slot occupied since
+    # No request has found its slot occupied in the last period, so the slots do not rotate any more.
+    assert gateways_that_forward(rigs) == [0, 1, 2]
 
 
 @dataclass
 class InFlightCapSimulation:
-    """Random requests of a customer with an in-flight cap by a wide gateway set, and what is forwarded.
+    """Simulates random requests of a customer with an in-flight cap and a large gateway set.
 
     Attributes:
         forwarded_within: Requests forwarded while fewer than the cap were in flight.
         forwarded_beyond: Requests forwarded while the cap was reached or exceeded.
-        rejected: Requests that no slot was free for at once.
+        rejected: Requests that found no free slot at once.
     """
 
     GATEWAYS: ClassVar[int] = 30
     CAP: ClassVar[int] = 3
     LATENCY_MS: ClassVar[float] = 400.0
     DURATION_MS: ClassVar[float] = 20_000.0
-    START_MS: ClassVar[float] = 1000.0  # of the harnesses' clock
+    START_MS: ClassVar[float] = 1000.0  # initial clock time of a harness
 
     seed: int
     forwarded_within: int = 0
@@ -375,8 +374,8 @@
     def __post_init__(self) -> None:
         plans = (Plan("wide-cap", max_in_flight=self.CAP),)
         self.random = random.Random(self.seed)
-        self.in_flight: list[tuple[float, EngineHarness, str]] = []  # with the time at which each ends
-        self.most_in_flight = [0] * 40  # in each second
+        self.in_flight: list[tuple[float, EngineHarness, str]] = []  # end time in ms, harness, request id
+        self.most_in_flight = [0] * 40  # largest number in flight, by second
         self.rigs = [
             EngineHarness(replace(SETTINGS, gateways=self.GATEWAYS, index=index, plans=plans), seed=index)
             for index in range(self.GATEWAYS)
@@ -385,7 +384,7 @@
             harness.servers(make_endpoint(1), make_endpoint(2))
 
     def run(self, mean_interval_ms: float) -> None:
-        """Ask at random times, this long apart on average."""
+        """Send requests at random times with this mean interval."""
         weights = [1.0 / rank for rank in range(1, self.GATEWAYS + 1)]
         now_ms = 0.0
         while now_ms < self.DURATION_MS:
@@ -395,7 +394,7 @@
             self._ask(harness, now_ms)
 
     def _finish_until(self, now_ms: float) -> None:
-        """End the attempts that are due, each with a usage report of the period before the last."""
+        """Finish the attempts that are due, each with the usage report of the period before the last."""
         due = [attempt for attempt in self.in_flight if attempt[0] <= now_ms]
         for end_ms, harness, name in sorted(due, key=lambda attempt: attempt[0]):
             self._advance(harness, end_ms)
@@ -405,7 +404,7 @@
         self.in_flight = [attempt for attempt in self.in_flight if attempt[0] > now_ms]
 
     def _ask(self, harness: EngineHarness, now_ms: float) -> None:
-        """Send a request by this gateway, and count what becomes of it."""
+        """Send a request to a gateway, and count it as forwarded or rejected."""
         self._advance(harness, now_ms)
         name = harness.ask("wide-cap", gateway_set_size=self.GATEWAYS)
         if name not in harness.sent:
@@ -423,7 +422,7 @@
 
 def test_contention_at_a_cap_is_noticed_by_each_gateway_of_a_wide_set():
     simulation = InFlightCapSimulation(seed=1)
-    simulation.run(mean_interval_ms=50.0)  # eight would be in flight on average
+    simulation.run(mean_interval_ms=50.0)  # without the cap, eight requests would be in flight on average
     forwarded = simulation.forwarded_within + simulation.forwarded_beyond
     assert simulation.forwarded_beyond < 0.3 * forwarded
 
