--- a/tests/policy/test_quota_over_fleet.py
+++ b/tests/policy/test_quota_over_fleet.py
@@ -1,4 +1,4 @@
-"""Quotas over a fleet of many gateways that do not communicate: what all of them forward adds up."""
+"""Quotas over a fleet of gateways that do not communicate: bounds on what all of them forward together."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 GATEWAYS = 80
 SERVERS = 8
 DURATION_S = 30
-MAX_ATTEMPTS = 4  # of a client that is rejected
+MAX_ATTEMPTS = 4  # attempts of a client whose requests are rejected
 RETRY_AFTER_MS = 100.0
 LATENCY_MS = 300.0
 REQUEST_UNITS = 2
@@ -31,11 +31,11 @@
     """A request that reaches a random gateway, or the end of one that a gateway forwarded.
 
     Attributes:
-        time_ms: When it happens.
-        attempts_left: Of the client, this one included; 0 for the end of a request.
-        customer: Whose request it is.
-        request_id: The request that ends.
-        harness: The gateway that forwarded the request that ends.
+        time_ms: Time of the event in milliseconds.
+        attempts_left: How many attempts the client has left, with this one; 0 for the end of a request.
+        customer: The customer that sends the request.
+        request_id: The id of the request that ends; empty for a new request.
+        harness: The gateway that forwarded the request that ends; None for a new request.
     """
 
     time_ms: float
@@ -46,12 +46,12 @@
 
 
 class Fleet:
-    """Many gateways, the usage reports of all, and clients that retry by another gateway when rejected.
+    """Simulates many gateways, usage reports over all of them, and clients that retry rejected requests.
 
     Attributes:
         requested: Requests of each customer, without retries.
         forwarded: Requests of each customer that a gateway forwarded.
-        beyond_quota: How many of those were beyond the quota of their customer.
+        beyond_quota: How many forwarded requests were beyond the quota of their customer.
     """
 
     def __init__(self, plan: Plan, seed: int) -> None:
@@ -66,13 +66,13 @@
         self.requested: Counter[str] = Counter()
         self.forwarded: Counter[str] = Counter()
         self.beyond_quota = 0
-        self._token_buckets: dict[str, tuple[float, float]] = {}  # units left, and when they were counted
+        self._token_buckets: dict[str, tuple[float, float]] = {}  # units left, and clock time in ms
         self._ends_in_flight: dict[str, list[float]] = {}
-        self._usage: Counter[tuple[str, int]] = Counter()  # units, or most in flight, in a second
+        self._usage: Counter[tuple[str, int]] = Counter()  # units or most in flight, by second
         self._events: list[FleetEvent] = []
 
     def run(self, rates: dict[str, float]) -> None:
-        """Let each customer send so many requests a second, at random times and by random gateways."""
+        """Simulate requests of each customer, at its rate a second, at random times and random gateways."""
         start_ms = max(harness.now for harness in self.harnesses) + 1000.0
         self._events = [
             FleetEvent(start_ms + 1000.0 * (second + self.random.random()), MAX_ATTEMPTS, customer)
@@ -89,7 +89,7 @@
                 self._ask(event)
 
     def _ask(self, event: FleetEvent) -> None:
-        """Send a request by a random gateway; schedule its end, or a retry if it is rejected."""
+        """Send a request to a random gateway; schedule its end, or a retry if it is rejected."""
         harness = self.random.choice(self.harnesses)
         harness.run(event.time_ms - harness.now)
         customer = event.customer
@@ -106,7 +106,7 @@
             heapq.heappush(self._events, retry)
 
     def _count_forwarded(self, customer: str, now_ms: float) -> None:
-        """Take a forwarded request's units, or its slot in flight, or note that it is beyond the quota."""
+        """Count a forwarded request against the quota of its customer, in units or in requests in flight."""
         self.forwarded[customer] += 1
         if self.plan.rate:
             self._take_units(customer, now_ms)
@@ -133,7 +133,7 @@
         self._usage[customer, second] = max(self._usage[customer, second], len(in_flight))
 
     def _finish(self, event: FleetEvent, harness: EngineHarness) -> None:
-        """End a request well, with a usage report that is late."""
+        """Finish a request successfully, with a usage report of an earlier second."""
         harness.run(event.time_ms - harness.now)
         reported_second = int(event.time_ms / 1000.0) - USAGE_REPORT_DELAY_S
         quota = self.plan.rate or self.plan.max_in_flight
@@ -142,9 +142,8 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-@pytest.mark.parametrize(
-    ("plan", "most_beyond_quota"), [(RATE_PLAN, 300), (CAP_PLAN, 1000)]
-)  # 420 and 1800 if all were forwarded
+# If all requests were forwarded, 420 and 1800 would be beyond the quota, and 300 and 480 within it.
+@pytest.mark.parametrize(("plan", "most_beyond_quota"), [(RATE_PLAN, 300), (CAP_PLAN, 1000)])
 def test_what_gateways_forward_of_unknown_customers_does_not_add_up_to_many_quotas(
     plan, most_beyond_quota, seed
 ):
@@ -155,7 +154,7 @@
     fleet.run(dict.fromkeys(usual, 0.15) | dict.fromkeys(heavy, heavy_rate))
     assert fleet.beyond_quota <= most_beyond_quota
     within_quota = sum(fleet.forwarded.values()) - fleet.beyond_quota
-    assert within_quota >= 180  # 300 and 480 if all were forwarded
+    assert within_quota >= 180
     usual_requested = sum(fleet.requested[customer] for customer in usual)
     usual_forwarded = sum(fleet.forwarded[customer] for customer in usual)
     assert usual_forwarded >= 0.25 * usual_requested
@@ -194,6 +193,6 @@
     assert successor.gateway.mechanisms.unknown_customers.admitted_shares["cap"] == 0.5
     older_state = {name: value for name, value in state.items() if name != "open"}
     successor_of_older = make_fleet_member()
-    successor_of_older.do(RestoreState(older_state))  # a version before this one hands over no shares
+    successor_of_older.do(RestoreState(older_state))  # older versions hand over no shares
     assert successor_of_older.gateway.has_peer_process
     assert successor_of_older.gateway.mechanisms.unknown_customers.admitted_shares["cap"] < 0.5
--- a/tests/policy/test_shutdown.py
+++ b/tests/policy/test_shutdown.py
@@ -5,7 +5,7 @@
 from quota_gateway import GatewayLimits, Idempotency, Plan, Reject, RequestClass, ShutdownStarted
 from tests.support.engine_harness import EngineHarness, make_endpoint, make_harness
 
-# over two gateways: one unit a second and two at once from this one
+# The gateway under test, one of two, has a rate of one unit a second and a burst of two units.
 METERED = Plan("metered", rate=2.0, burst=4.0)
 LONG_RETRY_AFTER_MS = 60_000.0
 
@@ -29,7 +29,7 @@
 
 
 def make_harness_with_retry_after(latency_objective_ms: float, max_retry_after_ms: float) -> EngineHarness:
-    """One of two gateways, which may send Retry-After, with the metered plan and two endpoints."""
+    """A harness of one of two gateways that may send Retry-After, with a metered plan and two endpoints."""
     safe_class = RequestClass("safe", latency_objective_ms, 4000.0, Idempotency.IDEMPOTENT)
     limits = GatewayLimits(can_send_retry_after=True, max_retry_after_ms=max_retry_after_ms)
     harness = make_harness(classes=(safe_class,), limits=limits, plans=(METERED,))
@@ -38,9 +38,10 @@
 
 
 def test_retry_after_over_quota_ends_when_the_bucket_admits_the_request_with_a_delay():
-    # two are forwarded; the third exceeds the bucket by one unit, a delay of 1000 ms at one unit a second,
-    # and the fourth by two, 2000 ms. A delay may last the latency objective less the mean latency, a fifth
-    # of it: 480 ms, or 1440 ms
+    # Two requests are forwarded. The third exceeds the burst by one unit, a delay of 1000 ms at one unit a
+    # second, and the fourth by two units, a delay of 2000 ms. A delay may last as long as the latency
+    # objective less the mean latency, which is a fifth of it: 480 ms with the first objective, and 1440 ms
+    # with the second.
     rejection = first_rejection(make_harness_with_retry_after(600.0, LONG_RETRY_AFTER_MS))
     assert rejection.request_id == "r3"
     assert rejection.retry_after_ms == 0.0
@@ -65,7 +66,7 @@
 
 
 def first_rejection(harness: EngineHarness) -> Reject:
-    """Send requests of one customer, all at one moment, until the first is rejected."""
+    """Send requests of one customer at the same time until one is rejected; return its rejection."""
     rejections: list[Reject] = []
     handle_event = harness.do
 
