--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -1,11 +1,12 @@
 """Slow start under a fleet of independent gateways: the load that all of them send to one warming endpoint.
 
 The overload budget N of a window is the overload factor, times the capacity share that the settings promise,
-times the mean rate at which the fleet sends to a server, times the window. The service rules count capacity
-in place of that rate; no gateway knows the capacity, and where servers are not overloaded it is higher than
-the rate. A burst is not counted into the rate, as it adds no capacity to a server. The capacity share is the
-mean over the window. The window counts in full from the start on, so a burst at the start may use all of it.
-Beyond N, 2 x root of N + 2 is allowed for random variation.
+times the mean rate at which the fleet sends to a server, times the window. The service rules use the
+capacity of a server instead of that rate. Gateways do not know the capacity; it is higher than the rate as
+long as servers are not overloaded. A burst does not count as part of the rate, as it adds no capacity to a
+server. The capacity share is the mean over the window. The window has its full length from the start of a
+server on, so a burst at the start may use the whole budget. Beyond N, 2 x sqrt(N) + 2 is allowed for random
+variation.
 """
 
 import heapq
@@ -43,7 +44,7 @@
 BURST_BEGINS_MS = FIRST_RESTART_MS + 2000.0
 BURST_ENDS_MS = FIRST_RESTART_MS + 6000.0
 
-MEAN_WORK_MS = 50.0  # of one request
+MEAN_WORK_MS = 50.0  # mean time that one request occupies a core of a warm server
 CORES_PER_SERVER = 2
 MAX_QUEUE_MS = 500.0  # a server whose queue is longer answers that it is overloaded
 FAILURE_STATUSES = (AttemptStatus.OVERLOADED, AttemptStatus.RESET, AttemptStatus.ERROR)
@@ -51,17 +52,31 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """The restarts, faults and traffic of one simulated run."""
-
-    restarting_share: float = 0.0  # of the servers, at least one of them
-    restart_span_ms: float = 0.0  # from the first restart to the last
-    max_notification_delay_ms: float = 1000.0  # from a restart until the last gateway is notified
-    known_before: bool = True  # whether gateways knew the restarting servers before
-    burst_factor: float = 1.0  # by which traffic rises from 2 s to 6 s after the first restart
-    slow_while_warming: bool = True  # for each request, or only for several at once
+    """The restarts, faults and traffic of one simulated run.
+
+    Attributes:
+        restarting_share: Share of the servers that restart, which is at least one server.
+        restart_span_ms: Time from the first restart to the last.
+        max_notification_delay_ms: Longest time from a restart until a gateway is notified of it.
+        known_before: Whether gateways know the restarting servers before; if not, each replaces another one.
+        burst_factor: Factor by which traffic rises from 2 s to 6 s after the first restart.
+        slow_while_warming: Whether a warming server is slower for each request, or only for several at once.
+        work_distribution: Distribution of the work of a request, exponential or lognormal.
+        failing_share: Share of the warm servers that fail all attempts, and share of the attempts that each
+            restarting server fails.
+        load: Traffic without the burst, as a share of the capacity of all servers when warm.
+        class_names: Request classes, of which each request gets a random one.
+    """
+
+    restarting_share: float = 0.0
+    restart_span_ms: float = 0.0
+    max_notification_delay_ms: float = 1000.0
+    known_before: bool = True
+    burst_factor: float = 1.0
+    slow_while_warming: bool = True
     work_distribution: str = "exponential"
-    failing_share: float = 0.0  # of the warm servers, and of the attempts at warming ones
-    load: float = 0.6  # of the capacity of all servers when warm
+    failing_share: float = 0.0
+    load: float = 0.6
     class_names: tuple[str, ...] = ("safe", "keyed-all")
 
 
@@ -69,7 +84,7 @@
     """An attempt as a server received it."""
 
     time_ms: float
-    gateway_was_notified: bool  # of the server's restart
+    gateway_was_notified: bool  # the sending gateway knew of the restart of the server
 
 
 class Server:
@@ -118,15 +133,15 @@
             PolicyEngine(replace(settings, index=index), self.random.randrange(1 << 30))
             for index in range(gateway_count)
         ]
-        self.notified_at_ms = [{} for _ in self.gateways]  # for each gateway, by restarted server
+        self.notified_at_ms = [{} for _ in self.gateways]  # times for each gateway, by restarted server
         self.server_count = server_count
         self.servers = self.make_servers()
         self.restarting = [server for server in self.servers.values() if server.started_ms >= 0.0]
         self.requests_per_ms = scenario.load * server_count * CORES_PER_SERVER / MEAN_WORK_MS
         self.traffic_weights = [self.random.gammavariate(1.0, 1.0) for _ in self.gateways]
         self.request_count = 0
-        self.relative_work = {}  # by request, as a multiple of the mean
-        self.in_flight = {}  # server and time of start, by request and attempt
+        self.relative_work = {}  # work of each request as a multiple of the mean
+        self.in_flight = {}  # server and start time, by request and attempt
         self.attempt_counts = Counter()
         if not scenario.known_before:
             self.add_predecessors()
@@ -193,13 +208,13 @@
         self.handle(index, EndpointUpdate(kind, endpoints))
 
     def present_requests_per_ms(self):
-        """The present rate of arrivals, higher in a burst."""
+        """The current rate of arrivals, which is higher during the burst."""
         if BURST_BEGINS_MS <= self.now_ms < BURST_ENDS_MS:
             return self.requests_per_ms * self.scenario.burst_factor
         return self.requests_per_ms
 
     def arrive(self):
-        """A request arrives at one of the gateways, and the next arrival is scheduled."""
+        """Send a new request to one of the gateways, and schedule the next arrival."""
         interval_ms = self.random.expovariate(self.present_requests_per_ms())
         self.schedule(self.now_ms + interval_ms, self.arrive)
         self.request_count += 1
@@ -227,12 +242,12 @@
                 self.schedule(self.now_ms, self.end_attempt, index, attempt, AttemptStatus.CANCELLED)
 
     def fire_timer(self, index, token):
-        """A timer of a gateway falls due, unless it was cancelled."""
+        """Fire a timer of a gateway, unless it was cancelled."""
         if token in self.gateways[index].timers.armed:
             self.handle(index, TimerFired(token))
 
     def start_attempt(self, index, action):
-        """An attempt reaches its server, which serves it or lets it fail."""
+        """Deliver an attempt to its server, and schedule the outcome."""
         server = self.servers[action.server]
         attempt = (action.request_id, self.attempt_counts[action.request_id])
         self.attempt_counts[action.request_id] += 1
@@ -250,7 +265,7 @@
         self.schedule(answered_ms + 1.0, self.end_attempt, index, attempt, AttemptStatus.OK)
 
     def draw_failure(self, server):
-        """The status by which a server fails an attempt that it has just received, or None."""
+        """The status with which a server fails an attempt that it has just received; None if it serves it."""
         if server.core_free_at_ms[0] - self.now_ms > MAX_QUEUE_MS:
             return AttemptStatus.OVERLOADED
         if self.random.random() < server.failure_rate:
@@ -258,7 +273,7 @@
         return None
 
     def serve(self, server, work_ms):
-        """Occupy the core that is free first; return the time of the answer."""
+        """Occupy the core that is free first; return the clock time of the answer."""
         core_free_at_ms = heapq.heappop(server.core_free_at_ms)
         share = capacity_share(self.now_ms - server.started_ms)
         begins_ms = max(core_free_at_ms, self.now_ms)
@@ -266,7 +281,7 @@
         return begins_ms + work_ms / (share if self.scenario.slow_while_warming else 1.0)
 
     def end_attempt(self, index, attempt, status):
-        """The outcome of an attempt reaches its gateway, once."""
+        """Deliver the outcome of an attempt to its gateway, unless the attempt has ended already."""
         if attempt not in self.in_flight:
             return
         server, started_ms = self.in_flight.pop(attempt)
@@ -275,7 +290,7 @@
         self.handle(index, Outcome(*attempt, server.number, status, latency_ms, is_final))
 
     def run(self, end_ms):
-        """Run all events up to a time."""
+        """Run all events up to a time; return the fleet itself."""
         self.schedule(0.0, self.arrive)
         while self.events and self.events[0][0] <= end_ms:
             self.now_ms, _, callback, arguments = heapq.heappop(self.events)
@@ -283,13 +298,13 @@
         return self
 
     def overload_budget(self, age_ms):
-        """Attempts that a server may be sent in an overload window that ends at this age."""
+        """The number of attempts that a server may receive in an overload window that ends at this age."""
         window_ms = RULES.overload_window_ms
         mean_share = (capacity_share(age_ms - window_ms) + capacity_share(age_ms)) / 2.0
         return RULES.overload_factor * mean_share * window_ms * self.requests_per_ms / self.server_count
 
     def largest_budget_use(self):
-        """The largest share of an overload budget, with its allowance, used by notified gateways."""
+        """The largest share of an overload budget, with its allowance, that notified gateways have used."""
         largest = 0.0
         for server in self.restarting:
             times_ms = [attempt.time_ms for attempt in server.received if attempt.gateway_was_notified]
@@ -300,7 +315,7 @@
         return largest
 
     def share_of_fair_load(self, age_ms, window_ms=4000.0):
-        """Load of the warming servers at this age, relative to what their capacity shares entitle them to."""
+        """Load of the warming servers at this age, relative to a load in proportion to capacity shares."""
         actual_load = fair_load = 0.0
         listed = [server for number, server in self.servers.items() if number > 0]
         for server in self.restarting:
@@ -315,7 +330,7 @@
 
 
 def count_received(server, begin_ms, end_ms):
-    """How many attempts a server received from one time until before another."""
+    """How many attempts a server received from a time on until before another time."""
     return bisect_left(server.received, (end_ms,)) - bisect_left(server.received, (begin_ms,))
 
 
@@ -336,12 +351,12 @@
     ),
     "all at once": Scenario(restarting_share=1.0, load=0.5, burst_factor=1.5),
 }
-FLEET_SIZES = [(5, 11), (20, 11), (30, 11), (200, 22)]  # of more than twenty servers, some are compared
-LARGE_FLEET = 200  # gateways, from which on one seed has to do
+FLEET_SIZES = [(5, 11), (20, 11), (30, 11), (200, 22)]  # gateways, servers; more than twenty are sampled
+LARGE_FLEET = 200  # gateways; fleets of this size or more run with one seed
 
 
 def run_fleets(gateways, servers, scenario, end_ms):
-    """Run a scenario once for each seed."""
+    """Run a scenario once for each seed; return the fleets."""
     seeds = (1, 2) if gateways < LARGE_FLEET else (1,)
     return [Fleet(gateways, servers, scenario, seed).run(end_ms) for seed in seeds]
 
