--- a/tests/policy/test_edge_sizes.py
+++ b/tests/policy/test_edge_sizes.py
@@ -1,4 +1,4 @@
-"""Extreme sizes and missing data: nothing may fail, and every request is answered."""
+"""Extreme fleet sizes and missing data: no event raises an error, and every request is answered."""
 
 from dataclasses import replace
 
@@ -48,7 +48,7 @@
 
 
 def test_an_old_load_report_decays():
-    # server 1 reported a queue of 20; after enough time and attempts it is chosen like any other
+    # Server 1 reports a queue of 20 requests. After enough time and attempts it is chosen like the other one.
     harness = EngineHarness(replace(SETTINGS, load_report_fields=("queue",)))
     harness.servers(make_endpoint(1), make_endpoint(2))
     harness.gateway.mechanisms.balancer.on_load_report(harness.gateway.endpoints.by_id[1], (20.0,))
@@ -58,8 +58,8 @@
 
 
 def test_without_usage_reports_a_customer_of_one_gateway_may_retry():
-    # a period of zero means that no usage report ever comes; this gateway has the whole burst, so the
-    # local quota has room for a retry
+    # A usage period of zero means that no usage report ever comes. The customer uses only this gateway, which
+    # therefore has the whole burst and admits a retry.
     harness = EngineHarness(replace(SETTINGS, usage_period_ms=0.0, gateways=300))
     harness.servers(make_endpoint(1))
     harness.do(Request("x", "safe", "metered", "c", 4000.0, 1, 1, is_retry=True))
--- a/tests/policy/test_endpoints.py
+++ b/tests/policy/test_endpoints.py
@@ -118,7 +118,7 @@
     assert table.attach(number)
     assert not table.attach(number)
     assert table.attached[number] == DetachmentPeriod(since_ms=50_000.0, until_ms=60_000.0)
-    update(table, Endpoint(number, "a"))  # discovery knows of no start
+    update(table, Endpoint(number, "a"))  # discovery reports no start time
     assert table.by_id[number].started_ms == 60_000.0
 
 
--- a/tests/policy/test_latency.py
+++ b/tests/policy/test_latency.py
@@ -64,7 +64,7 @@
     assert latencies.size_extra_ms(pending_request(4.0)) == 40.0
     assert latencies.size_extra_ms(pending_request(2.0)) == 0.0
     assert latencies.size_extra_ms(pending_request(1.0)) == 0.0
-    assert latencies.size_extra_ms(pending_request(3.0)) == 0.0  # not seen yet
+    assert latencies.size_extra_ms(pending_request(3.0)) == 0.0  # no response of this size has been recorded
 
 
 def test_latest_start_leaves_a_mean_latency_before_the_objective(latencies):
--- a/tests/policy/test_load_balancing.py
+++ b/tests/policy/test_load_balancing.py
@@ -1,4 +1,4 @@
-"""Load balancing: candidates, filter and rank; the idempotency group of a retry."""
+"""Load balancing: candidates, filtering and ranking; the idempotency group of a retry."""
 
 from random import Random
 
@@ -27,7 +27,7 @@
 
 
 class NoJitter(Random):
-    """Draws nothing, so that costs are exact."""
+    """A random generator that always returns 0, so that costs have no jitter."""
 
     def random(self) -> float:
         """Return 0."""
@@ -173,7 +173,7 @@
 
 
 def count_costs(balancer: LoadBalancer, endpoints: list[EndpointState]) -> list[EndpointState]:
-    """The endpoints whose cost is worked out for one request."""
+    """The endpoints whose cost is calculated for one request, in the order of calculation."""
     compared: list[EndpointState] = []
     cost = balancer.cost
     balancer.cost = lambda pending, endpoint: (compared.append(endpoint), cost(pending, endpoint))[1]
@@ -192,5 +192,5 @@
     endpoints = make_endpoints(40)
     for endpoint in endpoints[:15]:
         balancer.on_response(SAFE, endpoint, 1.0)
-    balancer.on_response(SAFE, endpoints[14], SAFE.latency_objective_ms)  # it is no longer fast
+    balancer.on_response(SAFE, endpoints[14], SAFE.latency_objective_ms)  # this endpoint is no longer fast
     assert count_costs(balancer, endpoints)[SAMPLED_ENDPOINTS:] == endpoints[5:14]
--- a/tests/policy/test_policy_files.py
+++ b/tests/policy/test_policy_files.py
@@ -1,4 +1,4 @@
-"""The files of policy: all are named in the deploy file, each says its one job, none has overlong lines."""
+"""Checks of the policy source files: listed in the deploy file, one stated purpose each, no long lines."""
 
 import ast
 import tomllib
@@ -27,7 +27,7 @@
 @pytest.mark.parametrize("path", POLICY_FILES, ids=lambda path: path.name)
 def test_docstring_of_a_policy_file_says_its_job_in_one_sentence(path):
     line = first_docstring_line(path)
-    assert line.endswith("."), "the first line of the docstring is no sentence"
+    assert line.endswith("."), "the first line of the docstring does not end with a full stop"
 
 
 def test_no_two_policy_files_say_they_have_the_same_job():
--- a/tests/policy/test_properties.py
+++ b/tests/policy/test_properties.py
@@ -1,4 +1,4 @@
-"""The service rules as properties: they hold for any sequence of events within bounds."""
+"""Property tests of the service rules: each holds for any bounded sequence of events."""
 
 from dataclasses import dataclass
 from typing import NamedTuple
@@ -19,7 +19,7 @@
 
 MAX_ATTEMPTS = 3
 ANSWER_SLACK_MS = 8.0
-CEILING_BURST_UNITS = 10.0  # at one of two gateways
+CEILING_BURST_UNITS = 10.0  # the share of one of two gateways
 CEILING_UNITS_PER_SECOND = 5.0
 ROUNDING_UNITS = 1e-6
 
@@ -92,7 +92,7 @@
 
 
 class RequestRecord(NamedTuple):
-    """What the checker keeps of a request."""
+    """The checker's record of a request."""
 
     request_class: RequestClass
     plan: str
@@ -101,7 +101,7 @@
 
 
 class AttemptRecord(NamedTuple):
-    """What the checker keeps of an attempt in flight."""
+    """The checker's record of an attempt in flight."""
 
     number: int
     server: int
@@ -109,7 +109,7 @@
 
 
 class CeilingUsage(NamedTuple):
-    """Units of a request that was forwarded under the ceiling, and when."""
+    """The units of a request that was forwarded under the ceiling, and the time of its first attempt."""
 
     time_ms: float
     units: int
@@ -122,13 +122,14 @@
         super().__init__()
         self.requests: dict[str, RequestRecord] = {}
         self.in_flight: dict[str, AttemptRecord] = {}
-        self.possibly_executed_at: dict[str, float] = {}  # start of the first such attempt, by request
+        # By request, the start time of its first attempt that may have been executed.
+        self.possibly_executed_at: dict[str, float] = {}
         self.ready: set[int] = set()
         self.closed: set[str] = set()  # requests that are answered or whose client has disconnected
         self.ceiling_usage: list[CeilingUsage] = []
 
     def do(self, event):
-        """Hand over an event and check what the engine does."""
+        """Pass an event to the engine, and check the attempts and answers that follow."""
         attempts_before = {request_id: len(servers) for request_id, servers in self.sent.items()}
         answered_before = set(self.answers)
         actions = super().do(event)
@@ -165,7 +166,7 @@
             assert self.now - executed_at < request_class.idempotency_window_ms
 
     def check_ceiling(self):
-        """Check that no period until now has exceeded the burst and rate of the ceiling."""
+        """Check that the units used in each period until now are within the burst and rate of the ceiling."""
         for first in self.ceiling_usage:
             used = sum(usage.units for usage in self.ceiling_usage if usage.time_ms >= first.time_ms)
             refilled = CEILING_UNITS_PER_SECOND * (self.now - first.time_ms) / 1000.0
--- a/tests/policy/test_subset.py
+++ b/tests/policy/test_subset.py
@@ -1,4 +1,4 @@
-"""Which servers a gateway works with: properties over random fleets, endpoint lists and churn."""
+"""The subset of servers that a gateway works with: properties over random fleets, lists and churn."""
 
 import random
 
@@ -10,21 +10,21 @@
 from quota_gateway.policy import concurrency, subset
 from quota_gateway.policy.subset import Subset
 
-# gateways, servers, minimum size of a subset
+# Tuples of gateways, servers and minimum size of a subset.
 FLEETS = st.tuples(st.integers(1, 400), st.integers(1, 400), st.integers(1, 40))
 SEEDS = st.integers(0, 1 << 30)
-MAX_STEPS = 400  # names that are added or dropped after a list has been read
-SMALL_SUBSET_SIZE = 24  # servers, for tests that need a subset that is small beside its fleet
+MAX_STEPS = 400  # number of names that are added or dropped after a list has been read
+SMALL_SUBSET_SIZE = 24  # servers; small compared to the fleets of the tests that use it
 
 
 def random_names(servers, seed):
-    """So many different server names, drawn from the seed."""
+    """This number of distinct server names, drawn at random with the seed."""
     numbers = random.Random(seed).sample(range(1 << 32), servers)
     return [f"s-{number:08x}" for number in numbers]
 
 
 def ranked_by_distance(gateway_subset, names):
-    """The names, the nearest to the gateway first."""
+    """The names sorted by distance from the gateway, the nearest first."""
     return sorted(names, key=lambda name: (gateway_subset.distance(name), name))
 
 
@@ -79,9 +79,8 @@
     fleets = ((3800, 38000), (500, 5000), (200, 200), (40, 60), (20, 38000), (100, 38000))
     sizes = [Subset(gateways, 0).size(servers) for gateways, servers in fleets]
     assert sizes == [256, 256, 200, 60, 38000, 9120]
-    assert (
-        subset.INITIAL_CONCURRENCY_PER_SERVER == concurrency.INITIAL_CONCURRENCY_PER_SERVER
-    )  # its even part of these is what a gateway has to spread
+    # A gateway has to spread its even share of the initial concurrency over its subset.
+    assert subset.INITIAL_CONCURRENCY_PER_SERVER == concurrency.INITIAL_CONCURRENCY_PER_SERVER
 
 
 def check_sharers(gateways, servers, seed, min_share_of_mean=0.0):
@@ -89,7 +88,8 @@
     counts = count_sharers(gateways, random_names(servers, seed), SMALL_SUBSET_SIZE)
     mean = sum(counts.values()) / len(counts)
     assert min(counts.values()) > min_share_of_mean * mean
-    assert max(counts.values()) <= 1.8 * mean  # drawn at random, some would have two to three times the mean
+    # With subsets drawn at random, some servers would have two to three times the mean.
+    assert max(counts.values()) <= 1.8 * mean
 
 
 @settings(max_examples=25, deadline=None)
@@ -99,15 +99,14 @@
 
 
 def test_servers_are_shared_evenly_at_a_tenth_of_the_fleet():
-    check_sharers(
-        380, 3800, 1, min_share_of_mean=0.65
-    )  # with the same step on both rings some have half of the mean
+    # With the same step on both rings, some servers would have half of the mean.
+    check_sharers(380, 3800, 1, min_share_of_mean=0.65)
 
 
 @settings(max_examples=10, deadline=None)
 @given(st.integers(120, 240), SEEDS)
 def test_gateways_that_share_servers_on_one_ring_do_not_on_the_other(gateways, seed):
-    """Neighbours that all have too much traffic need a server with less to move it to."""
+    """Neighboring gateways that all have too much traffic need a less loaded server to move some of it to."""
     names = random_names(gateways, seed)
     subsets = [
         set(subset_names(Subset(gateways, index, SMALL_SUBSET_SIZE), names)) for index in range(gateways)
@@ -115,7 +114,7 @@
     for one_subset in subsets:
         overlapping = [other for other in subsets if one_subset & other]
         reachable = set().union(*overlapping)
-        assert len(reachable) >= 3.5 * len(one_subset)  # on one ring it is at most three times
+        assert len(reachable) >= 3.5 * len(one_subset)  # one ring gives three times the size at most
 
 
 @settings(max_examples=25, deadline=None)
@@ -149,7 +148,7 @@
 @settings(max_examples=100, deadline=None)
 @given(FLEETS, SEEDS, st.integers(0, MAX_STEPS))
 def test_nearest_endpoints_are_the_first_of_the_sorted_complete_list(fleet, seed, steps):
-    """In whatever order names are added and dropped; as far as the count of certain ones goes."""
+    """For any order of additions and removals, the first ``certain_count`` names are the nearest ones."""
     gateways, servers, min_size = fleet
     gateway_subset = Subset(gateways, seed % gateways, min_size)
     drawn = random.Random(seed)
@@ -186,7 +185,7 @@
 
 @pytest.mark.parametrize(("gateways", "servers"), [(3800, 2000), (300, 4000), (100, 3000)])
 def test_list_that_is_read_once_gives_the_complete_subset_in_any_order(gateways, servers):
-    """Also where the size of the subset grows while the list is read."""
+    """The subset is complete even where its size grows while the list is read."""
     names = random_names(servers, gateways)
     for index in (0, gateways // 2):
         gateway_subset = Subset(gateways, index)
@@ -199,7 +198,7 @@
 
 
 def test_certain_count_is_below_the_size_where_endpoints_were_dropped_before_the_size_grew():
-    """No list sorted by names comes in this order: the nearest first, while the size still grows."""
+    """The names are offered nearest first while the size grows; no list sorted by name is in this order."""
     gateway_subset = Subset(100, 0)
     ranked = sorted(random_names(3000, 100), key=gateway_subset.distance)
     nearest = NearestEndpoints(gateway_subset)
@@ -221,13 +220,13 @@
 
 
 class CountingSubset(Subset):
-    """Counts the distances that are calculated, and the comparisons of them."""
+    """A subset that counts how often a distance is calculated and compared."""
 
     calculations = 0
     comparisons = 0
 
     def distance(self, name):
-        """Calculate a distance that counts its comparisons here."""
+        """Calculate a distance whose comparisons are counted by this subset."""
         self.calculations += 1
         return CountingDistance(super().distance(name), self)
 
@@ -236,7 +235,7 @@
     """A distance that counts how often it is compared."""
 
     def __new__(cls, value, counter):
-        """Make the number with its counter."""
+        """Create a distance whose comparisons are added to the counter."""
         distance = super().__new__(cls, value)
         distance.counter = counter
         return distance
