--- a/tests/policy/test_leaky_bucket.py
+++ b/tests/policy/test_leaky_bucket.py
@@ -17,18 +17,18 @@
 BRIEF = RequestClass("brief", 500.0, 4000.0, Idempotency.IDEMPOTENT)
 
 
-def finish_if_forwarded(harness, name) -> bool:
+def finish_if_forwarded(harness, request_id) -> bool:
     """Finish a request if it was forwarded; return whether it was."""
-    if name in harness.sent:
-        harness.finish(name)
-    return name in harness.sent
+    if request_id in harness.sent:
+        harness.finish(request_id)
+    return request_id in harness.sent
 
 
 def test_burst_is_forwarded_then_excess_is_delayed_then_rejected(harness):
     # Each of two gateways has rate 5/s and burst 4; the first request already leaves an excess of one unit.
-    names = [harness.ask("metered") for _ in range(10)]
-    assert [name in harness.sent for name in names] == [True] * 4 + [False] * 6
-    assert [name in harness.answers for name in names] == [False] * 8 + [True] * 2
+    request_ids = [harness.ask("metered") for _ in range(10)]
+    assert [request_id in harness.sent for request_id in request_ids] == [True] * 4 + [False] * 6
+    assert [request_id in harness.answers for request_id in request_ids] == [False] * 8 + [True] * 2
 
 
 def test_delay_is_the_excess_over_burst_at_the_rate(harness):
@@ -77,8 +77,8 @@
     assert forwarded == [True, True, False, False]  # the local burst is 8 / 3 = 2.67 units
     forwarded = []
     for _ in range(9):
-        name = harness.ask("metered", customer="one", gateway_set_size=1)
-        forwarded.append(finish_if_forwarded(harness, name))
+        request_id = harness.ask("metered", customer="one", gateway_set_size=1)
+        forwarded.append(finish_if_forwarded(harness, request_id))
     assert forwarded == [True] * 8 + [False]
 
 
@@ -97,24 +97,24 @@
 
 
 def test_estimated_units_are_settled_on_the_answer(harness):
-    name = harness.ask("metered", units=2)
-    harness.finish(name, units=5.0)
+    request_id = harness.ask("metered", units=2)
+    harness.finish(request_id, units=5.0)
     assert harness.gateway.customers["metered", "c"].excess == 5000.0
 
 
 def test_delayed_request_whose_client_disconnected_gives_its_units_back(harness):
-    names = [harness.ask("metered") for _ in range(6)]
-    harness.do(ClientDisconnected(names[5]))
+    request_ids = [harness.ask("metered") for _ in range(6)]
+    harness.do(ClientDisconnected(request_ids[5]))
     assert harness.gateway.customers["metered", "c"].excess == 5000.0
     harness.run(4000.0)
-    assert names[5] not in harness.sent
+    assert request_ids[5] not in harness.sent
 
 
 def test_in_flight_cap_is_divided_between_gateways_and_queues_requests_beyond_the_share(harness):
-    names = [harness.ask("capped") for _ in range(3)]
-    assert [name in harness.sent for name in names] == [True, True, False]
-    harness.finish(names[0])
-    assert names[2] in harness.sent
+    request_ids = [harness.ask("capped") for _ in range(3)]
+    assert [request_id in harness.sent for request_id in request_ids] == [True, True, False]
+    harness.finish(request_ids[0])
+    assert request_ids[2] in harness.sent
 
 
 def test_in_flight_share_is_at_least_one():
@@ -130,13 +130,13 @@
 
 def test_unknown_plan_or_class_is_rejected_and_logged_once(harness):
     unknown = [harness.ask("nope"), harness.ask("nope"), harness.ask("free", class_name="nope")]
-    assert [harness.answers[name] for name in unknown] == ["Reject"] * 3
+    assert [harness.answers[request_id] for request_id in unknown] == ["Reject"] * 3
 
 
 def test_customer_state_is_dropped_once_it_equals_that_of_a_new_customer(harness):
     for number in range(3000):
-        name = harness.ask("metered", customer=f"c{number}")
-        harness.finish(name, AttemptStatus.OK)
+        request_id = harness.ask("metered", customer=f"c{number}")
+        harness.finish(request_id, AttemptStatus.OK)
         harness.run(10.0)
     assert len(harness.gateway.customers) < 600
     assert len(harness.gateway.requests) == 0
@@ -145,8 +145,8 @@
 def test_customer_state_that_must_be_kept_does_not_keep_that_of_later_customers(harness):
     harness.ask("metered", customer="in flight")
     for number in range(3000):
-        name = harness.ask("metered", customer=f"c{number}")
-        harness.finish(name, AttemptStatus.OK)
+        request_id = harness.ask("metered", customer=f"c{number}")
+        harness.finish(request_id, AttemptStatus.OK)
         harness.run(10.0)
     assert len(harness.gateway.customers) < 600
     assert ("metered", "in flight") in harness.gateway.customers
@@ -154,8 +154,8 @@
 
 def test_finished_request_leaves_no_timer_behind(harness):
     for _ in range(20):
-        name = harness.ask("free")
-        harness.finish(name)
+        request_id = harness.ask("free")
+        harness.finish(request_id)
     assert not harness.gateway.timers.armed
     assert not harness.gateway.requests
 
@@ -216,10 +216,12 @@
 def ask_with_share_below_one_request(harness, **request_fields) -> str:
     """Send a request of one unit with the gateway set size of the harness; return its id."""
     harness.count += 1
-    name = f"r{harness.count}"
-    request = Request(name, "safe", "metered", "c", 4000.0, 1, harness.gateway_set_size, **request_fields)
+    request_id = f"r{harness.count}"
+    request = Request(
+        request_id, "safe", "metered", "c", 4000.0, 1, harness.gateway_set_size, **request_fields
+    )
     harness.do(request)
-    return name
+    return request_id
 
 
 @pytest.mark.parametrize(("gateway_set_size", "answer"), [(60, "Reject"), (2, None)])
@@ -260,9 +262,9 @@
         harness.servers(make_endpoint(1), make_endpoint(2))
         harness.gateway_set_size = 60
         for step in range(100):
-            name = ask_with_share_below_one_request(harness, is_retry=step % 2 == 1)
-            if name in harness.sent:
-                harness.finish(name, used=300.0)
+            request_id = ask_with_share_below_one_request(harness, is_retry=step % 2 == 1)
+            if request_id in harness.sent:
+                harness.finish(request_id, used=300.0)
             harness.run(200.0)
         forwarded += len(harness.sent)
     # Each gateway forwards one request at first, and what drains in 20 s at 10 / 60 units a second.
@@ -285,10 +287,10 @@
     """The indexes of the gateways that forward a request of the customer at once; each is finished."""
     forwarding = []
     for index, harness in enumerate(rigs):
-        name = harness.ask("only-cap", "brief", gateway_set_size=3)
-        if name in harness.sent:
+        request_id = harness.ask("only-cap", "brief", gateway_set_size=3)
+        if request_id in harness.sent:
             forwarding.append(index)
-            harness.finish(name)
+            harness.finish(request_id)
     return forwarding
 
 
@@ -337,15 +339,15 @@
     rigs = gateway_set_of_three(usage_percent=100.0)
     first = [harness.ask("only-cap", "brief", gateway_set_size=3) for harness in rigs]
     second = [harness.ask("only-cap", "brief", gateway_set_size=3) for harness in rigs]
-    assert all(name in harness.sent for harness, name in zip(rigs, first, strict=True))
-    for harness, name in zip(rigs, first, strict=True):
-        harness.finish(name)
-    assert sum(name in harness.sent for harness, name in zip(rigs, second, strict=True)) == 2
+    assert all(request_id in harness.sent for harness, request_id in zip(rigs, first, strict=True))
+    for harness, request_id in zip(rigs, first, strict=True):
+        harness.finish(request_id)
+    assert sum(request_id in harness.sent for harness, request_id in zip(rigs, second, strict=True)) == 2
     for harness in rigs:
         harness.run(1000.0)
-    for harness, name in zip(rigs, second, strict=True):
-        if name in harness.sent:
-            harness.finish(name)
+    for harness, request_id in zip(rigs, second, strict=True):
+        if request_id in harness.sent:
+            harness.finish(request_id)
     # No request has found its slot occupied in the last period, so the slots do not rotate any more.
     assert gateways_that_forward(rigs) == [0, 1, 2]
 
@@ -396,23 +398,23 @@
     def _finish_until(self, now_ms: float) -> None:
         """Finish the attempts that are due, each with the usage report of the period before the last."""
         due = [attempt for attempt in self.in_flight if attempt[0] <= now_ms]
-        for end_ms, harness, name in sorted(due, key=lambda attempt: attempt[0]):
+        for end_ms, harness, request_id in sorted(due, key=lambda attempt: attempt[0]):
             self._advance(harness, end_ms)
             period = int(end_ms // 1000) - 2
             usage_percent = 100.0 * self.most_in_flight[period] / self.CAP if period >= 0 else None
-            harness.finish(name, used=usage_percent, latency=self.LATENCY_MS)
+            harness.finish(request_id, used=usage_percent, latency=self.LATENCY_MS)
         self.in_flight = [attempt for attempt in self.in_flight if attempt[0] > now_ms]
 
     def _ask(self, harness: EngineHarness, now_ms: float) -> None:
         """Send a request to a gateway, and count it as forwarded or rejected."""
         self._advance(harness, now_ms)
-        name = harness.ask("wide-cap", gateway_set_size=self.GATEWAYS)
-        if name not in harness.sent:
+        request_id = harness.ask("wide-cap", gateway_set_size=self.GATEWAYS)
+        if request_id not in harness.sent:
             self.rejected += 1
             return
         self.forwarded_within += len(self.in_flight) < self.CAP
         self.forwarded_beyond += len(self.in_flight) >= self.CAP
-        self.in_flight.append((now_ms + self.LATENCY_MS, harness, name))
+        self.in_flight.append((now_ms + self.LATENCY_MS, harness, request_id))
         second = int(now_ms // 1000)
         self.most_in_flight[second] = max(self.most_in_flight[second], len(self.in_flight))
 
