--- a/tests/policy/test_leaky_bucket.py
+++ b/tests/policy/test_leaky_bucket.py
@@ -171,7 +171,7 @@
     assert harness.ask("metered", "brief", units=1) not in harness.answers
 
 
-def rig_with_priority_class() -> EngineHarness:
+def harness_with_priority_class() -> EngineHarness:
     """A harness with an additional class "dear", which has four times the priority weight."""
     harness = make_harness(classes=(*CLASSES, DEAR))
     harness.servers(make_endpoint(1), make_endpoint(2))
@@ -181,7 +181,7 @@
 def test_class_of_highest_priority_has_a_larger_burst_and_that_of_lowest_keeps_the_even_share():
     # The burst is 4 for the lowest priority weight and 4 x (1 + 0.25 x 3 / 4) = 4.75 for the highest. The
     # fifth unit exceeds it by 0.25, a delay of 50 ms at 5 units a second.
-    harness = rig_with_priority_class()
+    harness = harness_with_priority_class()
     assert all(harness.ask("metered") in harness.sent for _ in range(4))
     delayed = harness.ask("metered", "dear")
     assert delayed not in harness.sent
@@ -192,7 +192,7 @@
 def test_excess_beyond_the_burst_is_reserved_for_classes_of_higher_priority():
     # The shortest latency objective is 1000 ms: the class of lowest priority weight is delayed by 100 ms at
     # most, in which half a unit drains at 5 units a second.
-    harness = rig_with_priority_class()
+    harness = harness_with_priority_class()
     for _ in range(4):
         harness.ask("metered")
     assert harness.answers[harness.ask("metered")] == "Reject"
@@ -205,7 +205,7 @@
 # 0.13 units and drains a request of one unit in 6 s.
 
 
-def rig_with_share_below_one_request(gateway_set_size: int = 60) -> EngineHarness:
+def harness_with_share_below_one_request(gateway_set_size: int = 60) -> EngineHarness:
     """A harness of one of 60 gateways, whose customer has a gateway set of this size."""
     harness = EngineHarness(replace(SETTINGS, gateways=60))
     harness.servers(make_endpoint(1), make_endpoint(2))
@@ -226,12 +226,12 @@
 
 @pytest.mark.parametrize(("gateway_set_size", "answer"), [(60, "Reject"), (2, None)])
 def test_marked_retry_is_rejected_under_a_share_below_one_request_only(gateway_set_size, answer):
-    harness = rig_with_share_below_one_request(gateway_set_size)
+    harness = harness_with_share_below_one_request(gateway_set_size)
     assert harness.answers.get(ask_with_share_below_one_request(harness, is_retry=True)) == answer
 
 
 def test_headroom_of_the_last_usage_report_grows_the_burst_of_a_share_below_one_request():
-    harness = rig_with_share_below_one_request()
+    harness = harness_with_share_below_one_request()
     # The headroom of 0.6 makes a burst of 1 x (1 + 2 x 0.6) = 2.2 units, once the local quota has drained.
     harness.finish(ask_with_share_below_one_request(harness), used=40.0)
     harness.run(5000.0)  # longer than four usage periods, shorter than one request takes to drain
@@ -244,7 +244,7 @@
 
 def test_share_below_one_request_over_quota_or_without_a_recent_usage_report_has_the_even_burst():
     for usage_percent, wait_ms in ((100.0, 500.0), (40.0, 6100.0)):
-        harness = rig_with_share_below_one_request()
+        harness = harness_with_share_below_one_request()
         harness.finish(ask_with_share_below_one_request(harness), used=usage_percent)
         harness.run(wait_ms)
         second = ask_with_share_below_one_request(harness)
@@ -271,22 +271,22 @@
     assert forwarded <= 60 * (1 + 20 * 10 / 60 + 1)
 
 
-def gateway_set_of_three(usage_percent: float | None) -> list[EngineHarness]:
+def harnesses_of_three_gateways(usage_percent: float | None) -> list[EngineHarness]:
     """Harnesses of three gateways with this usage report of a customer that has an in-flight cap of two."""
-    rigs = [
+    harnesses = [
         EngineHarness(replace(SETTINGS, gateways=3, index=index, classes=(*CLASSES, BRIEF)))
         for index in range(3)
     ]
-    for harness in rigs:
+    for harness in harnesses:
         harness.servers(make_endpoint(1), make_endpoint(2))
         harness.finish(harness.ask("only-cap", gateway_set_size=3), used=usage_percent)
-    return rigs
+    return harnesses
 
 
-def gateways_that_forward(rigs: list[EngineHarness]) -> list[int]:
+def gateways_that_forward(harnesses: list[EngineHarness]) -> list[int]:
     """The indexes of the gateways that forward a request of the customer at once; each is finished."""
     forwarding = []
-    for index, harness in enumerate(rigs):
+    for index, harness in enumerate(harnesses):
         request_id = harness.ask("only-cap", "brief", gateway_set_size=3)
         if request_id in harness.sent:
             forwarding.append(index)
@@ -295,11 +295,11 @@
 
 
 def test_slots_rotate_under_a_cap_below_the_gateway_set_size_once_it_was_exceeded():
-    rigs = gateway_set_of_three(usage_percent=150.0)
+    harnesses = harnesses_of_three_gateways(usage_percent=150.0)
     periods = []
     for _ in range(6):
-        periods.append(tuple(gateways_that_forward(rigs)))
-        for harness in rigs:
+        periods.append(tuple(gateways_that_forward(harnesses)))
+        for harness in harnesses:
             harness.run(1000.0)
     assert all(len(forwarding) == 2 for forwarding in periods)
     assert len(set(periods[:3])) == 3
@@ -308,15 +308,15 @@
 
 @pytest.mark.parametrize("usage_percent", [None, 100.0])
 def test_cap_without_contention_leaves_each_gateway_its_slot(usage_percent):
-    rigs = gateway_set_of_three(usage_percent)
-    assert gateways_that_forward(rigs) == [0, 1, 2]
+    harnesses = harnesses_of_three_gateways(usage_percent)
+    assert gateways_that_forward(harnesses) == [0, 1, 2]
 
 
 def test_each_gateway_has_its_slot_again_once_contention_has_expired():
-    rigs = gateway_set_of_three(usage_percent=150.0)
-    for harness in rigs:
+    harnesses = harnesses_of_three_gateways(usage_percent=150.0)
+    for harness in harnesses:
         harness.run(10_000.0)
-    assert gateways_that_forward(rigs) == [0, 1, 2]
+    assert gateways_that_forward(harnesses) == [0, 1, 2]
 
 
 def test_request_without_a_slot_is_rejected_at_once_unless_the_rotation_gives_one_in_time():
@@ -336,20 +336,20 @@
 
 
 def test_request_that_finds_the_slot_occupied_starts_the_rotation_before_a_usage_report():
-    rigs = gateway_set_of_three(usage_percent=100.0)
-    first = [harness.ask("only-cap", "brief", gateway_set_size=3) for harness in rigs]
-    second = [harness.ask("only-cap", "brief", gateway_set_size=3) for harness in rigs]
-    assert all(request_id in harness.sent for harness, request_id in zip(rigs, first, strict=True))
-    for harness, request_id in zip(rigs, first, strict=True):
+    harnesses = harnesses_of_three_gateways(usage_percent=100.0)
+    first = [harness.ask("only-cap", "brief", gateway_set_size=3) for harness in harnesses]
+    second = [harness.ask("only-cap", "brief", gateway_set_size=3) for harness in harnesses]
+    assert all(request_id in harness.sent for harness, request_id in zip(harnesses, first, strict=True))
+    for harness, request_id in zip(harnesses, first, strict=True):
         harness.finish(request_id)
-    assert sum(request_id in harness.sent for harness, request_id in zip(rigs, second, strict=True)) == 2
-    for harness in rigs:
+    assert sum(request_id in harness.sent for harness, request_id in zip(harnesses, second, strict=True)) == 2
+    for harness in harnesses:
         harness.run(1000.0)
-    for harness, request_id in zip(rigs, second, strict=True):
+    for harness, request_id in zip(harnesses, second, strict=True):
         if request_id in harness.sent:
             harness.finish(request_id)
     # No request has found its slot occupied in the last period, so the slots do not rotate any more.
-    assert gateways_that_forward(rigs) == [0, 1, 2]
+    assert gateways_that_forward(harnesses) == [0, 1, 2]
 
 
 @dataclass
@@ -378,11 +378,11 @@
         self.random = random.Random(self.seed)
         self.in_flight: list[tuple[float, EngineHarness, str]] = []  # end time in ms, harness, request id
         self.most_in_flight = [0] * 40  # largest number in flight, by second
-        self.rigs = [
+        self.harnesses = [
             EngineHarness(replace(SETTINGS, gateways=self.GATEWAYS, index=index, plans=plans), seed=index)
             for index in range(self.GATEWAYS)
         ]
-        for harness in self.rigs:
+        for harness in self.harnesses:
             harness.servers(make_endpoint(1), make_endpoint(2))
 
     def run(self, mean_interval_ms: float) -> None:
@@ -392,7 +392,7 @@
         while now_ms < self.DURATION_MS:
             now_ms += self.random.expovariate(1.0 / mean_interval_ms)
             self._finish_until(now_ms)
-            harness = self.random.choices(self.rigs, weights)[0]
+            harness = self.random.choices(self.harnesses, weights)[0]
             self._ask(harness, now_ms)
 
     def _finish_until(self, now_ms: float) -> None:
