--- a/tests/policy/test_protocol_rules.py
+++ b/tests/policy/test_protocol_rules.py
@@ -45,7 +45,7 @@
 @pytest.mark.parametrize(
     ("class_name", "answer"), [("safe", "Reject"), ("keyed", "Fail"), ("unsafe", "Fail")]
 )
-def test_silent_attempt_is_answered_before_the_client_times_out(harness, class_name, answer):
+def test_request_with_a_silent_attempt_is_answered_before_the_client_times_out(harness, class_name, answer):
     request_id = harness.ask(class_name=class_name, timeout_ms=300.0)
     harness.run(299.0)
     assert harness.answers[request_id] == answer
@@ -88,14 +88,14 @@
 
 
 @pytest.mark.parametrize("status", POSSIBLY_EXECUTED)
-def test_non_idempotent_is_failed_once_it_may_have_been_executed(harness, status):
+def test_non_idempotent_request_is_failed_once_it_may_have_been_executed(harness, status):
     request_id = harness.ask(class_name="unsafe")
     harness.finish(request_id, status)
     assert len(harness.sent[request_id]) == 1
     assert harness.answers[request_id] == "Fail"
 
 
-def test_non_idempotent_is_rejected_when_no_attempt_was_executed():
+def test_non_idempotent_request_is_rejected_when_no_attempt_was_executed():
     harness = EngineHarness()
     harness.servers(make_endpoint(1))
     request_id = harness.ask(class_name="unsafe")
@@ -104,7 +104,7 @@
     assert harness.answers[request_id] == "Reject"
 
 
-def test_non_idempotent_that_may_have_been_executed_at_the_second_attempt_is_failed(harness):
+def test_non_idempotent_request_that_may_have_been_executed_at_the_second_attempt_is_failed(harness):
     request_id = harness.ask(class_name="unsafe")
     harness.finish(request_id, AttemptStatus.OVERLOADED)
     harness.finish(request_id, AttemptStatus.RESET)
@@ -114,7 +114,7 @@
 @pytest.mark.parametrize(
     ("class_name", "scope"), [("keyed", {1, 2}), ("keyed-cell", {1, 2}), ("keyed-all", {1, 2, 3, 4})]
 )
-def test_keyed_is_retried_only_in_its_idempotency_scope(class_name, scope):
+def test_keyed_request_is_retried_only_in_its_idempotency_scope(class_name, scope):
     for seed in range(10):
         harness = EngineHarness(seed=seed)
         harness.servers(make_endpoint(1, cell=1), make_endpoint(2, cell=1))
@@ -125,7 +125,7 @@
         assert len(harness.sent[request_id]) == 2
 
 
-def test_keyed_is_failed_outside_its_idempotency_window(harness):
+def test_keyed_request_is_failed_outside_its_idempotency_window(harness):
     request_id = harness.ask(class_name="keyed", timeout_ms=3900.0)
     # Without tried endpoints, only the idempotency window prevents a retry.
     harness.gateway.requests[request_id].tried_endpoints.clear()
@@ -270,7 +270,7 @@
 # Beyond the rules: overload
 
 
-def test_concurrency_limit_queues_and_sheds_the_least_value():
+def test_concurrency_limit_queues_requests_and_sheds_the_least_valuable():
     harness = make_harness(classes=(*CLASSES, DEAR))
     harness.servers(make_endpoint(1), make_endpoint(2))
     harness.gateway.mechanisms.concurrency.limit = 6.0
@@ -289,7 +289,7 @@
     assert high_priority in harness.sent
 
 
-def test_slow_answers_do_not_stop_forwarding(harness):
+def test_slow_responses_do_not_stop_forwarding(harness):
     # With a mean latency above the objective no request may be delayed, but one without a delay is forwarded.
     for _ in range(60):
         request_id = harness.ask("metered")
@@ -308,7 +308,7 @@
     assert not any(endpoint.failures for endpoint in harness.gateway.endpoints.by_id.values())
 
 
-def test_a_pending_request_id_is_not_answered_by_its_repeat(harness):
+def test_repeated_id_of_a_pending_request_is_neither_answered_nor_forwarded(harness):
     request_id = harness.ask(class_name="unsafe")
     harness.count -= 1
     assert harness.ask(class_name="unsafe") == request_id
@@ -327,7 +327,7 @@
 # Beyond the rules: adaptive concurrency limit over any number of gateways
 
 
-def test_all_gateways_together_keep_few_in_flight_before_anything_is_known():
+def test_all_gateways_together_keep_few_attempts_in_flight_before_the_first_response():
     forwarded = 0
     # Six attempts for each of ten endpoints, over 100 gateways, are an initial limit of 0.6 for a gateway.
     for index in range(100):
@@ -347,7 +347,7 @@
     return harness
 
 
-def test_slow_answers_cut_the_concurrency_limit_and_quick_ones_lift_it_when_used_up():
+def test_slow_responses_lower_the_concurrency_limit_and_fast_ones_raise_it_when_used_up():
     harness = harness_with_limit_of_six()
     request_ids = [harness.ask() for _ in range(6)]
     harness.finish(request_ids[0], latency=1001.0)  # half of the latency objective is 1000 ms
@@ -372,7 +372,7 @@
     return harness
 
 
-def test_latency_added_by_request_size_does_not_cut_the_concurrency_limit():
+def test_latency_added_by_request_size_does_not_lower_the_concurrency_limit():
     harness = harness_with_learned_sizes()
     harness.finish(harness.ask(units=4), latency=1300.0)
     assert harness.gateway.mechanisms.concurrency.limit == pytest.approx(6.0)
@@ -397,7 +397,7 @@
     assert len(harness.sent[large]) == 1
 
 
-def test_silent_attempts_leave_the_concurrency_limit_when_slow():
+def test_silent_attempts_do_not_count_under_the_concurrency_limit_once_slow():
     harness = harness_with_limit_of_six()
     for _ in range(12):
         harness.ask()
@@ -472,14 +472,14 @@
     harness.finish(request_id, AttemptStatus.CONNECT_FAILED)
 
 
-def test_an_outlier_for_one_class_keeps_the_other_classes():
+def test_outlier_for_one_class_still_gets_requests_of_other_classes():
     same_class = harness_with_outlier(reset_without_answer, class_name="unsafe")
     assert count_at_endpoint_0(same_class, class_name="unsafe") <= 2
     other_class = harness_with_outlier(reset_without_answer, class_name="unsafe")
     assert count_at_endpoint_0(other_class, class_name="safe") >= 3
 
 
-def test_an_outlier_for_one_plan_keeps_the_other_plans():
+def test_outlier_for_one_plan_still_gets_requests_of_other_plans():
     same_plan = harness_with_outlier(answer_overloaded, plan="free")
     assert count_at_endpoint_0(same_plan, plan="free") <= 2
     other_plan = harness_with_outlier(answer_overloaded, plan="free")
@@ -511,7 +511,7 @@
     assert lines == ["outlier detected server=7 scope='all' reason=connect_failed"]
 
 
-def test_of_a_large_fleet_few_endpoints_are_compared():
+def test_few_endpoints_of_a_large_fleet_are_compared():
     harness = harness_with_endpoints(300)
     compared = []
     cost = harness.gateway.mechanisms.balancer.cost
@@ -553,7 +553,7 @@
     assert len(harness.sent[request_id]) == 1
 
 
-def test_attempt_as_slow_as_the_mean_suggests_is_waited_for():
+def test_attempt_is_not_given_up_before_it_is_presumed_lost():
     harness, request_id = harness_with_silent_attempt("unsafe", 400.0)
     harness.run(3000.0)  # 7.5 mean latencies; after eight the attempt is presumed lost
     assert request_id not in harness.answers
@@ -571,7 +571,7 @@
     assert second in harness.sent
 
 
-def test_a_request_rejected_after_an_error_is_answered_and_no_failure_of_the_endpoint():
+def test_rejection_after_an_error_is_answered_and_does_not_count_as_a_failure_of_its_endpoint():
     harness = harness_with_endpoints(4)
     request_id = harness.ask()
     harness.finish(request_id, AttemptStatus.ERROR)
@@ -622,7 +622,7 @@
     endpoint.relative_latency_at = Moment(harness.now, 0)
 
 
-def test_warming_endpoints_have_their_share_within_the_overload_budget_however_they_answer():
+def test_warming_endpoints_have_their_share_within_the_overload_budget_at_any_latency():
     harness = harness_with_four_warming()
     endpoints = harness.gateway.endpoints.by_id
     set_relative_latency(harness, endpoints[3], 0.2)
@@ -633,7 +633,7 @@
     assert all(55 <= chosen.count(endpoints[number]) <= 65 for number in (2, 3, 4, 5))
 
 
-def test_warming_endpoint_that_fails_or_has_much_in_flight_is_passed_over():
+def test_warming_endpoint_that_fails_or_has_many_attempts_in_flight_is_not_chosen():
     harness = harness_with_four_warming()
     harness.servers(*(make_endpoint(number) for number in range(6, 10)), kind=UpdateKind.DELTA)
     endpoints = harness.gateway.endpoints.by_id
@@ -663,7 +663,7 @@
     assert sum(map(len, picked_by_draw)) >= 700
 
 
-def test_fleet_gives_warming_endpoints_their_share_though_each_gateway_has_met_few_of_them():
+def test_fleet_gives_warming_endpoints_their_share_though_each_gateway_has_used_few_of_them():
     # There are 40 gateways, 24 warm endpoints and 36 at half their capacity. Each gateway has had a few fast
     # responses from warming endpoints, each from a different one.
     warm = range(1, 25)
