--- a/tests/policy/test_edge_sizes.py
+++ b/tests/policy/test_edge_sizes.py
@@ -66,7 +66,7 @@
     assert "x" in harness.sent
 
 
-def test_a_snapshot_without_endpoints_queues_then_rejects():
+def test_request_is_queued_then_rejected_after_a_snapshot_without_endpoints():
     harness = EngineHarness()
     harness.servers(kind=UpdateKind.CACHED)
     request_id = harness.ask(timeout_ms=300.0)
--- a/tests/policy/test_endpoints.py
+++ b/tests/policy/test_endpoints.py
@@ -122,7 +122,7 @@
     assert table.by_id[number].started_ms == 60_000.0
 
 
-def test_start_during_the_detachment_that_discovery_reports_holds(table, clock):
+def test_start_during_the_detachment_that_discovery_reports_is_kept(table, clock):
     number = table.ready[0].id
     table.detach(number)
     clock.advance(60_000.0)
--- a/tests/policy/test_leaky_bucket.py
+++ b/tests/policy/test_leaky_bucket.py
@@ -59,7 +59,7 @@
     assert harness.gateway.customers["metered", "c"].excess == 0.0
 
 
-def test_delay_past_the_deadline_is_a_rejection_and_costs_no_excess(harness):
+def test_delay_past_the_deadline_rejects_the_request_and_adds_no_excess(harness):
     for _ in range(4):
         harness.ask("metered")
     assert harness.answers.get(harness.ask("metered", timeout_ms=200.0)) == "Reject"
@@ -160,7 +160,7 @@
     assert not harness.gateway.requests
 
 
-def test_delay_past_the_shortest_latency_objective_is_a_rejection():
+def test_delay_past_the_shortest_latency_objective_rejects_the_request():
     # The latency objective is 500 ms and the initial mean latency 100 ms. So a delay may last 400 ms, in
     # which two units drain at 5 units a second.
     harness = make_harness(classes=(*CLASSES, BRIEF))
@@ -422,14 +422,14 @@
         harness.run(max(0.0, self.START_MS + now_ms - harness.now))
 
 
-def test_contention_at_a_cap_is_noticed_by_each_gateway_of_a_wide_set():
+def test_contention_at_a_cap_is_detected_by_each_gateway_of_a_large_set():
     simulation = InFlightCapSimulation(seed=1)
     simulation.run(mean_interval_ms=50.0)  # without the cap, eight requests would be in flight on average
     forwarded = simulation.forwarded_within + simulation.forwarded_beyond
     assert simulation.forwarded_beyond < 0.3 * forwarded
 
 
-def test_customer_of_a_wide_set_without_contention_is_forwarded_under_a_cap():
+def test_customer_of_a_large_set_without_contention_is_forwarded_under_a_cap():
     simulation = InFlightCapSimulation(seed=1)
     simulation.run(mean_interval_ms=1000.0)
     forwarded = simulation.forwarded_within + simulation.forwarded_beyond
--- a/tests/policy/test_load_balancing.py
+++ b/tests/policy/test_load_balancing.py
@@ -125,7 +125,7 @@
     assert balancer.cost(pending_request(), make_endpoints(1)[0]) == 1.0
 
 
-def test_cost_adds_what_is_in_flight_and_queued_times_the_relative_latency(balancer, clock):
+def test_cost_counts_requests_in_flight_and_queued_times_the_relative_latency(balancer, clock):
     (endpoint,) = make_endpoints(1)
     endpoint.in_flight = {("other", 0), ("other", 1)}
     balancer._report_fields = ("utilisation", "queue")
--- a/tests/policy/test_outliers.py
+++ b/tests/policy/test_outliers.py
@@ -45,7 +45,7 @@
         (AttemptStatus.OVERLOADED, CLASS_OF_PLAN),
     ],
 )
-def test_failure_counts_under_the_narrowest_key_that_its_status_tells_of(
+def test_failure_counts_under_the_narrowest_key_that_its_status_concerns(
     status, key, detector, failures, endpoint
 ):
     outlier = detector.on_outcome(pending_request(), endpoint, status)
@@ -55,19 +55,19 @@
 
 
 @pytest.mark.parametrize("status", [AttemptStatus.TIMEOUT, AttemptStatus.CANCELLED, AttemptStatus.NOT_SENT])
-def test_status_that_tells_nothing_of_the_endpoint_is_not_recorded(status, detector, endpoint):
+def test_status_that_says_nothing_about_the_endpoint_is_not_recorded(status, detector, endpoint):
     assert detector.on_outcome(pending_request(), endpoint, status) is None
     assert not endpoint.failures
 
 
-def test_overloaded_endpoint_after_an_error_is_not_recorded(detector, endpoint):
+def test_overloaded_status_after_an_error_is_not_recorded(detector, endpoint):
     pending = pending_request()
     pending.had_error = True
     assert detector.on_outcome(pending, endpoint, AttemptStatus.OVERLOADED) is None
     assert not endpoint.failures
 
 
-def test_good_response_counts_under_all_keys_of_its_request(detector, endpoint):
+def test_successful_response_counts_under_all_keys_of_its_request(detector, endpoint):
     assert detector.on_outcome(pending_request(), endpoint, AttemptStatus.OK) is None
     assert list(endpoint.failures) == [ALL_REQUESTS, CLASS, CLASS_OF_PLAN]
     assert set(endpoint.failures.values()) == {FailureRecord(0.0, 1.0, (1000.0, 0))}
@@ -94,7 +94,7 @@
     assert detector.failure_probability(pending_request(), endpoint) == rate >= OUTLIER_FAILURE_RATE
 
 
-def test_endpoint_is_no_outlier_any_more_once_enough_responses_are_good(detector, endpoint):
+def test_endpoint_is_no_longer_an_outlier_after_enough_successful_responses(detector, endpoint):
     detector.on_outcome(pending_request(), endpoint, AttemptStatus.ERROR)
     assert detector.is_outlier(endpoint)
     for _ in range(3):
--- a/tests/policy/test_policy_files.py
+++ b/tests/policy/test_policy_files.py
@@ -25,12 +25,12 @@
 
 
 @pytest.mark.parametrize("path", POLICY_FILES, ids=lambda path: path.name)
-def test_docstring_of_a_policy_file_says_its_job_in_one_sentence(path):
+def test_docstring_of_a_policy_file_states_its_purpose_in_one_sentence(path):
     line = first_docstring_line(path)
     assert line.endswith("."), "the first line of the docstring does not end with a full stop"
 
 
-def test_no_two_policy_files_say_they_have_the_same_job():
+def test_no_two_policy_files_state_the_same_purpose():
     lines = [first_docstring_line(path) for path in POLICY_FILES]
     assert len(set(lines)) == len(lines)
 
--- a/tests/policy/test_quota_over_fleet.py
+++ b/tests/policy/test_quota_over_fleet.py
@@ -144,9 +144,7 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 # If all requests were forwarded, 420 and 1800 would be beyond the quota, and 300 and 480 within it.
 @pytest.mark.parametrize(("plan", "most_beyond_quota"), [(RATE_PLAN, 300), (CAP_PLAN, 1000)])
-def test_what_gateways_forward_of_unknown_customers_does_not_add_up_to_many_quotas(
-    plan, most_beyond_quota, seed
-):
+def test_requests_forwarded_for_unknown_customers_do_not_add_up_to_many_quotas(plan, most_beyond_quota, seed):
     fleet = Fleet(plan, seed)
     usual = [f"usual-{number}" for number in range(40)]
     heavy = [f"heavy-{number}" for number in range(6)]
@@ -161,7 +159,7 @@
 
 
 @pytest.mark.parametrize("plan", PLANS)
-def test_fleet_whose_customers_keep_within_their_quotas_comes_to_forward_all(plan):
+def test_fleet_learns_to_forward_most_requests_of_customers_within_their_quotas(plan):
     fleet = Fleet(plan, 1)
     customers = [f"usual-{number}" for number in range(120)]
     for _ in range(4):
@@ -184,7 +182,7 @@
     return state
 
 
-def test_admitted_share_is_handed_over_to_a_new_version():
+def test_admitted_share_is_handed_over_to_the_next_process():
     predecessor = make_fleet_member()
     predecessor.gateway.mechanisms.unknown_customers.admitted_shares["cap"] = 0.5
     state = export_state(predecessor)
--- a/tests/policy/test_subset.py
+++ b/tests/policy/test_subset.py
@@ -197,7 +197,7 @@
             assert list(nearest)[: gateway_subset.size(servers)] == subset_names(gateway_subset, names)
 
 
-def test_certain_count_is_below_the_size_where_endpoints_were_dropped_before_the_size_grew():
+def test_certain_count_is_below_the_size_where_endpoints_were_displaced_before_the_size_grew():
     """The names are offered nearest first while the size grows; no list sorted by name is in this order."""
     gateway_subset = Subset(100, 0)
     ranked = sorted(random_names(3000, 100), key=gateway_subset.distance)
