--- a/tests/policy/test_quota_over_fleet.py
+++ b/tests/policy/test_quota_over_fleet.py
@@ -111,7 +111,7 @@
         if self.plan.rate:
             self._take_units(customer, now_ms)
         else:
-            self._take_place(customer, now_ms)
+            self._take_slot(customer, now_ms)
 
     def _take_units(self, customer: str, now_ms: float) -> None:
         units, counted_at_ms = self._token_buckets.get(customer, (self.plan.burst, now_ms))
@@ -124,7 +124,7 @@
         self._token_buckets[customer] = units, now_ms
         self._usage[customer, int(now_ms / 1000.0)] += REQUEST_UNITS
 
-    def _take_place(self, customer: str, now_ms: float) -> None:
+    def _take_slot(self, customer: str, now_ms: float) -> None:
         in_flight = [end_ms for end_ms in self._ends_in_flight.get(customer, []) if end_ms > now_ms]
         self.beyond_quota += len(in_flight) >= self.plan.max_in_flight
         in_flight.append(now_ms + LATENCY_MS)
@@ -183,14 +183,14 @@
 
 
 def test_admitted_share_is_handed_over_to_the_next_process():
-    predecessor = make_fleet_member()
-    predecessor.gateway.mechanisms.unknown_customers.admitted_shares["cap"] = 0.5
-    state = export_state(predecessor)
-    successor = make_fleet_member()
-    successor.do(RestoreState(state))
-    assert successor.gateway.mechanisms.unknown_customers.admitted_shares["cap"] == 0.5
+    previous_process = make_fleet_member()
+    previous_process.gateway.mechanisms.unknown_customers.admitted_shares["cap"] = 0.5
+    state = export_state(previous_process)
+    next_process = make_fleet_member()
+    next_process.do(RestoreState(state))
+    assert next_process.gateway.mechanisms.unknown_customers.admitted_shares["cap"] == 0.5
     older_state = {name: value for name, value in state.items() if name != "open"}
-    successor_of_older = make_fleet_member()
-    successor_of_older.do(RestoreState(older_state))  # older versions hand over no shares
-    assert successor_of_older.gateway.has_peer_process
-    assert successor_of_older.gateway.mechanisms.unknown_customers.admitted_shares["cap"] < 0.5
+    upgraded_process = make_fleet_member()
+    upgraded_process.do(RestoreState(older_state))  # older versions hand over no shares
+    assert upgraded_process.gateway.has_peer_process
+    assert upgraded_process.gateway.mechanisms.unknown_customers.admitted_shares["cap"] < 0.5
