--- a/tests/policy/test_subset.py
+++ b/tests/policy/test_subset.py
@@ -33,7 +33,7 @@
     return ranked_by_distance(gateway_subset, names)[: gateway_subset.size(len(names))]
 
 
-def count_sharers(gateways, names, min_size):
+def count_gateways_per_server(gateways, names, min_size):
     """How many gateways work with each server."""
     counts = dict.fromkeys(names, 0)
     for index in range(gateways):
@@ -83,9 +83,9 @@
     assert subset.INITIAL_CONCURRENCY_PER_SERVER == concurrency.INITIAL_CONCURRENCY_PER_SERVER
 
 
-def check_sharers(gateways, servers, seed, min_share_of_mean=0.0):
+def check_gateways_per_server(gateways, servers, seed, min_share_of_mean=0.0):
     """Check that the number of gateways that work with a server differs little between servers."""
-    counts = count_sharers(gateways, random_names(servers, seed), SMALL_SUBSET_SIZE)
+    counts = count_gateways_per_server(gateways, random_names(servers, seed), SMALL_SUBSET_SIZE)
     mean = sum(counts.values()) / len(counts)
     assert min(counts.values()) > min_share_of_mean * mean
     # With subsets drawn at random, some servers would have two to three times the mean.
@@ -95,12 +95,12 @@
 @settings(max_examples=25, deadline=None)
 @given(st.integers(30, 120), st.integers(1, 4), SEEDS)
 def test_every_server_has_gateways_and_none_many_more_than_the_mean(gateways, servers_each, seed):
-    check_sharers(gateways, gateways * servers_each, seed)
+    check_gateways_per_server(gateways, gateways * servers_each, seed)
 
 
 def test_servers_are_shared_evenly_at_a_tenth_of_the_fleet():
     # With the same step on both rings, some servers would have half of the mean.
-    check_sharers(380, 3800, 1, min_share_of_mean=0.65)
+    check_gateways_per_server(380, 3800, 1, min_share_of_mean=0.65)
 
 
 @settings(max_examples=10, deadline=None)
