--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -144,7 +144,7 @@
         self.in_flight = {}  # server and start time, by request and attempt
         self.attempt_counts = Counter()
         if not scenario.known_before:
-            self.add_predecessors()
+            self.add_replaced_servers()
         self.schedule_endpoint_updates()
 
     def make_servers(self):
@@ -163,7 +163,7 @@
             servers[number] = Server(number, started_ms, failure_rate)
         return servers
 
-    def add_predecessors(self):
+    def add_replaced_servers(self):
         """Add the server that each restarting one replaces, under its negative number."""
         for server in self.restarting:
             self.servers[-server.number] = Server(-server.number, STARTED_LONG_AGO_MS, 0.0)
@@ -352,12 +352,12 @@
     "all at once": Scenario(restarting_share=1.0, load=0.5, burst_factor=1.5),
 }
 FLEET_SIZES = [(5, 11), (20, 11), (30, 11), (200, 22)]  # gateways, servers; more than twenty are sampled
-LARGE_FLEET = 200  # gateways; fleets of this size or more run with one seed
+LARGE_FLEET_GATEWAYS = 200  # gateways; fleets of this size or more run with one seed
 
 
 def run_fleets(gateways, servers, scenario, end_ms):
     """Run a scenario once for each seed; return the fleets."""
-    seeds = (1, 2) if gateways < LARGE_FLEET else (1,)
+    seeds = (1, 2) if gateways < LARGE_FLEET_GATEWAYS else (1,)
     return [Fleet(gateways, servers, scenario, seed).run(end_ms) for seed in seeds]
 
 
