--- a/tests/policy/test_endpoints.py
+++ b/tests/policy/test_endpoints.py
@@ -43,7 +43,7 @@
     table.update(EndpointUpdate(kind, endpoints))
 
 
-def by_distance(table: EndpointTable) -> list[int]:
+def ids_by_distance(table: EndpointTable) -> list[int]:
     return sorted(table.by_id, key=lambda number: table.by_id[number].distance)
 
 
@@ -51,14 +51,14 @@
     return [endpoint.id for endpoint in endpoints]
 
 
-def fail_often(detector: OutlierDetector, endpoint) -> None:
+def make_outlier(detector: OutlierDetector, endpoint) -> None:
     request = Request("r", "safe", "free", "c", 4000.0)
     pending = PendingRequest(request, CLASSES[0], PLANS[3], CustomerState(0.0, 0.0), 0.0, 0.0)
     assert detector.on_outcome(pending, endpoint, AttemptStatus.CONNECT_FAILED)
 
 
 def test_subset_is_the_nearest_ready_endpoints_and_standby_has_the_others_nearest_last(table):
-    ranked = by_distance(table)
+    ranked = ids_by_distance(table)
     assert ids(table.ready) == ranked[:SUBSET_SIZE]
     assert ids(table.standby) == ranked[: SUBSET_SIZE - 1 : -1]
     assert table.subset_radius == table.by_id[ranked[SUBSET_SIZE - 1]].distance
@@ -68,7 +68,7 @@
 
 def test_new_endpoint_takes_its_place_by_distance(table):
     update(table, *(Endpoint(number, "a") for number in range(100, 140)))
-    assert ids(table.ready) == by_distance(table)[:SUBSET_SIZE]
+    assert ids(table.ready) == ids_by_distance(table)[:SUBSET_SIZE]
 
 
 def test_endpoint_that_is_gone_is_never_ready_again(table):
@@ -80,9 +80,9 @@
 
 
 def test_outlier_gets_one_replacement_until_the_first_selection_after_its_recovery(table, detector):
-    ranked = by_distance(table)
+    ranked = ids_by_distance(table)
     outlier = table.ready[0]
-    fail_often(detector, outlier)
+    make_outlier(detector, outlier)
     for _ in range(2):
         table.replace(outlier)
         assert ids(table.ready) == ranked[: SUBSET_SIZE + 1]
@@ -105,7 +105,7 @@
     nearest_standby = table.standby[-1]
     update(table, Endpoint(nearest_standby.id, "a", started_ms=clock.now_ms))
     assert not table.warming
-    fail_often(detector, table.ready[0])
+    make_outlier(detector, table.ready[0])
     table.replace(table.ready[0])
     assert table.warming == [nearest_standby]
 
--- a/tests/policy/test_load_balancing.py
+++ b/tests/policy/test_load_balancing.py
@@ -107,18 +107,18 @@
 
 
 def test_keyed_request_that_has_tried_its_whole_group_may_repeat_there_and_an_idempotent_one_may_not(clock):
-    for idempotency, again in ((Idempotency.KEYED, [1, 2]), (Idempotency.IDEMPOTENT, [])):
+    for idempotency, expected_ids in ((Idempotency.KEYED, [1, 2]), (Idempotency.IDEMPOTENT, [])):
         pending = executed_request(idempotency, IdempotencyScope.CELL, NOW_MS)
         pending.tried_endpoints.update((2, 3, 4))
-        retry = IdempotencyGroup(clock).endpoints_for_retry(pending, GROUP_CANDIDATES)
-        assert [endpoint.id for endpoint in retry] == again
+        permitted = IdempotencyGroup(clock).endpoints_for_retry(pending, GROUP_CANDIDATES)
+        assert [endpoint.id for endpoint in permitted] == expected_ids
 
 
 def test_non_idempotent_request_that_was_not_executed_may_go_to_any_untried_endpoint(clock):
     pending = pending_request(CLASSES[-1])
     pending.tried_endpoints.add(3)
-    retry = IdempotencyGroup(clock).endpoints_for_retry(pending, GROUP_CANDIDATES)
-    assert [endpoint.id for endpoint in retry] == [1, 2, 4]
+    permitted = IdempotencyGroup(clock).endpoints_for_retry(pending, GROUP_CANDIDATES)
+    assert [endpoint.id for endpoint in permitted] == [1, 2, 4]
 
 
 def test_cost_of_an_idle_endpoint_is_one_mean_latency(balancer):
@@ -172,7 +172,7 @@
     assert balancer.choose(pending_request(), endpoints, [], 1.0) is None
 
 
-def count_costs(balancer: LoadBalancer, endpoints: list[EndpointState]) -> list[EndpointState]:
+def compared_endpoints(balancer: LoadBalancer, endpoints: list[EndpointState]) -> list[EndpointState]:
     """The endpoints whose cost is calculated for one request, in the order of calculation."""
     compared: list[EndpointState] = []
     cost = balancer.cost
@@ -183,9 +183,9 @@
 
 def test_all_endpoints_are_compared_up_to_the_limit_and_a_sample_beyond(balancer):
     endpoints = make_endpoints(MAX_ENDPOINTS_WITHOUT_SAMPLING)
-    assert count_costs(balancer, endpoints) == endpoints
+    assert compared_endpoints(balancer, endpoints) == endpoints
     more = make_endpoints(MAX_ENDPOINTS_WITHOUT_SAMPLING + 1)
-    assert len(count_costs(balancer, more)) == SAMPLED_ENDPOINTS
+    assert len(compared_endpoints(balancer, more)) == SAMPLED_ENDPOINTS
 
 
 def test_endpoints_with_recent_fast_responses_are_compared_beside_the_sample(balancer):
@@ -193,4 +193,4 @@
     for endpoint in endpoints[:15]:
         balancer.on_response(SAFE, endpoint, 1.0)
     balancer.on_response(SAFE, endpoints[14], SAFE.latency_objective_ms)  # this endpoint is no longer fast
-    assert count_costs(balancer, endpoints)[SAMPLED_ENDPOINTS:] == endpoints[5:14]
+    assert compared_endpoints(balancer, endpoints)[SAMPLED_ENDPOINTS:] == endpoints[5:14]
