--- a/tests/policy/test_leaky_bucket.py
+++ b/tests/policy/test_leaky_bucket.py
@@ -1,6 +1,6 @@
 """The leaky bucket and the in-flight cap of one customer: burst, delay, rejection, quota share, usage report.
 
-Expected figures are worked out by hand, in the comments beside them.
+Expected values are calculated by hand in the comments.
 """
 
 from __future__ import annotations
@@ -17,24 +17,25 @@
 BRIEF = RequestClass("brief", 500.0, 4000.0, Idempotency.IDEMPOTENT)
 
 
-def finish_if_forwarded(harness, name) -> bool:
-    """Whether the request was forwarded; if so, it is answered at once."""
-    if name in harness.sent:
-        harness.finish(name)
-    return name in harness.sent
+def finish_if_forwarded(harness, request_id) -> bool:
+    """Finish a request if it was forwarded; return whether it was."""
+    if request_id in harness.sent:
+        harness.finish(request_id)
+    return request_id in harness.sent
 
 
 def test_burst_is_forwarded_then_excess_is_delayed_then_rejected(harness):
-    # rate 5/s and burst 4 for each of two gateways; the first request leaves an excess of one unit
-    names = [harness.ask("metered") for _ in range(10)]
-    assert [name in harness.sent for name in names] == [True] * 4 + [False] * 6
-    assert [name in harness.answers for name in names] == [False] * 8 + [True] * 2
+    # Each of two gateways has rate 5/s and burst 4; the first request already leaves an excess of one unit.
+    request_ids = [harness.ask("metered") for _ in range(10)]
+    assert [request_id in harness.sent for request_id in request_ids] == [True] * 4 + [False] * 6
+    assert [request_id in harness.answers for request_id in request_ids] == [False] * 8 + [True] * 2
 
 
 def test_delay_is_the_excess_over_burst_at_the_rate(harness):
     for _ in range(4):
         harness.ask("metered")
-    delayed = harness.ask("metered")  # excess 5000, burst 4000: 1000 thousandths at 5 a second are 200 ms
+    # An excess of 5000 milliunits is 1000 over the burst of 4000, a delay of 200 ms at 5 units a second.
+    delayed = harness.ask("metered")
     harness.run(199.0)
     assert delayed not in harness.sent
     harness.run(1.0)
@@ -50,7 +51,7 @@
 
 def test_excess_drains_at_the_rate_and_not_below_zero(harness):
     harness.ask("metered", units=3)
-    harness.run(400.0)  # 5 units a second: 2000 thousandths drained, 1000 added
+    harness.run(400.0)  # 2000 milliunits drain at 5 units a second; the next request adds 1000
     harness.ask("metered")
     assert harness.gateway.customers["metered", "c"].excess == 2000.0
     harness.run(5000.0)
@@ -58,7 +59,7 @@
     assert harness.gateway.customers["metered", "c"].excess == 0.0
 
 
-def test_delay_past_the_deadline_is_a_rejection_and_costs_no_excess(harness):
+def test_delay_past_the_deadline_rejects_the_request_and_adds_no_excess(harness):
     for _ in range(4):
         harness.ask("metered")
     assert harness.answers.get(harness.ask("metered", timeout_ms=200.0)) == "Reject"
@@ -73,11 +74,11 @@
     harness = make_harness(gateways=3)
     harness.servers(make_endpoint(1), make_endpoint(2), make_endpoint(3))
     forwarded = [harness.ask("metered", gateway_set_size=3) in harness.sent for _ in range(4)]
-    assert forwarded == [True, True, False, False]  # 8 / 3 = 2.67
+    assert forwarded == [True, True, False, False]  # the local burst is 8 / 3 = 2.67 units
     forwarded = []
     for _ in range(9):
-        name = harness.ask("metered", customer="one", gateway_set_size=1)
-        forwarded.append(finish_if_forwarded(harness, name))
+        request_id = harness.ask("metered", customer="one", gateway_set_size=1)
+        forwarded.append(finish_if_forwarded(harness, request_id))
     assert forwarded == [True] * 8 + [False]
 
 
@@ -90,30 +91,30 @@
     assert quota_share(customer) == 0.5
     harness.finish(harness.ask("metered"), used=0.0)
     assert quota_share(customer) == 0.55
-    harness.run(4001.0)  # no usage report for more than four usage periods
+    harness.run(4001.0)  # no usage report has come for more than four usage periods
     harness.ask("free")
     assert quota_share(customer) == 0.5
 
 
 def test_estimated_units_are_settled_on_the_answer(harness):
-    name = harness.ask("metered", units=2)
-    harness.finish(name, units=5.0)
+    request_id = harness.ask("metered", units=2)
+    harness.finish(request_id, units=5.0)
     assert harness.gateway.customers["metered", "c"].excess == 5000.0
 
 
 def test_delayed_request_whose_client_disconnected_gives_its_units_back(harness):
-    names = [harness.ask("metered") for _ in range(6)]
-    harness.do(ClientDisconnected(names[5]))
+    request_ids = [harness.ask("metered") for _ in range(6)]
+    harness.do(ClientDisconnected(request_ids[5]))
     assert harness.gateway.customers["metered", "c"].excess == 5000.0
     harness.run(4000.0)
-    assert names[5] not in harness.sent
+    assert request_ids[5] not in harness.sent
 
 
 def test_in_flight_cap_is_divided_between_gateways_and_queues_requests_beyond_the_share(harness):
-    names = [harness.ask("capped") for _ in range(3)]
-    assert [name in harness.sent for name in names] == [True, True, False]
-    harness.finish(names[0])
-    assert names[2] in harness.sent
+    request_ids = [harness.ask("capped") for _ in range(3)]
+    assert [request_id in harness.sent for request_id in request_ids] == [True, True, False]
+    harness.finish(request_ids[0])
+    assert request_ids[2] in harness.sent
 
 
 def test_in_flight_share_is_at_least_one():
@@ -129,13 +130,13 @@
 
 def test_unknown_plan_or_class_is_rejected_and_logged_once(harness):
     unknown = [harness.ask("nope"), harness.ask("nope"), harness.ask("free", class_name="nope")]
-    assert [harness.answers[name] for name in unknown] == ["Reject"] * 3
+    assert [harness.answers[request_id] for request_id in unknown] == ["Reject"] * 3
 
 
 def test_customer_state_is_dropped_once_it_equals_that_of_a_new_customer(harness):
     for number in range(3000):
-        name = harness.ask("metered", customer=f"c{number}")
-        harness.finish(name, AttemptStatus.OK)
+        request_id = harness.ask("metered", customer=f"c{number}")
+        harness.finish(request_id, AttemptStatus.OK)
         harness.run(10.0)
     assert len(harness.gateway.customers) < 600
     assert len(harness.gateway.requests) == 0
@@ -144,8 +145,8 @@
 def test_customer_state_that_must_be_kept_does_not_keep_that_of_later_customers(harness):
     harness.ask("metered", customer="in flight")
     for number in range(3000):
-        name = harness.ask("metered", customer=f"c{number}")
-        harness.finish(name, AttemptStatus.OK)
+        request_id = harness.ask("metered", customer=f"c{number}")
+        harness.finish(request_id, AttemptStatus.OK)
         harness.run(10.0)
     assert len(harness.gateway.customers) < 600
     assert ("metered", "in flight") in harness.gateway.customers
@@ -153,14 +154,15 @@
 
 def test_finished_request_leaves_no_timer_behind(harness):
     for _ in range(20):
-        name = harness.ask("free")
-        harness.finish(name)
+        request_id = harness.ask("free")
+        harness.finish(request_id)
     assert not harness.gateway.timers.armed
     assert not harness.gateway.requests
 
 
-def test_delay_past_the_shortest_latency_objective_is_a_rejection():
-    # latency objective 500 ms, first mean latency 100 ms: a delay may last 400 ms, two units at 5 a second
+def test_delay_past_the_shortest_latency_objective_rejects_the_request():
+    # The latency objective is 500 ms and the initial mean latency 100 ms. So a delay may last 400 ms, in
+    # which two units drain at 5 units a second.
     harness = make_harness(classes=(*CLASSES, BRIEF))
     harness.servers(make_endpoint(1), make_endpoint(2))
     for _ in range(4):
@@ -169,17 +171,17 @@
     assert harness.ask("metered", "brief", units=1) not in harness.answers
 
 
-def rig_with_priority_class() -> EngineHarness:
-    """A harness with a further class, "dear", of four times the priority weight."""
+def harness_with_priority_class() -> EngineHarness:
+    """A harness with an additional class "dear", which has four times the priority weight."""
     harness = make_harness(classes=(*CLASSES, DEAR))
     harness.servers(make_endpoint(1), make_endpoint(2))
     return harness
 
 
 def test_class_of_highest_priority_has_a_larger_burst_and_that_of_lowest_keeps_the_even_share():
-    # burst 4 for the lowest priority weight; 4 x (1 + 0.25 x 3 / 4) = 4.75 for the highest: 0.25 of the
-    # fifth unit is over the burst, a delay of 50 ms at 5 a second
-    harness = rig_with_priority_class()
+    # The burst is 4 for the lowest priority weight and 4 x (1 + 0.25 x 3 / 4) = 4.75 for the highest. The
+    # fifth unit exceeds it by 0.25, a delay of 50 ms at 5 units a second.
+    harness = harness_with_priority_class()
     assert all(harness.ask("metered") in harness.sent for _ in range(4))
     delayed = harness.ask("metered", "dear")
     assert delayed not in harness.sent
@@ -188,23 +190,23 @@
 
 
 def test_excess_beyond_the_burst_is_reserved_for_classes_of_higher_priority():
-    # the shortest latency objective is 1000 ms: the class of lowest priority weight is delayed by 100 ms at
-    # most, half a unit at 5 a second
-    harness = rig_with_priority_class()
+    # The shortest latency objective is 1000 ms: the class of lowest priority weight is delayed by 100 ms at
+    # most, in which half a unit drains at 5 units a second.
+    harness = harness_with_priority_class()
     for _ in range(4):
         harness.ask("metered")
     assert harness.answers[harness.ask("metered")] == "Reject"
     harness.run(150.0)
-    assert harness.ask("metered") not in harness.answers  # a quarter of a unit is missing
+    assert harness.ask("metered") not in harness.answers  # the excess is a quarter of a unit over the burst
     assert harness.ask("metered", "dear") not in harness.answers
 
 
-# Thin local quotas: of burst 8 and rate 10, each of 60 gateways has a burst of 0.13 units, and drains a
-# request of one unit in 6 s.
+# Local quotas below one request: with burst 8 and rate 10 over 60 gateways, each gateway has a burst of
+# 0.13 units and drains a request of one unit in 6 s.
 
 
-def rig_with_share_below_one_request(gateway_set_size: int = 60) -> EngineHarness:
-    """A harness of one of 60 gateways; its customer comes by a gateway set of this size."""
+def harness_with_share_below_one_request(gateway_set_size: int = 60) -> EngineHarness:
+    """A harness of one of 60 gateways, whose customer has a gateway set of this size."""
     harness = EngineHarness(replace(SETTINGS, gateways=60))
     harness.servers(make_endpoint(1), make_endpoint(2))
     harness.gateway_set_size = gateway_set_size
@@ -212,90 +214,92 @@
 
 
 def ask_with_share_below_one_request(harness, **request_fields) -> str:
-    """A new request of one unit by the gateway set of the harness; its id."""
+    """Send a request of one unit with the gateway set size of the harness; return its id."""
     harness.count += 1
-    name = f"r{harness.count}"
-    request = Request(name, "safe", "metered", "c", 4000.0, 1, harness.gateway_set_size, **request_fields)
+    request_id = f"r{harness.count}"
+    request = Request(
+        request_id, "safe", "metered", "c", 4000.0, 1, harness.gateway_set_size, **request_fields
+    )
     harness.do(request)
-    return name
+    return request_id
 
 
 @pytest.mark.parametrize(("gateway_set_size", "answer"), [(60, "Reject"), (2, None)])
 def test_marked_retry_is_rejected_under_a_share_below_one_request_only(gateway_set_size, answer):
-    harness = rig_with_share_below_one_request(gateway_set_size)
+    harness = harness_with_share_below_one_request(gateway_set_size)
     assert harness.answers.get(ask_with_share_below_one_request(harness, is_retry=True)) == answer
 
 
 def test_headroom_of_the_last_usage_report_grows_the_burst_of_a_share_below_one_request():
-    harness = rig_with_share_below_one_request()
-    harness.finish(
-        ask_with_share_below_one_request(harness), used=40.0
-    )  # burst 1 x (1 + 2 x 0.6) = 2.2 of the drained local quota
-    harness.run(5000.0)  # more than four usage periods later, less than one request takes to drain
+    harness = harness_with_share_below_one_request()
+    # The headroom of 0.6 makes a burst of 1 x (1 + 2 x 0.6) = 2.2 units, once the local quota has drained.
+    harness.finish(ask_with_share_below_one_request(harness), used=40.0)
+    harness.run(5000.0)  # longer than four usage periods, shorter than one request takes to drain
     assert ask_with_share_below_one_request(harness) in harness.sent
     harness.run(100.0)
     assert harness.answers[ask_with_share_below_one_request(harness)] == "Reject", (
-        "three requests: more than the local quota and two requests"
+        "a third request exceeds the local quota and the burst added by headroom"
     )
 
 
 def test_share_below_one_request_over_quota_or_without_a_recent_usage_report_has_the_even_burst():
     for usage_percent, wait_ms in ((100.0, 500.0), (40.0, 6100.0)):
-        harness = rig_with_share_below_one_request()
+        harness = harness_with_share_below_one_request()
         harness.finish(ask_with_share_below_one_request(harness), used=usage_percent)
         harness.run(wait_ms)
         second = ask_with_share_below_one_request(harness)
         third = ask_with_share_below_one_request(harness)
         assert harness.answers[third] == "Reject"
-        assert (second in harness.sent) == (wait_ms > 6000.0)  # the first has drained by then
+        assert (second in harness.sent) == (wait_ms > 6000.0)  # the first request has drained after 6000 ms
 
 
 def test_all_gateways_together_forward_little_of_a_customer_far_over_its_quota():
-    # 60 gateways, requests for 600 s of quota in 20 s, each rejected one is retried at another gateway
+    # Requests for 600 s of the quota reach 60 gateways in 20 s. Half of them are marked as retries, as if
+    # another gateway had rejected the request before.
     forwarded = 0
     for index in range(60):
         harness = EngineHarness(replace(SETTINGS, gateways=60, index=index), seed=index)
         harness.servers(make_endpoint(1), make_endpoint(2))
         harness.gateway_set_size = 60
         for step in range(100):
-            name = ask_with_share_below_one_request(harness, is_retry=step % 2 == 1)
-            if name in harness.sent:
-                harness.finish(name, used=300.0)
+            request_id = ask_with_share_below_one_request(harness, is_retry=step % 2 == 1)
+            if request_id in harness.sent:
+                harness.finish(request_id, used=300.0)
             harness.run(200.0)
         forwarded += len(harness.sent)
-    # by each gateway: one at first, and what drains in 20 s at 10 / 60 a second
+    # Each gateway forwards one request at first, and what drains in 20 s at 10 / 60 units a second.
     assert forwarded <= 60 * (1 + 20 * 10 / 60 + 1)
 
 
-def gateway_set_of_three(usage_percent: float | None) -> list[EngineHarness]:
-    """Three gateways at one clock, of a customer with a cap of two; each had this usage report of it."""
-    rigs = [
+def harnesses_of_three_gateways(usage_percent: float | None) -> list[EngineHarness]:
+    """Harnesses of three gateways with this usage report of a customer that has an in-flight cap of two."""
+    harnesses = [
         EngineHarness(replace(SETTINGS, gateways=3, index=index, classes=(*CLASSES, BRIEF)))
         for index in range(3)
     ]
-    for harness in rigs:
+    for harness in harnesses:
         harness.servers(make_endpoint(1), make_endpoint(2))
         harness.finish(harness.ask("only-cap", gateway_set_size=3), used=usage_percent)
-    return rigs
+    return harnesses
 
 
-def gateways_that_forward(rigs: list[EngineHarness]) -> list[int]:
-    """The indexes of the gateways that forward a request of the customer at once; it is answered."""
+def gateways_that_forward(harnesses: list[EngineHarness]) -> list[int]:
+    """The indexes of the gateways that forward a request of the customer at once; each is finished."""
     forwarding = []
-    for index, harness in enumerate(rigs):
-        name = harness.ask("only-cap", "brief", gateway_set_size=3)
-        if name in harness.sent:
+    for index, harness in enumerate(harnesses):
+        request_id = harness.ask("only-cap", "brief", gateway_set_size=3)
+        if request_id in harness.sent:
             forwarding.append(index)
-            harness.finish(name)
+            harness.finish(request_id)
     return forwarding
 
 
 def test_slots_rotate_under_a_cap_below_the_gateway_set_size_once_it_was_exceeded():
-    rigs = gateway_set_of_three(usage_percent=150.0)
+    harnesses = harnesses_of_three_gateways(usage_percent=150.0)
     periods = []
     for _ in range(6):
-        periods.append(tuple(gateways_that_forward(rigs)))
-        for harness in rigs:
+        periods.append(tuple(gateways_that_forward(harnesses)))
+        for harness in harnesses:
             harness.run(1000.0)
     assert all(len(forwarding) == 2 for forwarding in periods)
     assert len(set(periods[:3])) == 3
@@ -304,25 +308,25 @@
 
 @pytest.mark.parametrize("usage_percent", [None, 100.0])
 def test_cap_without_contention_leaves_each_gateway_its_slot(usage_percent):
-    rigs = gateway_set_of_three(usage_percent)
-    assert gateways_that_forward(rigs) == [0, 1, 2]
+    harnesses = harnesses_of_three_gateways(usage_percent)
+    assert gateways_that_forward(harnesses) == [0, 1, 2]
 
 
 def test_each_gateway_has_its_slot_again_once_contention_has_expired():
-    rigs = gateway_set_of_three(usage_percent=150.0)
-    for harness in rigs:
+    harnesses = harnesses_of_three_gateways(usage_percent=150.0)
+    for harness in harnesses:
         harness.run(10_000.0)
-    assert gateways_that_forward(rigs) == [0, 1, 2]
+    assert gateways_that_forward(harnesses) == [0, 1, 2]
 
 
 def test_request_without_a_slot_is_rejected_at_once_unless_the_rotation_gives_one_in_time():
     harness = EngineHarness(replace(SETTINGS, gateways=3, index=2, classes=(*CLASSES, BRIEF)))
     harness.servers(make_endpoint(1), make_endpoint(2))
-    harness.now = 3000.0  # a rotation begins: the last gateway of the set has a slot in the next period
+    # A rotation period begins at this time, and the last gateway of the set has a slot in the next one.
+    harness.now = 3000.0
     harness.finish(harness.ask("only-cap", gateway_set_size=3), used=150.0)
-    assert (
-        harness.ask("only-cap", "brief", gateway_set_size=3) in harness.answers
-    )  # its period begins 1000 ms on
+    # The rotation gives this gateway a slot in 1000 ms, after the latency objective.
+    assert harness.ask("only-cap", "brief", gateway_set_size=3) in harness.answers
     harness.run(800.0)
     queued = harness.ask("only-cap", "brief", gateway_set_size=3)
     assert queued not in harness.sent
@@ -332,40 +336,37 @@
 
 
 def test_request_that_finds_the_slot_occupied_starts_the_rotation_before_a_usage_report():
-    rigs = gateway_set_of_three(usage_percent=100.0)
-    first = [harness.ask("only-cap", "brief", gateway_set_size=3) for harness in rigs]
-    second = [harness.ask("only-cap", "brief", gateway_set_size=3) for harness in rigs]
-    assert all(name in harness.sent for harness, name in zip(rigs, first, strict=True))
-    for harness, name in zip(rigs, first, strict=True):
-        harness.finish(name)
-    assert sum(name in harness.sent for harness, name in zip(rigs, second, strict=True)) == 2
-    for harness in rigs:
+    harnesses = harnesses_of_three_gateways(usage_percent=100.0)
+    first = [harness.ask("only-cap", "brief", gateway_set_size=3) for harness in harnesses]
+    second = [harness.ask("only-cap", "brief", gateway_set_size=3) for harness in harnesses]
+    assert all(request_id in harness.sent for harness, request_id in zip(harnesses, first, strict=True))
+    for harness, request_id in zip(harnesses, first, strict=True):
+        harness.finish(request_id)
+    assert sum(request_id in harness.sent for harness, request_id in zip(harnesses, second, strict=True)) == 2
+    for harness in harnesses:
         harness.run(1000.0)
-    for harness, name in zip(rigs, second, strict=True):
-        if name in harness.sent:
-            harness.finish(name)
-    assert gateways_that_forward(rigs) == [
-        0,
-        1,
-        2,
-    ]  # no longer contended: no request has found its slot occupied since
+    for harness, request_id in zip(harnesses, second, strict=True):
+        if request_id in harness.sent:
+            harness.finish(request_id)
+    # No request has found its slot occupied in the last period, so the slots do not rotate any more.
+    assert gateways_that_forward(harnesses) == [0, 1, 2]
 
 
 @dataclass
 class InFlightCapSimulation:
-    """Random requests of a customer with an in-flight cap by a wide gateway set, and what is forwarded.
+    """Simulates random requests of a customer with an in-flight cap and a large gateway set.
 
     Attributes:
         forwarded_within: Requests forwarded while fewer than the cap were in flight.
         forwarded_beyond: Requests forwarded while the cap was reached or exceeded.
-        rejected: Requests that no slot was free for at once.
+        rejected: Requests that found no free slot at once.
     """
 
     GATEWAYS: ClassVar[int] = 30
     CAP: ClassVar[int] = 3
     LATENCY_MS: ClassVar[float] = 400.0
     DURATION_MS: ClassVar[float] = 20_000.0
-    START_MS: ClassVar[float] = 1000.0  # of the harnesses' clock
+    START_MS: ClassVar[float] = 1000.0  # initial clock time of a harness
 
     seed: int
     forwarded_within: int = 0
@@ -375,45 +376,45 @@
     def __post_init__(self) -> None:
         plans = (Plan("wide-cap", max_in_flight=self.CAP),)
         self.random = random.Random(self.seed)
-        self.in_flight: list[tuple[float, EngineHarness, str]] = []  # with the time at which each ends
-        self.most_in_flight = [0] * 40  # in each second
-        self.rigs = [
+        self.in_flight: list[tuple[float, EngineHarness, str]] = []  # end time in ms, harness, request id
+        self.most_in_flight = [0] * 40  # largest number in flight, by second
+        self.harnesses = [
             EngineHarness(replace(SETTINGS, gateways=self.GATEWAYS, index=index, plans=plans), seed=index)
             for index in range(self.GATEWAYS)
         ]
-        for harness in self.rigs:
+        for harness in self.harnesses:
             harness.servers(make_endpoint(1), make_endpoint(2))
 
     def run(self, mean_interval_ms: float) -> None:
-        """Ask at random times, this long apart on average."""
+        """Send requests at random times with this mean interval."""
         weights = [1.0 / rank for rank in range(1, self.GATEWAYS + 1)]
         now_ms = 0.0
         while now_ms < self.DURATION_MS:
             now_ms += self.random.expovariate(1.0 / mean_interval_ms)
             self._finish_until(now_ms)
-            harness = self.random.choices(self.rigs, weights)[0]
+            harness = self.random.choices(self.harnesses, weights)[0]
             self._ask(harness, now_ms)
 
     def _finish_until(self, now_ms: float) -> None:
-        """End the attempts that are due, each with a usage report of the period before the last."""
+        """Finish the attempts that are due, each with the usage report of the period before the last."""
         due = [attempt for attempt in self.in_flight if attempt[0] <= now_ms]
-        for end_ms, harness, name in sorted(due, key=lambda attempt: attempt[0]):
+        for end_ms, harness, request_id in sorted(due, key=lambda attempt: attempt[0]):
             self._advance(harness, end_ms)
             period = int(end_ms // 1000) - 2
             usage_percent = 100.0 * self.most_in_flight[period] / self.CAP if period >= 0 else None
-            harness.finish(name, used=usage_percent, latency=self.LATENCY_MS)
+            harness.finish(request_id, used=usage_percent, latency=self.LATENCY_MS)
         self.in_flight = [attempt for attempt in self.in_flight if attempt[0] > now_ms]
 
     def _ask(self, harness: EngineHarness, now_ms: float) -> None:
-        """Send a request by this gateway, and count what becomes of it."""
+        """Send a request to a gateway, and count it as forwarded or rejected."""
         self._advance(harness, now_ms)
-        name = harness.ask("wide-cap", gateway_set_size=self.GATEWAYS)
-        if name not in harness.sent:
+        request_id = harness.ask("wide-cap", gateway_set_size=self.GATEWAYS)
+        if request_id not in harness.sent:
             self.rejected += 1
             return
         self.forwarded_within += len(self.in_flight) < self.CAP
         self.forwarded_beyond += len(self.in_flight) >= self.CAP
-        self.in_flight.append((now_ms + self.LATENCY_MS, harness, name))
+        self.in_flight.append((now_ms + self.LATENCY_MS, harness, request_id))
         second = int(now_ms // 1000)
         self.most_in_flight[second] = max(self.most_in_flight[second], len(self.in_flight))
 
@@ -421,14 +422,14 @@
         harness.run(max(0.0, self.START_MS + now_ms - harness.now))
 
 
-def test_contention_at_a_cap_is_noticed_by_each_gateway_of_a_wide_set():
+def test_contention_at_a_cap_is_detected_by_each_gateway_of_a_large_set():
     simulation = InFlightCapSimulation(seed=1)
-    simulation.run(mean_interval_ms=50.0)  # eight would be in flight on average
+    simulation.run(mean_interval_ms=50.0)  # without the cap, eight requests would be in flight on average
     forwarded = simulation.forwarded_within + simulation.forwarded_beyond
     assert simulation.forwarded_beyond < 0.3 * forwarded
 
 
-def test_customer_of_a_wide_set_without_contention_is_forwarded_under_a_cap():
+def test_customer_of_a_large_set_without_contention_is_forwarded_under_a_cap():
     simulation = InFlightCapSimulation(seed=1)
     simulation.run(mean_interval_ms=1000.0)
     forwarded = simulation.forwarded_within + simulation.forwarded_beyond
