--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures for all tests."""
+"""Fixtures and pytest hooks for all tests."""
 
 import pytest
 
--- a/tests/support/__init__.py
+++ b/tests/support/__init__.py
@@ -1,1 +1,1 @@
-"""Test support: fakes of what surrounds a gateway, harnesses, and the pytest plugin for asyncio tests."""
+"""Test support: fake clients and servers, test harnesses, and pytest plugins."""
--- a/tests/support/admin_calls.py
+++ b/tests/support/admin_calls.py
@@ -1,4 +1,4 @@
-"""Calls of operators over HTTP, as bytes."""
+"""Admin calls over HTTP."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
     """Send bytes to an admin server and read until it closes the connection.
 
     Returns:
-        The whole response, its status line first.
+        The whole response, starting with its status line.
     """
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(request)
--- a/tests/support/async_tests.py
+++ b/tests/support/async_tests.py
@@ -1,4 +1,4 @@
-"""A pytest plugin for asyncio tests: the gateway's event loop, and a time limit on each test."""
+"""A pytest plugin that runs asyncio tests on uvloop and limits the duration of each test."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 import pytest
 import uvloop
 
-TIME_LIMIT_S = 60.0  # generous: a test that takes so long hangs
+TIME_LIMIT_S = 60.0  # A test that runs longer is considered hung.
 
 Parameters = ParamSpec("Parameters")
 Result = TypeVar("Result")
@@ -21,7 +21,7 @@
     """Wrap a coroutine function so that it is cancelled after ``TIME_LIMIT_S``.
 
     Raises:
-        TimeoutError: from the wrapped function, once the limit is over.
+        TimeoutError: The wrapped function raises it when the time limit is exceeded.
     """
 
     @functools.wraps(test)
@@ -32,13 +32,13 @@
 
 
 def pytest_asyncio_loop_factories() -> Mapping[str, Callable[[], asyncio.AbstractEventLoop]]:
-    """Run asyncio tests on uvloop, as the gateway runs."""
+    """Run asyncio tests on uvloop, the event loop of the gateway."""
     return {"uvloop": uvloop.new_event_loop}
 
 
 @pytest.hookimpl(wrapper=True, tryfirst=True)
 def pytest_runtest_call(item: pytest.Item) -> Generator[None, None, None]:
-    """Limit the body of each asyncio test; a time limit in a fixture would not reach it."""
+    """Apply the time limit to the body of each asyncio test, which a limit in a fixture would not cover."""
     if not isinstance(item, pytest.Function) or not inspect.iscoroutinefunction(item.obj):
         return (yield)
     test = item.obj
--- a/tests/support/engine_harness.py
+++ b/tests/support/engine_harness.py
@@ -1,4 +1,4 @@
-"""A gateway with a scripted clock: sends events, keeps the answers, fires due timers by hand."""
+"""Test harness for the policy engine: sends events, records actions and fires timers of a scripted clock."""
 
 from __future__ import annotations
 
@@ -57,9 +57,8 @@
     ),
     RequestClass("unsafe", 2000.0, 4000.0, Idempotency.NON_IDEMPOTENT),
 )
-DEAR = RequestClass(
-    "dear", 1000.0, 4000.0, Idempotency.NON_IDEMPOTENT, priority_weight=4.0
-)  # beside CLASSES where it is needed
+# Tests that need this class add it to CLASSES.
+DEAR = RequestClass("dear", 1000.0, 4000.0, Idempotency.NON_IDEMPOTENT, priority_weight=4.0)
 PLANS = (
     Plan("metered", rate=10.0, burst=8.0),
     Plan("capped", rate=10.0, burst=100.0, max_in_flight=4),
@@ -83,7 +82,17 @@
 
 
 class EngineHarness:
-    """One policy engine, its clock and what it has decided."""
+    """A policy engine with a scripted clock and a record of its actions.
+
+    Attributes:
+        gateway: The engine under test.
+        now: Time of the clock in milliseconds.
+        settings: Settings of the engine.
+        timers: Due time in milliseconds and token of each timer that has not fired.
+        sent: Servers of the attempts of each request, in order, by request id.
+        answers: Name of the action that answered each request, or ``Ok``, by request id.
+        count: Number of requests sent to the engine.
+    """
 
     def __init__(self, settings: Settings = SETTINGS, seed: int = 1) -> None:
         self.gateway, self.now = PolicyEngine(settings, seed), 1000.0
@@ -94,21 +103,21 @@
         self.count = 0
 
     def do(self, event: Event) -> list[Action]:
-        """Hand over an event; keep its timers, attempts and answers, and return all actions."""
+        """Pass an event to the engine; record timers, attempts and answers, and return all actions."""
         actions = self.gateway.handle(self.now, event)
         for action in actions:
             if isinstance(action, SetTimer):
                 self.timers.append((self.now + action.delay_ms, action.token))
             elif isinstance(action, StartAttempt):
-                assert action.request_id not in self.answers, "sent after the answer"
+                assert action.request_id not in self.answers, "attempt started after the answer"
                 self.sent.setdefault(action.request_id, []).append(action.server)
             elif isinstance(action, (Reject, Fail)):
-                assert action.request_id not in self.answers, "answered twice"
+                assert action.request_id not in self.answers, "request answered twice"
                 self.answers[action.request_id] = type(action).__name__
         return actions
 
     def servers(self, *endpoints: Endpoint, kind: UpdateKind = UpdateKind.SNAPSHOT) -> list[Action]:
-        """An update from discovery."""
+        """Send an endpoint update to the engine and return its actions."""
         return self.do(EndpointUpdate(kind, endpoints))
 
     def ask(
@@ -120,7 +129,7 @@
         units: float = 1,
         gateway_set_size: int = 2,
     ) -> str:
-        """A new request; its id."""
+        """Send a new request to the engine and return the request's id."""
         self.count += 1
         name = f"r{self.count}"
         self.do(Request(name, class_name, plan, customer, timeout_ms, units, gateway_set_size))
@@ -135,7 +144,7 @@
         units: float | None = None,
         latency: float = 50.0,
     ) -> list[Action]:
-        """The outcome of an attempt, the last by default."""
+        """Send the outcome of an attempt, by default of the last one, and return the engine's actions."""
         attempt = len(self.sent[name]) - 1 if attempt is None else attempt
         server = self.sent[name][attempt]
         if status is AttemptStatus.OK:
@@ -145,7 +154,7 @@
         )
 
     def run(self, ms: float) -> None:
-        """Let time pass and fire what falls due."""
+        """Advance the clock by ``ms`` milliseconds and fire the timers that become due."""
         end = self.now + ms
         while due := [timer for timer in self.timers if timer[0] <= end]:
             first = min(due)
@@ -156,10 +165,10 @@
 
 
 def make_endpoint(number: int, zone: str = "a", **more: Any) -> Endpoint:
-    """An endpoint as discovery lists it, ready unless told otherwise."""
+    """Make an endpoint, which is ready unless its fields are set otherwise."""
     return Endpoint(number, zone, **more)
 
 
 def make_harness(**changes: Any) -> EngineHarness:
-    """A harness with some settings changed."""
+    """Make a harness with some fields of ``SETTINGS`` replaced."""
     return EngineHarness(replace(SETTINGS, **changes))
--- a/tests/support/fake_client.py
+++ b/tests/support/fake_client.py
@@ -1,4 +1,4 @@
-"""A client of the gateway, or of anything else that speaks RESP2."""
+"""A test client for the gateway and other RESP2 servers."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 READ_SIZE_BYTES = 65_536
 
 
-class ErrorReply(Exception):  # noqa: N818 - a reply that hiredis makes, not an error that is raised
-    """An error reply as a client reads it."""
+class ErrorReply(Exception):  # noqa: N818 - hiredis returns it as a reply and never raises it
+    """An error reply that a client has read."""
 
 
 class FakeClient:
-    """One connection, which sends commands and reads replies; as an async context manager it closes."""
+    """A client with one connection; as an async context manager it closes the connection on exit."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
@@ -25,7 +25,7 @@
         self.parser = hiredis.Reader(replyError=ErrorReply)
 
     async def open(self, port: int) -> Self:
-        """Connect to a port of this machine."""
+        """Connect to a port on loopback and return this client."""
         self.reader, self.writer = await asyncio.open_connection("127.0.0.1", port)
         return self
 
@@ -46,7 +46,11 @@
         self.writer.write(b"".join(commands))
 
     async def read_reply(self) -> Any:
-        """Read the next reply: an error as text after a dash, None when the connection has ended."""
+        """Read the next reply.
+
+        Returns:
+            The reply, with an error reply as its text after a dash; None if the connection has ended.
+        """
         while (reply := self.parser.gets()) is False:
             data = await self.reader.read(READ_SIZE_BYTES)
             if not data:
--- a/tests/support/fake_discovery.py
+++ b/tests/support/fake_discovery.py
@@ -1,4 +1,4 @@
-"""A fake discovery service, which serves scripted watches, and the lines it sends."""
+"""A fake discovery service and encoders for the lines of its watches."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 class FakeDiscovery(LoopbackServer):
-    """Accepts each watch and leaves its lines to the test.
+    """A discovery service that accepts each watch; the test writes the lines.
 
     Attributes:
-        request_targets: the target of each request: path and query.
-        watch_writers: where to write the lines of each watch, as chunks.
-        closed_watches: an item for each watch that the gateway has closed.
+        request_targets: Request target of each watch, with path and query.
+        watch_writers: Stream of each watch, on which the test writes lines as HTTP chunks.
+        closed_watches: ``CLOSED_BY_GATEWAY`` for each watch that the gateway has closed.
     """
 
     def __init__(self) -> None:
@@ -29,7 +29,7 @@
         self.closed_watches: asyncio.Queue[str] = asyncio.Queue()
 
     async def next_watch(self) -> tuple[str, asyncio.StreamWriter]:
-        """Wait for the next watch: the target of its request and where to write its lines."""
+        """Wait for the next watch; return its request target and the stream for its lines."""
         return await self.request_targets.get(), await self.watch_writers.get()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -49,13 +49,13 @@
 
 
 def encode_update(generation: int, *instances: dict[str, Any], reset: bool = False) -> bytes:
-    """Encode a line of a watch; a reset is a complete snapshot, otherwise it is a delta."""
+    """Encode a line of a watch: a complete snapshot if ``reset`` is set, otherwise a delta."""
     document = {"generation": generation, "reset": reset, "instances": instances}
     return json.dumps(document).encode() + b"\n"
 
 
 def make_instance(name: str, port: int, lifecycle: str = "Ready", started_ms: int = 0) -> dict[str, Any]:
-    """Make the JSON object of a server, as discovery lists it."""
+    """Make the JSON object with which discovery lists a server."""
     return {
         "instanceId": name,
         "hostPort": f"127.0.0.1:{port}",
--- a/tests/support/fake_upstream.py
+++ b/tests/support/fake_upstream.py
@@ -14,7 +14,7 @@
 
 CLOSE_CONNECTION = b""
 READ_SIZE_BYTES = 65_536
-ZONE = "a"  # of the gateway under test
+ZONE = "a"  # Zone of the gateway under test.
 
 
 def reply_with_request_id(arguments: list[bytes]) -> bytes | None:
@@ -23,14 +23,14 @@
 
 
 class FakeUpstream(LoopbackServer):
-    """Replies to each command as ``respond`` says.
+    """An upstream server that replies to each command with the result of ``respond``.
 
     Attributes:
-        respond: takes a command's arguments; gives the bytes of the reply, None to stay silent, or
-            ``CLOSE_CONNECTION``. A test may replace it at any time.
-        commands: the arguments of each command, in the order of arrival.
-        connection_numbers: for each command, the index in ``writers`` of the connection it came on.
-        closed_connections: how many connections have ended.
+        respond: Function that takes a command's arguments and returns the bytes of the reply, None to send
+            no reply, or ``CLOSE_CONNECTION``. A test may replace it at any time.
+        commands: Arguments of each command, in the order of arrival.
+        connection_numbers: Index in ``writers`` of the connection of each command, in the same order.
+        closed_connections: Number of connections that have ended.
     """
 
     def __init__(self, respond: Callable[[list[bytes]], bytes | None] = reply_with_request_id) -> None:
@@ -42,13 +42,13 @@
         self._changed = asyncio.Event()
 
     async def wait_until(self, condition: Callable[[], object]) -> None:
-        """Wait until a condition holds that depends on what this server received."""
+        """Wait until a condition on the commands or connections of this server holds."""
         while not condition():
             self._changed.clear()
             await self._changed.wait()
 
     def endpoint(self, number: int, **fields: Any) -> tuple[Endpoint, tuple[str, int]]:
-        """Make the endpoint of this server, and its address."""
+        """Make an endpoint for this server; return it with the server's address."""
         return Endpoint(number, fields.pop("zone", ZONE), **fields), ("127.0.0.1", self.port)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/support/gateway_host.py
+++ b/tests/support/gateway_host.py
@@ -1,4 +1,4 @@
-"""What is around the processes of one gateway: configuration, $TMPDIR, discovery, one upstream server."""
+"""The environment of a gateway's processes: configuration, ``$TMPDIR``, discovery and one upstream server."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class GatewayHost:
-    """What is around the processes of one gateway: configuration, $TMPDIR, discovery, one upstream server."""
+    """The processes of one gateway, and the environment that they share."""
 
     def __init__(
         self,
@@ -42,11 +42,11 @@
 
     @property
     def rendezvous(self) -> Path:
-        """The socket at which processes meet."""
+        """The path of the Unix socket on which a process requests the handover."""
         return self.temporary_folder / f"handover-127.0.0.1-{self.port}"
 
     async def send_snapshot(self, *names: str) -> None:
-        """Send the complete endpoint list on the next watch."""
+        """Wait for the next watch and send a complete endpoint list on it."""
         _, watch = await self.discovery.next_watch()
         instances = (make_instance(name, self.upstream.port) for name in names)
         watch.write(encode_chunk(encode_update(2, *instances, reset=True)))
@@ -57,12 +57,15 @@
         environment: Mapping[str, str] = MappingProxyType({}),
         program: str = "",
     ) -> tuple[asyncio.subprocess.Process, int]:
-        """Start a further process; give it with the port of its admin server.
+        """Start another process of the gateway.
 
         Args:
-            with_snapshot: whether discovery sends it the complete list.
-            environment: variables beside those that every process gets.
-            program: the shell command of the process, in place of the deploy file's.
+            with_snapshot: Whether discovery sends the process a complete endpoint list.
+            environment: Variables to add to those that every process gets.
+            program: Shell command to run in place of that of the deploy file.
+
+        Returns:
+            The process and the port of its admin server.
         """
         admin_port = free_port()
         path = self.folder / f"config{len(self.processes)}.json"
@@ -94,7 +97,7 @@
         }
 
     async def close(self) -> None:
-        """End all processes and remove what they left."""
+        """Kill the running processes and delete the temporary folder."""
         for process in self.processes:
             if process.returncode is None:
                 process.kill()
@@ -108,7 +111,7 @@
     respond: Callable[[list[bytes]], bytes | None] = reply_with_request_id,
     settings: dict[str, Any] = PROCESS_SETTINGS,
 ) -> AsyncIterator[GatewayHost]:
-    """Run what is around a gateway; its processes are started by the test."""
+    """Run discovery and an upstream server for a gateway whose processes the test starts."""
     async with FakeUpstream(respond) as upstream, FakeDiscovery() as discovery:
         host = GatewayHost(folder, upstream, discovery, settings)
         try:
@@ -118,7 +121,7 @@
 
 
 async def wait_ready(admin_port: int) -> None:
-    """Wait until the process says that it is ready."""
+    """Wait until the admin server of a process reports that it is ready."""
     while True:
         with suppress(OSError):
             if (await send_admin_call(admin_port, READY_CALL)).startswith(b"HTTP/1.1 200 "):
--- a/tests/support/gateway_node.py
+++ b/tests/support/gateway_node.py
@@ -1,4 +1,4 @@
-"""A gateway on loopback in the test's own process, before fake upstream servers."""
+"""A gateway on loopback in the test's own process, in front of fake upstream servers."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
 from tests.support.fake_client import FakeClient
 from tests.support.fake_upstream import FakeUpstream
 
-MAX_BUFFERED_BYTES = 32 * 1024 * 1024  # far above what a test sends, unless the test is about it
-SLOW_READER_BUFFER_BYTES = 262_144  # of each socket: next to nothing fits in the kernel
+MAX_BUFFERED_BYTES = 32 * 1024 * 1024  # Far more than tests send, except tests of this limit.
+SLOW_READER_BUFFER_BYTES = 262_144  # Kernel buffers of each socket, small so that they soon fill.
 SETTINGS = Settings(
     gateways=2,
     index=0,
@@ -57,17 +57,17 @@
     usage_period_ms=1000.0,
     tick_ms=2.0,
 )
-HEDGING_LIMITS = replace(SETTINGS.limits, may_duplicate=True)  # for tests with two attempts in flight
+HEDGING_LIMITS = replace(SETTINGS.limits, may_duplicate=True)  # For tests with two attempts in flight.
 
 
 async def wait_until(condition: Callable[[], object]) -> None:
-    """Let the event loop turn until a condition inside the gateway holds."""
-    while not condition():  # noqa: ASYNC110 - the gateway has no event to tell of its inner state
+    """Yield to the event loop until a condition inside the gateway holds."""
+    while not condition():  # noqa: ASYNC110 - the gateway signals no event for its inner state
         await asyncio.sleep(0)
 
 
 class GatewayNode:
-    """The parts of a gateway, joined as the program joins them, but without discovery."""
+    """A gateway assembled from the same parts as in the program, but without discovery."""
 
     def __init__(self, settings: Settings, max_connections: int) -> None:
         self.upstream_pool = UpstreamPool(settings, max_connections, MAX_BUFFERED_BYTES)
@@ -84,13 +84,13 @@
     def update_endpoints(
         self, *endpoints: tuple[Endpoint, tuple[str, int]], kind: UpdateKind = UpdateKind.SNAPSHOT
     ) -> None:
-        """Take endpoints with their addresses, as from discovery."""
+        """Pass endpoints and their addresses to the gateway, as discovery does."""
         update = EndpointUpdate(kind, tuple(endpoint for endpoint, _ in endpoints))
         self.upstream_pool.update(update, {endpoint.server: address for endpoint, address in endpoints})
         self.driver.post(update)
 
     async def connect_client(self) -> FakeClient:
-        """Connect a client."""
+        """Connect a client to the gateway."""
         assert self.client_listener.listening_socket
         return await FakeClient().open(self.client_listener.listening_socket.getsockname()[1])
 
@@ -107,12 +107,12 @@
     max_connections: int = 100,
     **settings: Any,
 ) -> AsyncIterator[GatewayNode]:
-    """Run a gateway before these servers, numbered from 1; those that are not started yet run as long.
+    """Run a gateway in front of upstream servers, which it numbers from 1.
 
     Args:
-        upstreams: the servers that the gateway knows.
-        max_connections: the limit of client connections, and that of upstream connections.
-        settings: fields of ``SETTINGS`` to replace.
+        upstreams: Servers that the gateway knows; those not started yet run until the gateway ends.
+        max_connections: Limit of client connections and, separately, of upstream connections.
+        settings: Fields of ``SETTINGS`` to replace.
     """
     async with AsyncExitStack() as stack:
         for upstream in upstreams:
@@ -126,9 +126,13 @@
 
 
 async def connect_slow_reader(gateway: GatewayNode) -> tuple[FakeClient, ClientConnection]:
-    """Connect a client that reads nothing for now, with small kernel buffers; give both its sides."""
+    """Connect a client that does not read yet, with small kernel buffers.
+
+    Returns:
+        The client and the gateway's side of its connection.
+    """
     client = await gateway.connect_client()
-    client.reader._limit = 1  # type: ignore[attr-defined] # the stream pauses its transport at once
+    client.reader._limit = 1  # type: ignore[attr-defined] # The stream pauses its transport at once.
     await wait_until(lambda: gateway.client_listener.connections)
     (connection,) = gateway.client_listener.connections
     for sock in (client.writer.get_extra_info("socket"), connection.socket):
--- a/tests/support/gateway_process.py
+++ b/tests/support/gateway_process.py
@@ -1,4 +1,4 @@
-"""The gateway as a process of its own, started by the command of deploy/balancer.toml."""
+"""The gateway as a separate process, started by the command of deploy/balancer.toml."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 DEPLOYED_PYTHON = ".venv/bin/python"
 DEPLOYED_COMMAND: str = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
 CONNECT_INTERVAL_S = 0.01
-# One class and one plan without limits, under the names that encode_call gives by default.
+# The class and the plan have no limits and the names that encode_call uses by default.
 PROCESS_SETTINGS: dict[str, Any] = {
     **SETTINGS_DOCUMENT,
     "services": [
@@ -36,7 +36,7 @@
 
 
 class GatewayProcess(NamedTuple):
-    """A running gateway, the port that clients connect to, and the discovery that it watches."""
+    """A running gateway process, its port for clients, and the discovery service that it watches."""
 
     process: Process
     port: int
@@ -44,14 +44,14 @@
 
 
 def command() -> str:
-    """Give the deploy file's command; where its environment is not built, with this interpreter."""
+    """Return the deploy file's command, with this interpreter if the deployed environment is missing."""
     if (ROOT / DEPLOYED_PYTHON).exists():
         return DEPLOYED_COMMAND
     return DEPLOYED_COMMAND.replace(DEPLOYED_PYTHON, sys.executable)
 
 
 def free_port() -> int:
-    """Find a port of loopback that nobody listens on."""
+    """Return a loopback port that is free now."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         port: int = listener.getsockname()[1]
         return port
@@ -77,11 +77,11 @@
     """Run a gateway process, and kill it at the end if it still runs.
 
     Args:
-        folder: where its ``config.json`` is written.
-        upstream: the server behind every endpoint.
-        descriptors: its limit of open descriptors.
-        known: how many endpoints its configuration lists, all at the address of ``upstream``.
-        discovery: what it watches; one is started and closed at the end if none is given.
+        folder: Folder for the process's ``config.json``.
+        upstream: Server behind every endpoint.
+        descriptors: Limit of open descriptors in the configuration.
+        known: Number of endpoints in the configuration, all at the address of ``upstream``.
+        discovery: Discovery service to watch; by default a new one runs as long as the process.
     """
     if discovery is None:
         async with (
@@ -112,7 +112,7 @@
 def _config(
     port: int, upstream: FakeUpstream, descriptors: int, known: int, discovery: FakeDiscovery
 ) -> dict[str, Any]:
-    """Make the document of ``$EDGE_CONFIG``."""
+    """Make the configuration document, the content of the file ``$EDGE_CONFIG``."""
     instances = [make_instance(f"s-{number}", upstream.port) for number in range(1, known + 1)]
     return {
         "name": "n0",
--- a/tests/support/known_failures.py
+++ b/tests/support/known_failures.py
@@ -1,4 +1,4 @@
-"""The tests of KNOWN-RED.txt: each is expected to fail, and fails the run if it does not."""
+"""Pytest hooks for KNOWN-RED.txt: a test listed there is expected to fail; the run fails if it passes."""
 
 from __future__ import annotations
 
@@ -11,17 +11,19 @@
 
 
 def known_failures() -> dict[str, str]:
-    """By the test's name, the line that lists it; all cases of a parametrized test go by one name.
+    """Return the lines of KNOWN-RED.txt by the name of their test.
+
+    All cases of a parametrized test share one line.
 
     Raises:
-        ValueError: A line is malformed, or there are too many.
+        ValueError: A line is malformed, or more than ``MAX_KNOWN`` tests are listed.
     """
     lines = KNOWN_RED.read_text().splitlines() if KNOWN_RED.exists() else []
     known = {}
     for line in lines:
         test, separator, reason = line.partition(": ")
         if not separator or "::" not in test or not reason:
-            raise ValueError(f"KNOWN-RED.txt: {line!r} is no test with its cause and issue")
+            raise ValueError(f"KNOWN-RED.txt: {line!r} is not a test followed by its cause and issue")
         known[test] = line
     if len(known) > MAX_KNOWN:
         raise ValueError(f"KNOWN-RED.txt: more than {MAX_KNOWN} tests are listed")
@@ -29,7 +31,7 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Expect the listed tests to fail."""
+    """Mark the listed tests as expected failures."""
     known = known_failures()
     for item in items:
         test = item.nodeid.partition("[")[0]
@@ -38,6 +40,6 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Print what is listed."""
+    """Print the lines of KNOWN-RED.txt."""
     for line in known_failures().values():
         terminalreporter.write_line(f"known failure: {line}")
--- a/tests/support/log_events.py
+++ b/tests/support/log_events.py
@@ -1,8 +1,8 @@
 """The events that source files log, read from their syntax trees.
 
-A line of the log is an event in lower case, then fields as ``key=value``. It is written by a call of a
-logger with a literal format, or by a ``LogMessage`` of the policy, also through functions that pass their
-text on to it.
+A log line is an event in lower case, followed by fields as ``key=value``. It is written by a logger call
+with a literal format, or by a ``LogMessage`` of the policy, which may be created in a function that takes
+the text as a parameter.
 """
 
 from __future__ import annotations
@@ -22,26 +22,26 @@
 
 @dataclass(frozen=True)
 class LogLine:
-    """The event of a line of the log, and the keys of its fields."""
+    """The event of a log line and the keys of its fields."""
 
     event: str
     keys: frozenset[str]
 
     @classmethod
     def parse(cls, text: str) -> LogLine | None:
-        """Read the format of a line; None if it has another form."""
+        """Parse the format of a log line; return None if it does not match ``LINE_FORMAT``."""
         match = LINE_FORMAT.fullmatch(text)
         return match and cls(match["event"], frozenset(FIELD_KEY.findall(match["fields"])))
 
 
 @dataclass
 class LoggedEvents:
-    """What files log.
+    """The events that source files log.
 
     Attributes:
-        keys: for each event the keys of its fields, over all places that log it.
-        places: for each event where it is logged, as ``file:line``.
-        faults: calls whose line of the log has another form, with their places.
+        keys: Keys of the fields of each event, over all places that log it.
+        places: Places that log each event, as ``file:line``.
+        faults: Descriptions of the calls whose log line does not have the expected form.
     """
 
     keys: dict[str, set[str]] = field(default_factory=dict)
@@ -49,18 +49,18 @@
     faults: list[str] = field(default_factory=list)
 
     def add(self, place: str, text: str | None) -> None:
-        """Add a call with this format; None for one that is not literal."""
+        """Add a call that logs at ``place``; ``text`` is its format, or None if that is not a literal."""
         if text is None:
             self.faults.append(f"{place}: the format is not a literal")
         elif line := LogLine.parse(text):
             self.keys.setdefault(line.event, set()).update(line.keys)
             self.places.setdefault(line.event, []).append(place)
         else:
-            self.faults.append(f"{place}: {text!r} is no event in lower case with fields key=value")
+            self.faults.append(f"{place}: {text!r} is not an event in lower case with fields key=value")
 
 
 def read_logged_events(files: list[Path]) -> LoggedEvents:
-    """Find all calls in these files that write to the log."""
+    """Find the events that all logging calls in these files write."""
     events = LoggedEvents()
     trees = {path: ast.parse(path.read_text()) for path in files}
     writers = _message_writers(list(trees.values()))
@@ -77,7 +77,7 @@
 
 
 def _message_writers(trees: list[ast.Module]) -> set[str]:
-    """Name ``LogMessage`` and the functions that pass a parameter on to it, however indirectly."""
+    """Return ``LogMessage`` and the names of functions that pass a parameter to it, directly or not."""
     calls = [found for tree in trees for found in _calls(tree, None)]
     writers = {MESSAGE_TYPE}
     while True:
@@ -92,7 +92,7 @@
 
 
 def _calls(node: ast.AST, function: Function | None) -> Iterator[tuple[ast.Call, Function | None]]:
-    """Walk through all calls, each with the function around it."""
+    """Yield each call below a node with the innermost function around it."""
     for child in ast.iter_child_nodes(node):
         if isinstance(child, ast.Call):
             yield child, function
@@ -114,7 +114,7 @@
 
 
 def _forwards_message(call: ast.Call) -> bool:
-    """Tell whether a call writes the text of a ``LogMessage`` as it is."""
+    """Return whether a call writes the text of a ``LogMessage`` unchanged."""
     match call.args:
         case [ast.Constant(value="%s"), ast.Attribute(attr="text")]:
             return True
@@ -129,7 +129,7 @@
 
 
 def _literal(node: ast.expr) -> str | None:
-    """Give the text of a literal, with ``%s`` in place of what an f-string fills in."""
+    """Return the text of a literal, with ``%s`` for each expression in an f-string; None for other nodes."""
     match node:
         case ast.Constant(value=str(text)):
             return text
--- a/tests/support/loopback_server.py
+++ b/tests/support/loopback_server.py
@@ -1,4 +1,4 @@
-"""A TCP server on loopback that closes everything it opened."""
+"""A base class for fake TCP servers on loopback."""
 
 from __future__ import annotations
 
@@ -9,12 +9,13 @@
 
 
 class LoopbackServer(ABC):
-    """Base of the fake servers; as an async context manager it runs from entry to exit.
+    """A TCP server on loopback; as an async context manager it runs from entry to exit.
 
     Attributes:
-        server: the listening server, once started.
-        port: where it listens, once started.
-        writers: one a connection, in the order of acceptance.
+        server: Listening server; set by ``start``.
+        port: Port that the server listens on; set by ``start``.
+        writers: Stream writers of all connections, in the order of acceptance.
+        is_started: Whether ``start`` has been called.
     """
 
     server: asyncio.Server
@@ -25,7 +26,7 @@
         self.is_started = False
 
     async def start(self) -> Self:
-        """Listen on a free port."""
+        """Listen on a free port and return this server."""
         self.server = await asyncio.start_server(self._accept, "127.0.0.1", 0)
         self.port = self.server.sockets[0].getsockname()[1]
         self.is_started = True
--- a/tests/support/resp_encoding.py
+++ b/tests/support/resp_encoding.py
@@ -1,4 +1,4 @@
-"""Commands and replies as bytes of RESP2, the protocol of clients and upstream servers."""
+"""Encoders for commands and replies in RESP2, the protocol of clients and upstream servers."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def encode_bulk_string(value: bytes | None) -> bytes:
-    """Encode a bulk string, or the null one."""
+    """Encode a bulk string; None becomes the null bulk string."""
     return b"$-1\r\n" if value is None else b"$%d\r\n%b\r\n" % (len(value), value)
 
 
@@ -21,9 +21,9 @@
     """Encode the reply of an upstream server to a call.
 
     Args:
-        value: what the client gets.
-        used: the server's counter of units used, if it sends one.
-        load: the server's load report, if it sends one.
+        value: Value for the client.
+        used: The server's usage report, if it sends one.
+        load: The server's load report, if it sends one.
     """
     return b"*3\r\n" + b"".join(encode_bulk_string(part) for part in (value, used, load))
 
@@ -35,7 +35,7 @@
     body: bytes = b"b",
     timeout_ms: int = 4000,
 ) -> bytes:
-    """Encode a client's request, whose id is its number in 16 hexadecimal digits."""
+    """Encode a client's request; its id is ``number`` in 16 hexadecimal digits."""
     key = f"k={IDEMPOTENCY_KEY}," if class_name == "post" else ""
     fields = f"c={class_name},t={plan},d={timeout_ms},{key}units=1,spread=2,first=0"
     arguments = (CUSTOMER_ID, f"{number:016x}", fields)
--- a/tests/support/settings_document.py
+++ b/tests/support/settings_document.py
@@ -66,5 +66,5 @@
         "count_limit_ms": 0.0,
     },
     "deductions": {"cross_zone": 0.01},
-    "a_new_key": [1, 2],  # a key that the gateway doesn't know is ignored
+    "a_new_key": [1, 2],  # The gateway ignores keys that it does not know.
 }
--- a/tests/support/source_index.py
+++ b/tests/support/source_index.py
@@ -1,4 +1,4 @@
-"""What the project's source files define, read from their syntax trees."""
+"""The names that the project's source files define, read from their syntax trees."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 def source_files(*folders: str) -> list[Path]:
-    """List the Python files below folders of the project, sorted."""
+    """List the Python files below these folders of the project, sorted."""
     return sorted(path for folder in folders for path in (ROOT / folder).rglob("*.py"))
 
 
 def find_module(place: str) -> Path | None:
-    """Find a file by its path from the root, or from one of ``SOURCE_FOLDERS``."""
+    """Find a file by its path from the root or from one of ``SOURCE_FOLDERS``; None if there is none."""
     candidates = [ROOT / place, *(ROOT / folder / place for folder in SOURCE_FOLDERS)]
     return next((path for path in candidates if path.is_file()), None)
 
@@ -24,13 +24,13 @@
 def defined_names(path: Path) -> set[str]:
     """List the names that a module defines, and the members of its classes as ``Class.member``.
 
-    An imported name is not defined here.
+    Imported names are not included.
     """
     return set(_names(ast.parse(path.read_text()).body, ""))
 
 
 def defined_classes(*folders: str) -> set[str]:
-    """List the classes and type aliases that modules below folders define, without their modules."""
+    """List the names of the classes and type aliases that modules below these folders define."""
     names = {name for path in source_files(*folders) for name in defined_names(path)}
     return {name for name in names if "." not in name and name[0].isupper()}
 
--- a/tests/support/virtual_loop.py
+++ b/tests/support/virtual_loop.py
@@ -1,4 +1,4 @@
-"""An event loop whose clock jumps to the next timer as soon as nothing is on its way between its sockets."""
+"""An event loop with a virtual clock that jumps to the next timer as soon as no socket is ready."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 from collections.abc import Coroutine
 from typing import Any, TypeVar
 
-# How long bytes on loopback are waited for: they are there as soon as written, but on a busy machine.
+# Real time to wait for bytes on loopback, which arrive at once except on a busy machine.
 REAL_WAIT_S = 0.0002
-START_S = 1000.0  # of the clock
+START_S = 1000.0  # Initial time of the virtual clock.
 
 Result = TypeVar("Result")
 
 
 class JumpingSelector(selectors.DefaultSelector):
-    """Waits for no time: what would be waited is added to the clock.
+    """A selector that advances a virtual clock by the timeout in place of waiting for it.
 
     Attributes:
-        now_s: The clock.
+        now_s: Time of the virtual clock.
     """
 
     def __init__(self) -> None:
@@ -26,7 +26,7 @@
         self.now_s = START_S
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        """Select what is ready at once; if nothing is, move the clock by the timeout."""
+        """Return the events that are ready; if there are none, advance the clock by the timeout."""
         events = super().select(min(timeout, REAL_WAIT_S) if timeout is not None else None)
         if not events and timeout:
             self.now_s += timeout
@@ -34,10 +34,10 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """A loop on the clock of a ``JumpingSelector``.
+    """An event loop on the virtual clock of a ``JumpingSelector``.
 
     Attributes:
-        connect_delay_s: How long each connection takes to come up, on the loop's clock.
+        connect_delay_s: Time that each connection takes to be established, on the virtual clock.
     """
 
     def __init__(self) -> None:
@@ -46,16 +46,16 @@
         super().__init__(self._clock)
 
     def time(self) -> float:
-        """The clock, in seconds."""
+        """Return the virtual time in seconds."""
         return self._clock.now_s
 
     async def create_connection(self, *args: Any, **more: Any) -> Any:
-        """Connect after the delay."""
+        """Connect after ``connect_delay_s``."""
         await asyncio.sleep(self.connect_delay_s)
         return await super().create_connection(*args, **more)
 
 
 def run_virtual(test: Coroutine[Any, Any, Result]) -> Result:
-    """Run a coroutine on such a loop; what it returns."""
+    """Run a coroutine on a ``VirtualLoop`` and return its result."""
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         return runner.run(test)
