--- a/tests/net/test_accept_faults.py
+++ b/tests/net/test_accept_faults.py
@@ -1,4 +1,4 @@
-"""Connections that wait to be accepted while the system refuses to, and at the end of the process."""
+"""Connections in the accept queue while accepting fails, and at the end of the process."""
 
 import errno
 import socket
@@ -14,21 +14,21 @@
 
 
 class FaultyListener(socket.socket):
-    """A listening socket whose first calls of ``accept`` fail with these errors."""
+    """A listening socket whose first calls of ``accept`` raise these errors."""
 
     def __init__(self, listener, *errors):
         super().__init__(fileno=listener.detach())
         self._errors = list(errors)
 
     def accept(self):
-        """Accept, unless an error is due first."""
+        """Raise the next error, or accept a connection if no error is left."""
         if self._errors:
-            raise OSError(self._errors.pop(0), "fault of the test")
+            raise OSError(self._errors.pop(0), "injected fault")
         return super().accept()
 
 
 async def connect_waiting(gateway):
-    """Connect clients that send a request and wait to be accepted."""
+    """Connect clients that send a request while the gateway accepts no connection."""
     gateway.client_listener.acceptor.pause()
     clients = [await gateway.connect_client() for _ in range(WAITING)]
     for number, client in enumerate(clients):
@@ -64,7 +64,8 @@
         handover_state = await request_handover(gateway.handover.path)
         waiting = await gateway.connect_client()
         waiting.send(encode_call(1))
-        gateway.client_listener.stop_listening()  # as after SIGTERM; the other process does not serve yet
+        # SIGTERM makes a gateway stop listening. The other process does not serve yet.
+        gateway.client_listener.stop_listening()
         assert gateway.client_listener.is_busy()
         handover_state.listener.close()
         handover_state.channel.close("the other process dies")
--- a/tests/net/test_descriptors.py
+++ b/tests/net/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Descriptors: each is closed once, and all that are open together stay within the limit."""
+"""Each descriptor is closed exactly once, and open descriptors stay within the limit."""
 
 import asyncio
 import gc
@@ -26,7 +26,7 @@
 from tests.support.gateway_node import MAX_BUFFERED_BYTES, SETTINGS, wait_until
 from tests.support.resp_encoding import encode_call, encode_command, encode_reply
 
-POLL_INTERVAL_S = 0.01  # between two looks at a process
+POLL_INTERVAL_S = 0.01  # Interval between two checks of a process.
 
 
 def make_pool(listener: socket.socket, max_connections: int) -> UpstreamPool:
@@ -42,12 +42,12 @@
 
 
 def count_descriptors(process: int | str = "self") -> int:
-    """Count the descriptors that a process has open, with the one that lists them if it is this one."""
+    """Return the number of open descriptors of a process; ``self`` includes the one that lists them."""
     return len(list(Path(f"/proc/{process}/fd").iterdir()))
 
 
 class DescriptorPeak:
-    """The most descriptors that a process had open, above a base, whenever it was looked at."""
+    """The highest number of open descriptors of a process, less ``base``, over all samples."""
 
     def __init__(self, process: int | str = "self", base: int = 0) -> None:
         self.process = process
@@ -55,7 +55,7 @@
         self.peak = 0
 
     def sample(self) -> None:
-        """Look at the process once."""
+        """Count the open descriptors and update the peak."""
         self.peak = max(self.peak, count_descriptors(self.process) - self.base)
 
 
@@ -73,8 +73,8 @@
         else:
             connections[0].close(AttemptStatus.CANCELLED)
         await wait_until(lambda: statuses and connections[0].task.done())
-        with Path(os.devnull).open() as file:  # noqa: ASYNC230 - no disk is behind it
-            assert file.fileno() == descriptor  # as it is closed, the next file has its number
+        with Path(os.devnull).open() as file:  # noqa: ASYNC230 - the file is a device without a disk
+            assert file.fileno() == descriptor  # The descriptor is closed, so the next file gets its number.
             connections.clear()
             pool.close()
             await asyncio.sleep(0)
@@ -83,7 +83,7 @@
 
 
 async def open_the_first_connection(pool: UpstreamPool) -> None:
-    """Open and close a connection: what the loop opens once is open then."""
+    """Open and close a connection, so that the event loop opens its own descriptors."""
     pool.start(1, make_attempt([]))
     (connection,) = pool.connections
     await wait_until(lambda: connection.transport is not None)
@@ -114,7 +114,8 @@
             await asyncio.sleep(0)
             descriptors.sample()
         assert descriptors.peak == pool.descriptors_in_use == len(pool.connections) == limit
-        assert statuses == [AttemptStatus.CANCELLED] * rounds * limit  # none failed to connect for it
+        # No attempt failed to connect because of the limit.
+        assert statuses == [AttemptStatus.CANCELLED] * rounds * limit
         pool.close()
         await wait_until(lambda: pool.descriptors_in_use == 0)
         assert count_descriptors() == open_before
@@ -128,7 +129,7 @@
         waiting = make_attempt(statuses)
         pool.start(1, waiting)
         pool.stop(waiting, AttemptStatus.TIMEOUT)
-        assert statuses == [AttemptStatus.CONNECT_FAILED]  # it never ran
+        assert statuses == [AttemptStatus.CONNECT_FAILED]  # The attempt was never sent.
         assert not pool.limiter.waiting_to_open
         assert not pool.connections
         await wait_until(lambda: pool.descriptors_in_use == 0)
@@ -144,7 +145,7 @@
 
 
 class ReconnectingClients:
-    """Clients that send one thing each and stay; those that are closed connect again at once."""
+    """Clients that each connect, send a payload and stay; they reconnect at once when closed."""
 
     def __init__(self, port: int, payloads: list[bytes]) -> None:
         self.port = port
@@ -171,7 +172,7 @@
 
 @contextmanager
 def unaccepting_server():
-    """Give the port of a server that never comes up: its backlog is full, so that connecting just takes."""
+    """Yield a port where connecting never finishes, because the listener's backlog is full."""
     with socket.socket() as listener, socket.socket() as first, socket.socket() as second:
         listener.bind(("127.0.0.1", 0))
         listener.listen(0)
@@ -181,10 +182,10 @@
         yield listener.getsockname()[1]
 
 
-LIMIT = 128  # descriptors of the gateway's process
-CLIENTS = 200  # clients that ask nothing, more than the limit
-SILENT_ENDPOINTS = 30  # endpoints whose server replies only at the end
-MIN_SILENT_ATTEMPTS = 15  # in flight to them
+LIMIT = 128  # Limit of open descriptors of the gateway process.
+CLIENTS = 200  # Number of clients that send no request, more than the limit.
+SILENT_ENDPOINTS = 30  # Number of endpoints whose server replies only at the end.
+MIN_SILENT_ATTEMPTS = 15  # Attempts in flight to silent endpoints before discovery moves.
 PAYLOADS = {"nothing": b"", "half a command": encode_call(1)[:50], "PING": encode_command("PING")}
 
 
@@ -200,7 +201,7 @@
 
 
 async def drop_discovery(gateway, config: Path, client) -> None:
-    """Let discovery list the endpoints, wait until the gateway is ready, and make discovery unreachable."""
+    """Send the endpoint list, wait until the gateway is ready, and make discovery unreachable."""
     _, watch = await gateway.discovery.next_watch()
     gateway.discovery.server.close()
     watch.write(encode_chunk(encode_update(2, *configured_instances(config), reset=True)))
@@ -211,7 +212,7 @@
 
 @asynccontextmanager
 async def moved_discovery(gateway, config: Path, *instances):
-    """Run discovery anew at its old address, and at a new one that the gateway is told; both list these."""
+    """Restart discovery at its address, move the gateway to a new one, and list ``instances`` at both."""
     restarted = await asyncio.start_server(gateway.discovery._serve, "127.0.0.1", gateway.discovery.port)
     async with restarted, FakeDiscovery() as moved:
         configure_discovery(config, moved.port)
@@ -227,9 +228,9 @@
 async def test_updates_and_requests_are_handled_while_clients_hold_all_their_descriptors(
     payload, tmp_path, monkeypatch, capfd
 ):
-    """Discovery is gone, comes back, and moves as it does; servers hold all they may meanwhile.
+    """Discovery is unreachable, then returns and moves, while clients and servers use all their descriptors.
 
-    The kernel itself holds the process to its limit.
+    The kernel enforces the descriptor limit of the process.
     """
     plain_command = gateway_process.command
     monkeypatch.setattr(gateway_process, "command", lambda: f"ulimit -n {LIMIT}; {plain_command()}")
@@ -250,12 +251,12 @@
                 descriptors.sample()
             instances = [make_instance("s-late", unaccepting_port), make_instance("s-good", good.port)]
             async with moved_discovery(gateway, config, *instances):
-                # It closes the watch at the old address once it has heard from the new one.
+                # The gateway closes the watch at the old address after an update from the new one.
                 assert await gateway.discovery.closed_watches.get() == CLOSED_BY_GATEWAY
                 descriptors.sample()
                 silent.respond = lambda _: encode_reply(b"late")
                 for writer in silent.writers:
-                    if not writer.is_closing():  # the gateway may have given up an attempt by now
+                    if not writer.is_closing():  # The gateway may have ended an attempt by now.
                         writer.write(encode_reply(b"late"))
                 late_client = await gateway_process.connect(gateway.port)
                 number = 201
--- a/tests/net/test_driver.py
+++ b/tests/net/test_driver.py
@@ -1,4 +1,4 @@
-"""Events and actions: their order, one outcome for each attempt, timers, time."""
+"""The driver: order of events and actions, one outcome for each attempt, timers, and time."""
 
 import asyncio
 import gc
@@ -31,7 +31,7 @@
 
 
 class ScriptedEngine:
-    """An engine whose actions the test gives for each type of event; it keeps the events."""
+    """An engine that records events and returns the actions that a test gives for each event type."""
 
     def __init__(self, **answers) -> None:
         self.answers = answers
@@ -40,8 +40,8 @@
         self.depth = 0
 
     def handle(self, now_ms, event):
-        """Return the actions for an event."""
-        assert self.depth == 0, "events came one inside the other"
+        """Record an event and return the actions for its type."""
+        assert self.depth == 0, "an event was handled while another one was being handled"
         self.events.append(event)
         self.times_ms.append(now_ms)
         self.depth += 1
@@ -50,12 +50,12 @@
         return actions
 
     def outcomes(self):
-        """Return attempt, status and closed of each outcome so far."""
+        """Return ``attempt``, ``status`` and ``closed`` of each outcome so far."""
         return [(e.attempt, e.status, e.closed) for e in self.events if isinstance(e, Outcome)]
 
 
 def submit_to(gateway, engine, timeout_ms=60_000.0):
-    """Submit a request to a scripted engine; return the list that its client's answers go to."""
+    """Submit a request to a scripted engine; return the list that receives the answers to its client."""
     answers = []
     gateway.driver.engine = engine
     request = ActiveRequest("r", lambda _: b"*1\r\n$4\r\nWAIT\r\n", answers.append)
@@ -150,7 +150,8 @@
             TimerFired=lambda _: [Reject("r")],
         )
         answers = submit_to(gateway, engine)
-        await quick.wait_until(lambda: len(quick.commands) == 1)  # the second is gated from here on
+        # The connection to ``late`` is not open until ``up`` is set.
+        await quick.wait_until(lambda: len(quick.commands) == 1)
         assert answers == []
         assert engine.outcomes() == []
         if end == "answered by another":
@@ -189,7 +190,8 @@
             )
             loop = asyncio.get_running_loop()
             accepted, _ = await loop.sock_accept(listener)
-            received_bytes = len(await loop.sock_recv(accepted, 1))  # the rest waits for this reader
+            # The gateway can send the rest only as this test reads.
+            received_bytes = len(await loop.sock_recv(accepted, 1))
             gateway.driver.client_disconnected("r")
             assert engine.outcomes() == [(0, AttemptStatus.NOT_SENT, True)]
             while piece := await received(loop, accepted):
@@ -199,7 +201,7 @@
 
 
 async def received(loop, sock):
-    """The next bytes, or none once the connection has ended in whatever way."""
+    """Receive the next bytes; return none once the connection is closed or reset."""
     try:
         return await loop.sock_recv(sock, 1 << 20)
     except OSError:
@@ -261,7 +263,7 @@
     async with run_gateway() as gateway:
         await server.start()
         _, address = server.endpoint(1)
-        started = gateway.driver.clock() - 5_000.0  # half of the warm-up
+        started = gateway.driver.clock() - 5_000.0  # Half of the warm-up time has passed.
         gateway.update_endpoints((Endpoint(1, "a", started_ms=started), address), kind=UpdateKind.SNAPSHOT)
         (known,) = gateway.driver.engine.endpoints.by_id.values()
         assert 0.59 < gateway.driver.engine.mechanisms.slow_start.capacity_share(known) < 1.0
@@ -303,7 +305,8 @@
         client = await gateway.connect_client()
         client.send(encode_call(1, "buy", body=b"x" * 60_000))
         await wait_until(lambda: bool(gateway.driver.active_requests))
-        encode = weakref.ref(next(iter(gateway.driver.active_requests.values())).encode)  # it has the command
+        # This function holds the command.
+        encode = weakref.ref(next(iter(gateway.driver.active_requests.values())).encode)
         assert await client.read_reply() == b"0000000000000001"
         assert not gateway.driver.active_requests
         assert any(isinstance(argument, Attempt) for *_, argument in gateway.driver.timers.entries)
--- a/tests/net/test_request_guard.py
+++ b/tests/net/test_request_guard.py
@@ -1,4 +1,4 @@
-"""The guard before attempts and rejections, against what the sockets have seen."""
+"""The request guard, which checks attempts and rejections against what was sent on sockets."""
 
 from dataclasses import replace
 
@@ -12,7 +12,7 @@
 from quota_gateway.telemetry import Invariant, Metric, Telemetry
 from tests.support.gateway_node import HEDGING_LIMITS, SETTINGS
 
-READ, POST, BUY = SETTINGS.classes  # idempotent; keyed within a zone for 6 s; non-idempotent
+READ, POST, BUY = SETTINGS.classes  # Idempotent, keyed within a zone for 6 s, non-idempotent.
 DEADLINE_MS = 100_000.0
 
 
@@ -32,7 +32,7 @@
         self.guard = RequestGuard(settings, hosts, lambda: self.now_ms, self.telemetry)
 
     def request(self, request_class, executed=(), in_flight=()):
-        """A request with attempts, each a number and the zone of its server, that may have run."""
+        """Make a request whose attempts may have run; each is a number and the zone of its server."""
         request = ActiveRequest("r", lambda _: b"", lambda _: None)
         request.request_class = request_class
         for number, zone in (*executed, *in_flight):
@@ -42,12 +42,12 @@
         return request
 
     def attempt(self, request, server=1):
-        """The next attempt of a request, at a server."""
+        """Make the next attempt of a request, to a server."""
         execution = ExecutedAttempt(9, self.now_ms, "a", 0)
         return ActiveAttempt(request, execution, server, DEADLINE_MS)
 
     def violations(self):
-        """How many invariants were violated."""
+        """Return the number of invariant violations."""
         return self.telemetry.metrics.total(Metric.INVARIANT_VIOLATIONS)
 
 
--- a/tests/net/test_timer_queue.py
+++ b/tests/net/test_timer_queue.py
@@ -1,4 +1,4 @@
-"""Many timers on one timer of the event loop."""
+"""The timer queue, which runs many timers on one timer of the event loop."""
 
 import asyncio
 
--- a/tests/net/test_transient_faults.py
+++ b/tests/net/test_transient_faults.py
@@ -1,4 +1,4 @@
-"""System calls that fail for a moment, at the start, at a reload, and where bytes are written."""
+"""Transient failures of system calls at startup, during a reload, and while bytes are written."""
 
 import asyncio
 import errno
@@ -29,16 +29,16 @@
 
 
 class FailingCall:
-    """A call that fails with these errors first."""
+    """A function whose first calls raise these errors."""
 
     def __init__(self, call, *errors):
         self.call = call
         self.errors = list(errors)
 
     def __call__(self, *args, **kwargs):
-        """Fail, or call."""
+        """Raise the next error, or call the function if no error is left."""
         if self.errors:
-            raise OSError(self.errors.pop(0), "fault of the test")
+            raise OSError(self.errors.pop(0), "injected fault")
         return self.call(*args, **kwargs)
 
 
@@ -132,12 +132,12 @@
     first, second = FakeUpstream(), FakeUpstream()
     async with run_gateway(first, second) as gateway:
         client = await gateway.connect_client()
-        for number in range(8):  # until there is an idle connection to each
+        for number in range(8):  # Each server has an idle connection after these.
             assert await client.request(encode_call(number)) == b"%016x" % number
         for host in gateway.upstream_pool.hosts.values():
             for connection in host.idle:
                 monkeypatch.setattr(connection, "is_alive", lambda: True)
-                connection.socket.shutdown(socket.SHUT_WR)  # the next write fails with EPIPE
+                connection.socket.shutdown(socket.SHUT_WR)  # The next write fails with EPIPE.
                 connection.idle_since_s = 0.0
         reply = await client.request(encode_call(99, "buy"))
         assert reply == b"%016x" % 99
@@ -193,5 +193,5 @@
     usage = BufferUsage(budget)
     usage.count(300)
     usage.release_all()
-    usage.count(-300)  # of a value that breaks off after its client
+    usage.count(-300)  # A value that is dropped after its client left reports its bytes again.
     assert budget.buffered_bytes == 0
--- a/tests/process/__init__.py
+++ b/tests/process/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the whole program as a process."""
+"""Tests of the whole program in processes of its own."""
--- a/tests/process/test_invalid_configuration.py
+++ b/tests/process/test_invalid_configuration.py
@@ -1,4 +1,4 @@
-"""A start with a malformed configuration: exit code 2 and one line that names the field."""
+"""A process with an invalid configuration exits with code 2 and logs one line that names the field."""
 
 import os
 import subprocess
@@ -12,7 +12,7 @@
 
 
 def start(environment: dict[str, str]) -> subprocess.CompletedProcess[str]:
-    """The program, run to its end, with none of our own variables but these."""
+    """Run the program to its end, with ``environment`` in place of the inherited ``EDGE_`` variables."""
     inherited = {name: value for name, value in os.environ.items() if not name.startswith("EDGE_")}
     return subprocess.run(
         ["/bin/sh", "-c", command()],
--- a/tests/process/test_late_signals.py
+++ b/tests/process/test_late_signals.py
@@ -1,4 +1,4 @@
-"""Signals that come while a process is about to end."""
+"""Signals that arrive while a process is about to exit."""
 
 import shlex
 import signal
@@ -8,8 +8,8 @@
 
 from tests.support.gateway_host import gateway_host, wait_ready
 
-# The program of the deploy file, which gets a signal when its event loop has been closed and the interpreter
-# has given signals back their default, as it does at its end.
+# Runs the program and sends it a signal after its event loop has closed. The signal has its default action
+# then, which the interpreter restores when it exits.
 PROGRAM = """
 import os, signal, uvloop
 from quota_gateway import __main__ as gateway
--- a/tests/process/test_process.py
+++ b/tests/process/test_process.py
@@ -1,4 +1,4 @@
-"""The program as deploy/balancer.toml starts it: configuration, readiness, SIGTERM."""
+"""The program as started by deploy/balancer.toml: readiness, shutdown, reload and log limits."""
 
 import asyncio
 import json
@@ -28,13 +28,13 @@
 
 
 async def until_ready(client: FakeClient) -> None:
-    """Ask until the program serves."""
-    while await client.request(encode_command("PING")) != b"PONG":  # noqa: ASYNC110 - it is another process
+    """Send PING until the program replies that it is ready."""
+    while await client.request(encode_command("PING")) != b"PONG":  # noqa: ASYNC110 - another process signals no event
         await asyncio.sleep(POLL_INTERVAL_S)
 
 
 def run_by_code(monkeypatch: pytest.MonkeyPatch, code: str) -> None:
-    """Have the program started by these statements in place of the deploy file's command."""
+    """Start the program by these Python statements in place of the deploy file's command."""
     monkeypatch.setattr(gateway_process, "command", lambda: f'exec {sys.executable} -c "$CODE"')
     monkeypatch.setenv("CODE", code)
 
@@ -73,7 +73,7 @@
         server.writers[number].write(encode_reply(b"late"))
         assert await busy.read_reply() == b"late"
         assert await busy.read_reply() is None
-        # The server stays silent on this one, whose client would wait for a minute: rejected in time.
+        # The server never replies to this request, so it is rejected long before its deadline.
         assert await silent.read_reply() == "-BUSY"
         assert await silent.read_reply() is None
         assert await process.wait() == 0
@@ -93,7 +93,7 @@
 
 
 def start_shutdown(gateway: GatewayNode) -> asyncio.Task[None]:
-    """Begin the graceful shutdown of a gateway."""
+    """Start the graceful shutdown of a gateway."""
     return asyncio.create_task(
         graceful_shutdown.shut_down_gracefully(
             SETTINGS, gateway.driver, gateway.client_listener, gateway.handover
@@ -103,7 +103,7 @@
 
 @pytest.fixture
 def short_shutdown(monkeypatch):
-    """The end comes soon, and what is on its way then has long enough."""
+    """Shorten the shutdown, but leave enough time to write pending replies."""
     monkeypatch.setattr(graceful_shutdown, "ACCEPT_PERIOD_S", 0.05)
     monkeypatch.setattr(graceful_shutdown, "MAX_DEADLINE_S", 0.1)
     monkeypatch.setattr(graceful_shutdown, "KILL_GRACE_S", graceful_shutdown.ANSWERED_BEFORE_KILL_S + 0.1)
@@ -145,8 +145,9 @@
         monkeypatch.setattr(
             connection,
             "close_if_done",
+            # Keeps the connection open until the end, as if the client kept sending.
             lambda plain=connection.close_if_done: plain() if connection.is_closing else None,
-        )  # as if it sent on and on
+        )
         shutdown = start_shutdown(gateway)
         assert await client.read_reply() == "-BUSY"
         assert await client.read_reply() == "-BUSY"
@@ -158,9 +159,8 @@
     async with run_gateway(FakeUpstream()) as gateway:
         client = await gateway.connect_client()
         assert await client.request(encode_call(1)) == b"0000000000000001"
-        os.write(
-            client.writer.get_extra_info("socket").fileno(), encode_call(2)
-        )  # before the loop could read it
+        # The command is in the kernel before the event loop can read it.
+        os.write(client.writer.get_extra_info("socket").fileno(), encode_call(2))
         gateway.client_listener.stop_listening()
         assert await client.read_reply() == b"0000000000000002"
         assert await client.read_reply() is None
@@ -183,7 +183,7 @@
             path.unlink()
             if text:
                 path.write_text(text)
-            process.send_signal(signal.SIGHUP)  # can't be read: what is stays
+            process.send_signal(signal.SIGHUP)  # A file that can't be read leaves the address unchanged.
         assert await client.request(encode_call(1)) == b"1"
         for number, generation in ((2, 9), (3, 4)):
             moved = await moved_discoveries.enter_async_context(FakeDiscovery())
@@ -202,7 +202,7 @@
 
 
 async def test_signal_during_the_start_waits_for_its_handler(tmp_path, monkeypatch):
-    """SIGHUP at the first moment that code of ours runs in ``main``: its default would end the process."""
+    """SIGHUP as soon as ``main`` starts must not end the process, which is its default action."""
     code = (
         "import os, signal; from quota_gateway import __main__ as program\n"
         "load = program.load_config\n"
--- a/tests/process/test_recorded_conversation.py
+++ b/tests/process/test_recorded_conversation.py
@@ -1,9 +1,9 @@
-"""A whole handover by a process of commit 4abec57, recorded from its sockets, to the present code.
+"""Handover from a recorded process of commit 4abec57 to the current code.
 
 The conversation of ``data/handover_4abec57.json`` has each message as the next process received it: the offer
 with the state of a gateway that served requests, the descriptors in use, connections (the first with a
-half-read command), an operator's call, the reply to another one, and usage. The tests play the previous
-process with sockets of their own.
+half-read command), an admin call, the reply to another one, and usage. The tests replay the previous process
+on sockets of their own.
 """
 
 import asyncio
@@ -29,7 +29,7 @@
 
 
 class PreviousProcess:
-    """Plays the recorded process to one that takes over."""
+    """Replays the recorded process for a process that takes over."""
 
     def __init__(self, path: Path) -> None:
         self.listening_socket = socket.create_server(("127.0.0.1", 0))
@@ -42,7 +42,7 @@
         self.clients: list[FakeClient] = []
 
     async def offer_state(self) -> None:
-        """Answer a hello with the recorded offer."""
+        """Accept a channel, wait for its hello, and send the recorded offer."""
         sock, _ = await asyncio.get_running_loop().sock_accept(self.rendezvous)
         self.channel = ProcessChannel(sock)
         self.channel.set_receiver(lambda message: self.received.append(message.header))
@@ -50,7 +50,7 @@
         self._send(OFFER, self.listening_socket.dup().detach())
 
     async def send_all(self) -> None:
-        """Send what was recorded behind the offer, each connection with a client of the test at its end."""
+        """Send the messages recorded after the offer; each connection in them gets a client of the test."""
         for message in AFTER_OFFER:
             descriptor = await self._connect_client() if message["descriptors"] else None
             self._send(message, descriptor)
@@ -66,7 +66,7 @@
         self.channel.send(ChannelMessage(message["header"], body, descriptor))
 
     def close(self) -> None:
-        """End as the recorded process did."""
+        """Close the channel and the sockets, as the recorded process did when it ended."""
         self.channel.close("end of the process")
         self.rendezvous.close()
         self.listening_socket.close()
@@ -74,9 +74,10 @@
 
 @asynccontextmanager
 async def taken_over(path: Path) -> AsyncIterator[tuple[GatewayNode, PreviousProcess, HandoverState]]:
-    """A gateway that serves in place of the recorded process."""
+    """Run a gateway that has taken over from the recorded process."""
     previous = PreviousProcess(path)
-    async with run_gateway(*(FakeUpstream() for _ in range(3))) as gateway:  # s-1 and s-2 get detached
+    # One server stays attached: the handover detaches s-1 and s-2.
+    async with run_gateway(*(FakeUpstream() for _ in range(3))) as gateway:
         _, state = await asyncio.gather(previous.offer_state(), request_handover(path))
         assert state is not None
         gateway.handover.sender.registry.restore_state(state.registry)
@@ -123,7 +124,7 @@
         registry = gateway.handover.sender.registry
         exported = json.loads(json.dumps(gateway.driver.export_state()))
         assert exported["latency"] == OFFER_BODY["state"]["latency"]
-        # after the state, an operator detached s-1 in the recorded process
+        # An admin call detached s-1 in the recorded process after it had sent its state.
         assert [number for number, _ in exported["barred"]] == [2, 1]
         assert registry.detached == {"s-1", "s-2"}
         await wait_until(lambda: any(message["kind"] == "banned" for message in previous.received))
--- a/tests/process/test_recorded_handover.py
+++ b/tests/process/test_recorded_handover.py
@@ -1,8 +1,8 @@
-"""What processes of earlier commits hand over, recorded: the present code restores it and writes the same.
+"""State recorded from processes of earlier commits: the current code restores it and writes the same.
 
 ``data/handover_COMMIT.json`` has the headers that the commit's code wrote on the channel, the body of its
-offer, and the body that it wrote in turn once it had restored the first one 250 ms later. 4431b5a names no
-clock in its offer.
+offer, and the body that the same code wrote after it had restored the first body 250 ms later. The offer of
+4431b5a has no clock.
 """
 
 import json
@@ -27,23 +27,23 @@
 
 @pytest.fixture(params=list(RECORDS))
 def record(request) -> dict:
-    """What a process of one commit has handed over."""
+    """The recorded handover of one commit."""
     return RECORDS[request.param]
 
 
 def recorded_offer(record: dict) -> HandoverOffer:
-    """The offer as it is read from the channel."""
+    """Read the recorded offer as from the channel."""
     return read_offer(OFFER_HEADER, json.dumps(record["body"]).encode())
 
 
 def export(harness: EngineHarness) -> dict:
-    """The engine's state as it comes out of the channel."""
+    """Export the engine's state, in the form that the channel delivers."""
     (snapshot,) = [action for action in harness.do(ExportState()) if isinstance(action, StateSnapshot)]
     return json.loads(json.dumps(snapshot.state))
 
 
 def restore(record: dict) -> EngineHarness:
-    """An engine that has restored the recorded state."""
+    """Make a harness whose engine has restored the recorded state."""
     harness = EngineHarness()
     harness.now = record["restored_at_ms"]
     harness.servers(make_endpoint(1), make_endpoint(2), make_endpoint(3))
@@ -52,7 +52,7 @@
 
 
 def replay(harness: EngineHarness) -> None:
-    """The events by which the recorded state came about."""
+    """Send the events that led to the recorded state."""
     harness.servers(make_endpoint(1), make_endpoint(2), make_endpoint(3))
     for step in range(120):
         plan = ("free", "metered", "ceiling", "capped")[step % 4]
@@ -78,7 +78,7 @@
     assert [number for number, _ in state["barred"]] == [1]
     assert [number for number, *_ in state["attached"]] == [2]
     assert state["marks"]
-    # the second has just been attached, and its rates begin anew
+    # Server 2 has just been attached, so its failure rates start anew.
     assert [bool(server[4]) for server in state["servers"]] == [True, False, True]
     assert state["latency"]["safe"]
     assert state["latency"]["keyed"]
@@ -105,7 +105,7 @@
     restored = {tuple(customer[:2]): customer[3] for customer in export(harness)["customers"]}
     assert restored == full
     first = harness.ask("only-cap", "safe", "in-flight")
-    assert first not in harness.sent  # its one place of this gateway is taken in the other process
+    assert first not in harness.sent  # The previous process has the one request that may be in flight.
     assert harness.ask("only-cap", "safe", "somebody-else") in harness.sent
 
 
--- a/tests/process/test_restarts.py
+++ b/tests/process/test_restarts.py
@@ -1,4 +1,4 @@
-"""Readiness after a start, whatever state discovery is in and whether any server is known."""
+"""Readiness after a start while discovery is faulty, with and without known servers."""
 
 import asyncio
 from typing import Self
@@ -15,14 +15,14 @@
 
 
 class FaultyDiscovery(FakeDiscovery):
-    """A discovery with a fault until it has recovered."""
+    """A discovery service that has a fault until ``recover`` is called."""
 
     def __init__(self, fault: str) -> None:
         super().__init__()
         self.fault = fault
 
     async def start(self) -> Self:
-        """Begin, refusing connections where that is the fault."""
+        """Listen, or refuse connections if that is the fault."""
         await super().start()
         if self.fault == "connection refused":
             self.server.close()
@@ -39,14 +39,14 @@
         writer.close()
 
     async def recover(self) -> None:
-        """Serve as discovery should from now on."""
+        """Serve watches without a fault from now on."""
         if self.fault == "connection refused":
             self.server = await asyncio.start_server(self._accept, "127.0.0.1", self.port)
         self.fault = ""
 
 
 async def restart(folder, fault: str, known: int) -> None:
-    """One process from its start until it has heard discovery again and serves by that."""
+    """Start a process while discovery is faulty, then wait until it serves by the recovered discovery."""
     folder.mkdir()
     async with (
         FakeUpstream(lambda _: encode_reply(b"old")) as old,
@@ -56,13 +56,13 @@
     ):
         client, number = await connect(port), 1
         await until_ready(client)
-        assert discovery.request_targets.empty()  # it has heard nothing
+        assert discovery.request_targets.empty()  # Discovery has served no watch yet.
         if known:
             assert await client.request(encode_call(number)) == b"old"
         await discovery.recover()
         _, watch = await discovery.next_watch()
         watch.write(encode_chunk(encode_update(2, make_instance("s-new", new.port), reset=True)))
-        while await client.request(encode_call(number := number + 1)) != b"new":  # noqa: ASYNC110 - asked from outside
+        while await client.request(encode_call(number := number + 1)) != b"new":  # noqa: ASYNC110 - another process signals no event
             await asyncio.sleep(POLL_INTERVAL_S)
         assert process.returncode is None
 
--- a/tests/process/test_upgrade.py
+++ b/tests/process/test_upgrade.py
@@ -1,4 +1,4 @@
-"""The handover to a new version, as processes, on real sockets and in the policy engine."""
+"""Handover to the next process: between real processes, on sockets, and in the policy engine."""
 
 import asyncio
 import errno
@@ -36,12 +36,12 @@
 
 
 def silent_on_7(arguments: list[bytes]) -> bytes | None:
-    """Leave requests whose id ends with 7 to be answered by the test."""
+    """Reply with the request id; send nothing if it ends with 7 so that the test can reply itself."""
     return None if arguments[2].endswith(b"7") else encode_reply(arguments[2])
 
 
 async def set_detached(admin_port: int, operation: str, name: str) -> int:
-    """Call ``detach`` or ``attach``; give the status of the response."""
+    """Call ``detach`` or ``attach`` and return the status code of the response."""
     response = await send_admin_call(admin_port, encode_post(f"/_servers/{operation}", name.encode()))
     return int(response.split()[1])
 
@@ -60,9 +60,8 @@
             new, admin_port = await host.start()
             await wait_ready(admin_port)
             old.send_signal(signal.SIGTERM)
-            assert await idle.request(encode_call(number + 1)) == b"%016x" % (
-                number + 1
-            )  # as the previous process begins to stop
+            # The previous process is shutting down by now.
+            assert await idle.request(encode_call(number + 1)) == b"%016x" % (number + 1)
             at = next(
                 n
                 for n, words in enumerate(host.upstream.commands)
@@ -78,7 +77,7 @@
 
 
 def handover_log(caplog) -> list[str]:
-    """The lines that the modules of a handover have logged."""
+    """Return the lines that the handover modules have logged."""
     modules = (handover_receiver, handover_sender, process_channel, rendezvous)
     names = {module.__name__ for module in modules}
     return [record.getMessage() for record in caplog.records if record.name in names]
@@ -124,7 +123,8 @@
         await wait_until(lambda: old.handover.sender.state is SenderState.LISTENING)
         assert not old.client_listener.is_suspended
         old.handover.close()
-        assert await request_handover(old.handover.path) is None  # the name is left, and nobody listens
+        # The path exists, but nothing listens on it.
+        assert await request_handover(old.handover.path) is None
         assert await request_handover(tmp_path / "nothing") is None
         old.handover.sender.path = tmp_path / "missing" / "rendezvous"
         old.handover.listen()
@@ -180,11 +180,11 @@
 
 
 def answer_uselessly(listener: socket.socket, left: str) -> socket.socket:
-    """Answer a hello as a process does that has nothing of use."""
+    """Accept a handover request and answer it without a usable state, or not at all."""
     other, _ = listener.accept()
-    if left != "one that hangs up":
+    if left != "a closed connection":
         other.recv(1000)
-        answer = b".\xff" if left == "a malformed one" else b'.{"kind":"estate","version":1}\n{}'
+        answer = b".\xff" if left == "a malformed offer" else b'.{"kind":"estate","version":1}\n{}'
         socket.send_fds(other, [answer], [listener.fileno()])
     return other
 
@@ -196,9 +196,9 @@
         "a file",
         "a dead socket",
         "a silent process",
-        "a malformed one",
-        "one that hangs up",
-        "no state",
+        "a malformed offer",
+        "a closed connection",
+        "an offer without state",
     ],
 )
 async def test_process_starts_and_is_ready_whatever_was_left_at_the_rendezvous_path(tmp_path, left):
@@ -208,17 +208,17 @@
             host.rendezvous.write_text("x")
         elif left != "nothing":
             listener.bind(str(host.rendezvous))
-        if left in ("a silent process", "a malformed one", "one that hangs up", "no state"):
+        if left in ("a silent process", "a malformed offer", "a closed connection", "an offer without state"):
             listener.listen()
         process, admin_port = await host.start(with_snapshot=False)
-        if left in ("a malformed one", "one that hangs up", "no state"):
+        if left in ("a malformed offer", "a closed connection", "an offer without state"):
             other = await asyncio.to_thread(answer_uselessly, listener, left)
             other.close()
         await host.send_snapshot("s-1")
         await wait_ready(admin_port)
         peer = await connect(host.port)
         assert await peer.request(encode_call(1)) == b"0000000000000001"
-        _, admin_port = await host.start()  # the next upgrade works as well
+        _, admin_port = await host.start()  # The next handover works as well.
         await wait_ready(admin_port)
         process.send_signal(signal.SIGTERM)
         assert await peer.request(encode_call(2)) == b"0000000000000002"
@@ -254,7 +254,7 @@
         peer = await connect(host.port)
         other = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         other.connect(str(host.rendezvous))
-        other.send(b'.{"kind":"hello","version":1}\n')  # and it never says that it serves
+        other.send(b'.{"kind":"hello","version":1}\n')  # The peer never sends that it serves.
         assert await peer.request(encode_call(1)) == b"0000000000000001"
         await wait_ready(admin_port)
         other.close()
@@ -266,7 +266,7 @@
         old, first = await host.start()
         await wait_ready(first)
         assert await set_detached(first, "detach", "s-1") == 200
-        host.endpoint_names = ["s-2", "s-3"]  # the new one is never told of the first
+        host.endpoint_names = ["s-2", "s-3"]  # Discovery never lists s-1 to the next process.
         _, second = await host.start()
         await wait_ready(second)
         peer = await connect(host.port)
@@ -282,19 +282,19 @@
         assert await set_detached(second, "attach", "s-2") == 200
         asking.cancel()
         peer, number = await connect(host.port), 1
-        while not host.upstream.commands:  # a cold server is open to few requests
+        while not host.upstream.commands:  # A warming server is given few requests.
             number += 1
             await peer.request(encode_call(number, timeout_ms=100))
         assert await set_detached(second, "attach", "s-1") == 200
 
 
 def open_descriptors() -> int:
-    """Count the descriptors of this process."""
+    """Return the number of open descriptors of this process."""
     return len(list(Path("/proc/self/fd").iterdir()))
 
 
 def successor_of(harness: EngineHarness, **changes) -> tuple[EngineHarness, dict]:
-    """Make an engine that takes over from this one; give it with the state that it restored."""
+    """Make an engine that takes over from this one; return it and the state that it restored."""
     (left,) = [action for action in harness.do(ExportState()) if isinstance(action, StateSnapshot)]
     made = make_harness(**changes)
     made.now = harness.now
@@ -304,17 +304,17 @@
 
 
 def capacity_share(harness: EngineHarness, server: int) -> float:
-    """How much of its capacity a server is given while it warms up."""
+    """Return the share of its capacity that a server is given while it warms up."""
     return harness.gateway.mechanisms.slow_start.capacity_share(harness.gateway.endpoints.by_id[server])
 
 
 def is_ready(harness: EngineHarness, server: int) -> bool:
-    """Whether a server may be chosen."""
+    """Return whether the engine may choose a server."""
     return harness.gateway.endpoints.by_id[server].is_ready
 
 
 def ready_servers(harness: EngineHarness) -> list[int]:
-    """The servers that the engine chooses from."""
+    """Return the numbers of the servers that the engine chooses from."""
     return [server.id for server in harness.gateway.endpoints.ready]
 
 
@@ -327,7 +327,7 @@
     rejected = [successor.ask("metered", timeout_ms=50.0) for _ in range(2)]
     assert not any(name in successor.sent for name in rejected)
     second = successor.ask("only-cap")
-    assert second not in successor.sent  # its one place here is taken, in the other process
+    assert second not in successor.sent  # The other process has the one request that may be in flight.
     notifications = [
         action.usage for action in harness.finish(in_flight[0]) if isinstance(action, NotifyPeerProcess)
     ]
@@ -387,7 +387,7 @@
     state = json.loads(json.dumps(state))
     state["barred"] = [[1, 1000.0]]
     damage(state)
-    with pytest.raises(ValueError):  # noqa: PT011 - any of the fields may be named; what it left is below
+    with pytest.raises(ValueError):  # noqa: PT011 - the error may name any field; the effect is checked below
         successor.do(RestoreState(state))
     assert not successor.gateway.customers
     assert not successor.gateway.has_peer_process
--- a/tests/process/test_wall_clock.py
+++ b/tests/process/test_wall_clock.py
@@ -1,4 +1,4 @@
-"""A wall clock that is set between two processes of a gateway, or under one."""
+"""Wall clocks that differ between the previous and the next process of a gateway."""
 
 import signal
 from pathlib import Path
@@ -22,7 +22,7 @@
 
 
 def shim_environment(folder: Path, library: Path, wall_step_s: float) -> dict[str, str]:
-    """Environment of a process whose wall clock is set by so much."""
+    """Return the variables that shift the wall clock of a process by ``wall_step_s``."""
     control = ShimControl(folder / f"control{wall_step_s}")
     control.wall_step_s = wall_step_s
     control.apply()
@@ -30,12 +30,12 @@
 
 
 def encode_own_call(number: int, plan: str) -> bytes:
-    """Encode a request of a customer that comes through this gateway alone."""
+    """Encode a request of a customer whose gateway set is this gateway alone."""
     return encode_call(number, plan=plan).replace(b"spread=2", b"spread=1")
 
 
 async def count_served(client, first_number):
-    """Send many requests of one slow customer; how many of them were served."""
+    """Send requests of one customer on the slow plan and return how many were served."""
     numbers = range(first_number, first_number + 4 * BURST)
     replies = [await client.request(encode_own_call(number, "slow")) for number in numbers]
     return sum(reply == b"%016x" % number for reply, number in zip(replies, numbers, strict=True))
