--- a/tests/support/engine_harness.py
+++ b/tests/support/engine_harness.py
@@ -131,13 +131,13 @@
     ) -> str:
         """Send a new request to the engine and return the request's id."""
         self.count += 1
-        name = f"r{self.count}"
-        self.do(Request(name, class_name, plan, customer, timeout_ms, units, gateway_set_size))
-        return name
+        request_id = f"r{self.count}"
+        self.do(Request(request_id, class_name, plan, customer, timeout_ms, units, gateway_set_size))
+        return request_id
 
     def finish(
         self,
-        name: str,
+        request_id: str,
         status: AttemptStatus = AttemptStatus.OK,
         attempt: int | None = None,
         used: float | None = None,
@@ -145,28 +145,28 @@
         latency: float = 50.0,
     ) -> list[Action]:
         """Send the outcome of an attempt, by default of the last one, and return the engine's actions."""
-        attempt = len(self.sent[name]) - 1 if attempt is None else attempt
-        server = self.sent[name][attempt]
+        attempt = len(self.sent[request_id]) - 1 if attempt is None else attempt
+        server = self.sent[request_id][attempt]
         if status is AttemptStatus.OK:
-            self.answers.setdefault(name, "Ok")
+            self.answers.setdefault(request_id, "Ok")
         return self.do(
-            Outcome(name, attempt, server, status, latency, status is AttemptStatus.OK, used, units)
+            Outcome(request_id, attempt, server, status, latency, status is AttemptStatus.OK, used, units)
         )
 
     def run(self, ms: float) -> None:
         """Advance the clock by ``ms`` milliseconds and fire the timers that become due."""
         end = self.now + ms
         while due := [timer for timer in self.timers if timer[0] <= end]:
-            first = min(due)
-            self.timers.remove(first)
-            self.now = max(self.now, first[0])
-            self.do(TimerFired(first[1]))
+            next_timer = min(due)
+            self.timers.remove(next_timer)
+            self.now = max(self.now, next_timer[0])
+            self.do(TimerFired(next_timer[1]))
         self.now = end
 
 
-def make_endpoint(number: int, zone: str = "a", **more: Any) -> Endpoint:
+def make_endpoint(number: int, zone: str = "a", **fields: Any) -> Endpoint:
     """Make an endpoint, which is ready unless its fields are set otherwise."""
-    return Endpoint(number, zone, **more)
+    return Endpoint(number, zone, **fields)
 
 
 def make_harness(**changes: Any) -> EngineHarness:
--- a/tests/support/known_failures.py
+++ b/tests/support/known_failures.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-KNOWN_RED = Path(__file__).parent.parent.parent / "KNOWN-RED.txt"
-MAX_KNOWN = 3
+KNOWN_FAILURES_FILE = Path(__file__).parent.parent.parent / "KNOWN-RED.txt"
+MAX_KNOWN_FAILURES = 3
 
 
 def known_failures() -> dict[str, str]:
@@ -16,17 +16,17 @@
     All cases of a parametrized test share one line.
 
     Raises:
-        ValueError: A line is malformed, or more than ``MAX_KNOWN`` tests are listed.
+        ValueError: A line is malformed, or more than ``MAX_KNOWN_FAILURES`` tests are listed.
     """
-    lines = KNOWN_RED.read_text().splitlines() if KNOWN_RED.exists() else []
+    lines = KNOWN_FAILURES_FILE.read_text().splitlines() if KNOWN_FAILURES_FILE.exists() else []
     known = {}
     for line in lines:
         test, separator, reason = line.partition(": ")
         if not separator or "::" not in test or not reason:
             raise ValueError(f"KNOWN-RED.txt: {line!r} is not a test followed by its cause and issue")
         known[test] = line
-    if len(known) > MAX_KNOWN:
-        raise ValueError(f"KNOWN-RED.txt: more than {MAX_KNOWN} tests are listed")
+    if len(known) > MAX_KNOWN_FAILURES:
+        raise ValueError(f"KNOWN-RED.txt: more than {MAX_KNOWN_FAILURES} tests are listed")
     return known
 
 
--- a/tests/support/log_events.py
+++ b/tests/support/log_events.py
@@ -81,14 +81,14 @@
     calls = [found for tree in trees for found in _calls(tree, None)]
     writers = {MESSAGE_TYPE}
     while True:
-        more = {
+        forwarders = {
             function.name
             for call, function in calls
             if function and _callee(call) in writers and _forwards_parameter(call, function)
         }
-        if more <= writers:
+        if forwarders <= writers:
             return writers
-        writers |= more
+        writers |= forwarders
 
 
 def _calls(node: ast.AST, function: Function | None) -> Iterator[tuple[ast.Call, Function | None]]:
--- a/tests/support/virtual_loop.py
+++ b/tests/support/virtual_loop.py
@@ -9,7 +9,7 @@
 
 # Real time to wait for bytes on loopback, which arrive at once except on a busy machine.
 REAL_WAIT_S = 0.0002
-START_S = 1000.0  # Initial time of the virtual clock.
+INITIAL_TIME_S = 1000.0  # Initial time of the virtual clock.
 
 Result = TypeVar("Result")
 
@@ -23,7 +23,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.now_s = START_S
+        self.now_s = INITIAL_TIME_S
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
         """Return the events that are ready; if there are none, advance the clock by the timeout."""
@@ -49,10 +49,10 @@
         """Return the virtual time in seconds."""
         return self._clock.now_s
 
-    async def create_connection(self, *args: Any, **more: Any) -> Any:
+    async def create_connection(self, *args: Any, **kwargs: Any) -> Any:
         """Connect after ``connect_delay_s``."""
         await asyncio.sleep(self.connect_delay_s)
-        return await super().create_connection(*args, **more)
+        return await super().create_connection(*args, **kwargs)
 
 
 def run_virtual(test: Coroutine[Any, Any, Result]) -> Result:
