--- a/tests/process/test_invalid_configuration.py
+++ b/tests/process/test_invalid_configuration.py
@@ -25,39 +25,41 @@
     )
 
 
-def assert_refused(done: subprocess.CompletedProcess[str], *words: str) -> None:
-    assert done.returncode == EXIT_INVALID_CONFIGURATION == 2
-    (line,) = done.stderr.splitlines()
+def assert_invalid_configuration(completed: subprocess.CompletedProcess[str], *words: str) -> None:
+    assert completed.returncode == EXIT_INVALID_CONFIGURATION == 2
+    (line,) = completed.stderr.splitlines()
     assert "configuration invalid error=" in line
     for word in words:
         assert word in line
-    assert done.stdout == ""
+    assert completed.stdout == ""
 
 
-def test_missing_variable_ends_the_start():
-    assert_refused(start({}), "EDGE_CONFIG: is not set")
+def test_missing_variable_aborts_startup():
+    assert_invalid_configuration(start({}), "EDGE_CONFIG: is not set")
 
 
 @pytest.mark.parametrize("name", ["missing.json", "."])
-def test_file_that_can_not_be_read_ends_the_start(name: str, tmp_path: Path):
+def test_unreadable_file_aborts_startup(name: str, tmp_path: Path):
     path = tmp_path / name
-    assert_refused(start({"EDGE_CONFIG": str(path)}), "EDGE_CONFIG: the file can not be read", str(path))
+    assert_invalid_configuration(
+        start({"EDGE_CONFIG": str(path)}), "EDGE_CONFIG: the file can not be read", str(path)
+    )
 
 
 @pytest.mark.parametrize("name", MALFORMED_FILES)
-def test_file_that_is_no_json_object_ends_the_start(name, tmp_path):
+def test_file_that_is_not_a_json_object_aborts_startup(name, tmp_path):
     content, words = MALFORMED_FILES[name]
     path = tmp_path / "config.json"
     path.write_bytes(content)
-    assert_refused(start({"EDGE_CONFIG": str(path)}), words)
+    assert_invalid_configuration(start({"EDGE_CONFIG": str(path)}), words)
 
 
 @pytest.mark.parametrize("malformed", MALFORMED_FIELDS, ids=str)
-def test_malformed_field_ends_the_start(malformed, tmp_path):
-    assert_refused(start(write(tmp_path, malformed.document())), *malformed.words)
+def test_malformed_field_aborts_startup(malformed, tmp_path):
+    assert_invalid_configuration(start(write(tmp_path, malformed.document())), *malformed.words)
 
 
 @pytest.mark.parametrize("variable", ["EDGE_LISTEN", "EDGE_DISCOVERY", "EDGE_MGMT"])
-def test_malformed_address_of_the_environment_ends_the_start(variable, tmp_path):
-    done = start({**write(tmp_path, DOCUMENT), variable: "nowhere"})
-    assert_refused(done, variable, "'nowhere' is not an address")
+def test_malformed_address_in_the_environment_aborts_startup(variable, tmp_path):
+    completed = start({**write(tmp_path, DOCUMENT), variable: "nowhere"})
+    assert_invalid_configuration(completed, variable, "'nowhere' is not an address")
--- a/tests/process/test_late_signals.py
+++ b/tests/process/test_late_signals.py
@@ -23,9 +23,9 @@
 """
 
 
-@pytest.mark.parametrize("late", [signal.SIGHUP, signal.SIGTERM])
-async def test_signal_that_comes_when_all_is_answered_changes_nothing(tmp_path, late):
-    program = f"exec {sys.executable} -c {shlex.quote(PROGRAM.format(number=int(late)))}"
+@pytest.mark.parametrize("late_signal", [signal.SIGHUP, signal.SIGTERM])
+async def test_signal_after_the_event_loop_closed_does_not_change_the_exit_code(tmp_path, late_signal):
+    program = f"exec {sys.executable} -c {shlex.quote(PROGRAM.format(number=int(late_signal)))}"
     async with gateway_host(tmp_path) as host:
         process, admin_port = await host.start(program=program)
         await wait_ready(admin_port)
--- a/tests/process/test_process.py
+++ b/tests/process/test_process.py
@@ -111,7 +111,7 @@
 
 
 @pytest.mark.usefixtures("short_shutdown")
-async def test_replies_that_a_slow_client_has_not_read_at_the_end_still_reach_it():
+async def test_shutdown_delivers_replies_that_a_slow_client_has_not_read():
     value, many = b"v" * 65_000, MAX_PIPELINED_COMMANDS
     async with run_gateway(FakeUpstream(lambda _: encode_reply(value))) as gateway:
         client, connection = await connect_slow_reader(gateway)
@@ -128,7 +128,7 @@
 
 
 @pytest.mark.usefixtures("short_shutdown")
-async def test_command_that_is_read_in_the_last_instant_is_answered(monkeypatch):
+async def test_command_read_just_before_the_end_of_a_shutdown_is_answered(monkeypatch):
     server = FakeUpstream(lambda _: None)
     async with run_gateway(server) as gateway:
         client = await gateway.connect_client()
@@ -137,11 +137,11 @@
         (connection,) = gateway.client_listener.connections
         finish = gateway.client_listener.finish
 
-        def last():
+        def read_command_and_finish():
             connection.data_received(encode_call(2))
             finish()
 
-        monkeypatch.setattr(gateway.client_listener, "finish", last)
+        monkeypatch.setattr(gateway.client_listener, "finish", read_command_and_finish)
         monkeypatch.setattr(
             connection,
             "close_if_done",
@@ -155,7 +155,7 @@
         await shutdown
 
 
-async def test_command_that_has_arrived_when_a_connection_would_close_is_read_first():
+async def test_command_that_arrived_before_a_connection_closes_is_answered():
     async with run_gateway(FakeUpstream()) as gateway:
         client = await gateway.connect_client()
         assert await client.request(encode_call(1)) == b"0000000000000001"
--- a/tests/process/test_recorded_conversation.py
+++ b/tests/process/test_recorded_conversation.py
@@ -105,7 +105,7 @@
     assert HALF_READ_COMMAND.startswith(half_read)
 
 
-async def test_connections_of_the_recorded_process_are_served_on_with_the_half_read_command(tmp_path):
+async def test_connections_of_the_recorded_process_continue_with_the_half_read_command(tmp_path):
     async with taken_over(tmp_path / "rendezvous") as (gateway, previous, state):
         assert [message["kind"] for message in previous.received[:2]] == ["hello", "serving"]
         assert state.clock_offset_ms == OFFER_BODY["clock"]
--- a/tests/process/test_recorded_handover.py
+++ b/tests/process/test_recorded_handover.py
@@ -85,7 +85,7 @@
     assert any(customer[2] for customer in state["customers"])
 
 
-def test_restored_state_is_written_as_the_recorded_process_wrote_it_after_it_had_restored_it(record):
+def test_restored_state_is_exported_as_by_the_recorded_process(record):
     assert export(restore(record)) == record["body_after_restore"]["state"]
 
 
@@ -98,12 +98,12 @@
     assert state == record["body"]["state"]
 
 
-def test_restored_bucket_and_cap_go_on_where_the_recorded_process_was(record):
+def test_restored_buckets_and_in_flight_limits_continue_from_the_recorded_values(record):
     harness = restore(record)
-    full = {tuple(customer[:2]): customer[3] for customer in record["body"]["state"]["customers"]}
-    assert full["metered", "waiting"] > full["metered", "c-1"]
-    restored = {tuple(customer[:2]): customer[3] for customer in export(harness)["customers"]}
-    assert restored == full
+    recorded_excess = {tuple(customer[:2]): customer[3] for customer in record["body"]["state"]["customers"]}
+    assert recorded_excess["metered", "waiting"] > recorded_excess["metered", "c-1"]
+    restored_excess = {tuple(customer[:2]): customer[3] for customer in export(harness)["customers"]}
+    assert restored_excess == recorded_excess
     first = harness.ask("only-cap", "safe", "in-flight")
     assert first not in harness.sent  # The previous process has the one request that may be in flight.
     assert harness.ask("only-cap", "safe", "somebody-else") in harness.sent
--- a/tests/process/test_restarts.py
+++ b/tests/process/test_restarts.py
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize("fault", ["connection refused", "status 503"])
-async def test_process_that_discovery_refuses_serves_by_the_known_list_at_once(fault, tmp_path, monkeypatch):
+async def test_process_serves_by_the_known_list_at_once_if_discovery_refuses_it(fault, tmp_path, monkeypatch):
     code = (
         "from quota_gateway import __main__ as program, server\n"
         "server.FIRST_UPDATE_TIMEOUT_S = 3600.0\n"
--- a/tests/process/test_upgrade.py
+++ b/tests/process/test_upgrade.py
@@ -46,7 +46,7 @@
     return int(response.split()[1])
 
 
-async def test_connections_and_requests_go_on_through_two_handovers(tmp_path):
+async def test_connections_and_requests_continue_through_two_handovers(tmp_path):
     async with gateway_host(tmp_path, silent_on_7) as host:
         old, admin_port = await host.start()
         await wait_ready(admin_port)
@@ -55,19 +55,21 @@
         for number in (0x10, 0x20):
             assert await idle.request(encode_call(number)) == b"%016x" % number
             busy.send(encode_call(number + 7, timeout_ms=60_000))
-            got = len(host.upstream.commands)
+            command_count = len(host.upstream.commands)
             await host.upstream.wait_until(lambda: host.upstream.commands[-1][2].endswith(b"7"))
             new, admin_port = await host.start()
             await wait_ready(admin_port)
             old.send_signal(signal.SIGTERM)
             # The previous process is shutting down by now.
             assert await idle.request(encode_call(number + 1)) == b"%016x" % (number + 1)
-            at = next(
+            command_index = next(
                 n
                 for n, words in enumerate(host.upstream.commands)
-                if n >= got - 1 and words[2].endswith(b"7")
+                if n >= command_count - 1 and words[2].endswith(b"7")
+            )
+            host.upstream.writers[host.upstream.connection_numbers[command_index]].write(
+                encode_reply(b"late")
             )
-            host.upstream.writers[host.upstream.connection_numbers[at]].write(encode_reply(b"late"))
             assert await busy.read_reply() == b"late"
             assert await old.wait() == 0
             assert await third.request(encode_command("PING")) == b"PONG"
@@ -143,7 +145,7 @@
     )
 
 
-async def test_partial_and_pipelined_commands_go_on_in_the_next_process(tmp_path):
+async def test_partial_and_pipelined_commands_continue_in_the_next_process(tmp_path):
     server = FakeUpstream(silent_on_7)
     async with run_gateway(server) as old, run_gateway(server) as new:
         old.handover.sender.path = new.handover.sender.path = tmp_path / "rendezvous"
@@ -167,8 +169,8 @@
         assert await half.read_reply() == b"0000000000000001"
         assert old.client_listener.connections
         assert new.client_listener.connections
-        at = next(n for n, words in enumerate(server.commands) if words[2].endswith(b"7"))
-        server.writers[server.connection_numbers[at]].write(encode_reply(b"late"))
+        command_index = next(n for n, words in enumerate(server.commands) if words[2].endswith(b"7"))
+        server.writers[server.connection_numbers[command_index]].write(encode_reply(b"late"))
         assert [await busy.read_reply(), await busy.read_reply()] == [b"late", b"0000000000000008"]
         assert await busy.request(encode_call(9)) == b"0000000000000009"
         assert not old.client_listener.connections
@@ -179,18 +181,18 @@
         new.handover.close()
 
 
-def answer_uselessly(listener: socket.socket, left: str) -> socket.socket:
+def answer_without_usable_state(listener: socket.socket, leftover: str) -> socket.socket:
     """Accept a handover request and answer it without a usable state, or not at all."""
     other, _ = listener.accept()
-    if left != "a closed connection":
+    if leftover != "a closed connection":
         other.recv(1000)
-        answer = b".\xff" if left == "a malformed offer" else b'.{"kind":"estate","version":1}\n{}'
+        answer = b".\xff" if leftover == "a malformed offer" else b'.{"kind":"estate","version":1}\n{}'
         socket.send_fds(other, [answer], [listener.fileno()])
     return other
 
 
 @pytest.mark.parametrize(
-    "left",
+    "leftover",
     [
         "nothing",
         "a file",
@@ -201,18 +203,23 @@
         "an offer without state",
     ],
 )
-async def test_process_starts_and_is_ready_whatever_was_left_at_the_rendezvous_path(tmp_path, left):
+async def test_process_starts_and_is_ready_whatever_was_left_at_the_rendezvous_path(tmp_path, leftover):
     async with gateway_host(tmp_path) as host:
         listener = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        if left == "a file":
+        if leftover == "a file":
             host.rendezvous.write_text("x")
-        elif left != "nothing":
+        elif leftover != "nothing":
             listener.bind(str(host.rendezvous))
-        if left in ("a silent process", "a malformed offer", "a closed connection", "an offer without state"):
+        if leftover in (
+            "a silent process",
+            "a malformed offer",
+            "a closed connection",
+            "an offer without state",
+        ):
             listener.listen()
         process, admin_port = await host.start(with_snapshot=False)
-        if left in ("a malformed offer", "a closed connection", "an offer without state"):
-            other = await asyncio.to_thread(answer_uselessly, listener, left)
+        if leftover in ("a malformed offer", "a closed connection", "an offer without state"):
+            other = await asyncio.to_thread(answer_without_usable_state, listener, leftover)
             other.close()
         await host.send_snapshot("s-1")
         await wait_ready(admin_port)
@@ -226,20 +233,20 @@
         listener.close()
 
 
-async def test_previous_process_serves_on_when_the_next_dies_and_a_third_takes_over(tmp_path):
+async def test_previous_process_resumes_service_when_the_next_dies_and_a_third_takes_over(tmp_path):
     async with gateway_host(tmp_path) as host:
         old, admin_port = await host.start()
         await wait_ready(admin_port)
-        new, later = await host.start()
-        await wait_ready(later)
+        new, new_admin_port = await host.start()
+        await wait_ready(new_admin_port)
         assert (await send_admin_call(admin_port, READY_CALL)).startswith(b"HTTP/1.1 503 ")
         new.kill()
         await new.wait()
         await wait_ready(admin_port)
         peer = await connect(host.port)
         assert await peer.request(encode_call(1)) == b"0000000000000001"
-        third, later = await host.start()
-        await wait_ready(later)
+        third, new_admin_port = await host.start()
+        await wait_ready(new_admin_port)
         old.kill()
         await old.wait()
         other = await connect(host.port)
@@ -273,14 +280,14 @@
         for admin_port, name in ((first, "s-2"), (second, "s-3")):
             assert await set_detached(admin_port, "detach", name) == 200
             assert await set_detached(admin_port, "detach", "s-9") == 404
-        asking = asyncio.ensure_future(peer.request(encode_call(1, timeout_ms=60_000)))
-        done, _ = await asyncio.wait([asking], timeout=0.5)
+        pending_request = asyncio.ensure_future(peer.request(encode_call(1, timeout_ms=60_000)))
+        done, _ = await asyncio.wait([pending_request], timeout=0.5)
         assert not done
         assert not host.upstream.commands
         old.send_signal(signal.SIGTERM)
         assert await old.wait() == 0
         assert await set_detached(second, "attach", "s-2") == 200
-        asking.cancel()
+        pending_request.cancel()
         peer, number = await connect(host.port), 1
         while not host.upstream.commands:  # A warming server is given few requests.
             number += 1
@@ -295,12 +302,12 @@
 
 def successor_of(harness: EngineHarness, **changes) -> tuple[EngineHarness, dict]:
     """Make an engine that takes over from this one; return it and the state that it restored."""
-    (left,) = [action for action in harness.do(ExportState()) if isinstance(action, StateSnapshot)]
-    made = make_harness(**changes)
-    made.now = harness.now
-    made.servers(make_endpoint(1), make_endpoint(2))
-    made.do(RestoreState(json.loads(json.dumps(left.state))))
-    return made, left.state
+    (snapshot,) = [action for action in harness.do(ExportState()) if isinstance(action, StateSnapshot)]
+    successor = make_harness(**changes)
+    successor.now = harness.now
+    successor.servers(make_endpoint(1), make_endpoint(2))
+    successor.do(RestoreState(json.loads(json.dumps(snapshot.state))))
+    return successor, snapshot.state
 
 
 def capacity_share(harness: EngineHarness, server: int) -> float:
@@ -337,7 +344,7 @@
     assert admitted[0] in harness.sent
 
 
-def test_requests_in_flight_in_a_process_that_ended_count_no_more(harness):
+def test_requests_in_flight_in_a_process_that_ended_are_no_longer_counted(harness):
     harness.ask("only-cap")
     successor, _ = successor_of(harness)
     name = successor.ask("only-cap")
@@ -379,7 +386,7 @@
         lambda s: s.update(latency={"safe": [[1]]}),
     ],
 )
-def test_malformed_state_is_rejected_whole(harness, damage):
+def test_malformed_state_is_rejected_as_a_whole(harness, damage):
     harness.ask("metered")
     _, state = successor_of(harness)
     successor = make_harness()
@@ -394,7 +401,7 @@
     assert is_ready(successor, 1) or "barred" not in state
 
 
-def test_rendezvous_path_is_in_tmpdir_and_nowhere_without_it(monkeypatch, tmp_path):
+def test_rendezvous_path_is_in_tmpdir_and_none_without_it(monkeypatch, tmp_path):
     monkeypatch.setenv("TMPDIR", str(tmp_path))
     assert rendezvous_path(("127.0.0.1", 7)) == tmp_path / "handover-127.0.0.1-7"
     monkeypatch.delenv("TMPDIR")
@@ -415,18 +422,18 @@
         assert await peer.request(encode_call(1)) == b"0000000000000001"
 
 
-async def test_start_goes_on_without_handover_where_unix_sockets_are_refused(tmp_path, monkeypatch, caplog):
-    real = socket.socket
+async def test_start_continues_without_handover_where_unix_sockets_are_refused(tmp_path, monkeypatch, caplog):
+    real_socket = socket.socket
 
-    def refusing(family=socket.AF_INET, *rest, **more):
+    def refuse_unix_sockets(family=socket.AF_INET, *args, **kwargs):
         if family == socket.AF_UNIX:
             raise OSError(errno.EAFNOSUPPORT, "refused")
-        return real(family, *rest, **more)
+        return real_socket(family, *args, **kwargs)
 
     async with run_gateway() as gateway:
         open_before = open_descriptors()
         with monkeypatch.context() as patch:
-            patch.setattr(socket, "socket", refusing)
+            patch.setattr(socket, "socket", refuse_unix_sockets)
             assert await request_handover(tmp_path / "handover") is None
             gateway.handover.sender.path = tmp_path / "handover"
             gateway.handover.listen()
--- a/tests/process/test_wall_clock.py
+++ b/tests/process/test_wall_clock.py
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize("wall_step_s", [3600.0, -3600.0])
-async def test_bucket_outlives_an_upgrade_while_the_wall_clock_is_set(tmp_path, capfd, wall_step_s):
+async def test_bucket_survives_a_handover_while_the_wall_clock_changes(tmp_path, capfd, wall_step_s):
     library = build_shim(tmp_path)
     async with gateway_host(tmp_path, settings=SLOW_SETTINGS) as host:
         old, admin_port = await host.start(environment=shim_environment(tmp_path, library, 0.0))
