--- a/tests/net/test_accept_faults.py
+++ b/tests/net/test_accept_faults.py
@@ -10,7 +10,7 @@
 from tests.support.gateway_node import run_gateway, wait_until
 from tests.support.resp_encoding import encode_call
 
-WAITING = 5
+WAITING_CLIENTS = 5
 
 
 class FaultyListener(socket.socket):
@@ -27,10 +27,10 @@
         return super().accept()
 
 
-async def connect_waiting(gateway):
+async def connect_waiting_clients(gateway):
     """Connect clients that send a request while the gateway accepts no connection."""
     gateway.client_listener.acceptor.pause()
-    clients = [await gateway.connect_client() for _ in range(WAITING)]
+    clients = [await gateway.connect_client() for _ in range(WAITING_CLIENTS)]
     for number, client in enumerate(clients):
         client.send(encode_call(number))
         await client.writer.drain()
@@ -46,9 +46,9 @@
         pytest.param((), 2, id="less capacity than connections"),
     ],
 )
-async def test_what_waits_to_be_accepted_at_the_end_is_answered(errors, max_connections):
+async def test_connections_in_the_accept_queue_at_shutdown_are_answered(errors, max_connections):
     async with run_gateway(FakeUpstream(), max_connections=max_connections) as gateway:
-        clients = await connect_waiting(gateway)
+        clients = await connect_waiting_clients(gateway)
         listener = gateway.client_listener
         listener.acceptor.socket = FaultyListener(listener.listening_socket, *errors)
         listener.stop_listening()
@@ -57,7 +57,7 @@
         await wait_until(lambda: listener.listening_socket is None)
 
 
-async def test_queue_is_kept_through_a_shutdown_while_another_process_takes_over(tmp_path):
+async def test_accept_queue_is_kept_through_a_shutdown_while_another_process_takes_over(tmp_path):
     async with run_gateway(FakeUpstream()) as gateway:
         gateway.handover.sender.path = tmp_path / "rendezvous"
         gateway.handover.listen()
--- a/tests/net/test_clock.py
+++ b/tests/net/test_clock.py
@@ -5,7 +5,7 @@
 from quota_gateway.net.clock import Clock
 
 
-def test_clock_is_unix_time_and_unmoved_by_a_change_of_the_system_clock(monkeypatch):
+def test_clock_is_unix_time_and_not_affected_by_changes_of_the_system_clock(monkeypatch):
     clock = Clock()
     assert abs(clock() - time.time() * 1000.0) < 60_000.0
     before = clock()
--- a/tests/net/test_descriptors.py
+++ b/tests/net/test_descriptors.py
@@ -60,7 +60,7 @@
 
 
 @pytest.mark.parametrize("update", [True, False])
-async def test_descriptor_of_a_connection_that_ends_as_it_comes_up_is_closed_once(update):
+async def test_descriptor_of_a_connection_that_ends_while_connecting_is_closed_once(update):
     with socket.create_server(("127.0.0.1", 0)) as listener:
         pool = make_pool(listener, max_connections=10)
         statuses = []
@@ -82,7 +82,7 @@
             os.fstat(file.fileno())
 
 
-async def open_the_first_connection(pool: UpstreamPool) -> None:
+async def open_first_connection(pool: UpstreamPool) -> None:
     """Open and close a connection, so that the event loop opens its own descriptors."""
     pool.start(1, make_attempt([]))
     (connection,) = pool.connections
@@ -90,12 +90,12 @@
     connection.close(AttemptStatus.CANCELLED)
 
 
-@pytest.mark.parametrize("turns", range(1, 8))
-async def test_connections_reopened_in_one_turn_never_exceed_the_limit_on_descriptors(turns):
+@pytest.mark.parametrize("iterations", range(1, 8))
+async def test_connections_reopened_at_once_never_exceed_the_limit_on_descriptors(iterations):
     limit, rounds = 40, 4
     with socket.create_server(("127.0.0.1", 0), backlog=1024) as listener:
         pool = make_pool(listener, max_connections=limit)
-        await open_the_first_connection(pool)
+        await open_first_connection(pool)
         await wait_until(lambda: pool.descriptors_in_use == 0)
         open_before = count_descriptors()
         descriptors = DescriptorPeak(base=open_before)
@@ -103,7 +103,7 @@
         for _ in range(rounds):
             for _ in range(limit):
                 pool.start(1, make_attempt(statuses))
-            for _ in range(turns):
+            for _ in range(iterations):
                 await asyncio.sleep(0)
                 descriptors.sample()
             for connection in list(pool.connections):
@@ -124,7 +124,7 @@
 async def test_connection_that_waits_for_a_descriptor_can_be_stopped():
     with socket.create_server(("127.0.0.1", 0)) as listener:
         pool = make_pool(listener, max_connections=1)
-        await open_the_first_connection(pool)
+        await open_first_connection(pool)
         statuses = []
         waiting = make_attempt(statuses)
         pool.start(1, waiting)
@@ -136,11 +136,11 @@
         pool.close()
 
 
-@pytest.mark.parametrize("managed", [False, True])
+@pytest.mark.parametrize("has_admin", [False, True])
 @pytest.mark.parametrize("limit", [256, 1024])
-def test_sum_of_all_shares_is_the_limit(limit, managed):
-    others = resources.OTHER_DESCRIPTORS + (resources.ADMIN_DESCRIPTORS if managed else 0)
-    budget = resources.divide_descriptors(limit, 7, managed)
+def test_descriptor_budget_adds_up_to_the_limit(limit, has_admin):
+    others = resources.OTHER_DESCRIPTORS + (resources.ADMIN_DESCRIPTORS if has_admin else 0)
+    budget = resources.divide_descriptors(limit, 7, has_admin)
     assert budget.clients + budget.upstream + 7 + others == limit
 
 
@@ -150,9 +150,9 @@
     def __init__(self, port: int, payloads: list[bytes]) -> None:
         self.port = port
         self.connects = 0
-        self.tasks = [asyncio.create_task(self._stay(payload)) for payload in payloads]
+        self.tasks = [asyncio.create_task(self._keep_connected(payload)) for payload in payloads]
 
-    async def _stay(self, payload: bytes) -> None:
+    async def _keep_connected(self, payload: bytes) -> None:
         while True:
             with suppress(OSError):
                 reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
@@ -182,9 +182,9 @@
         yield listener.getsockname()[1]
 
 
-LIMIT = 128  # Limit of open descriptors of the gateway process.
-CLIENTS = 200  # Number of clients that send no request, more than the limit.
-SILENT_ENDPOINTS = 30  # Number of endpoints whose server replies only at the end.
+DESCRIPTOR_LIMIT = 128  # Limit of open descriptors of the gateway process.
+CLIENT_COUNT = 200  # Number of clients that send no request, more than the limit.
+SILENT_ENDPOINT_COUNT = 30  # Number of endpoints whose server replies only at the end.
 MIN_SILENT_ATTEMPTS = 15  # Attempts in flight to silent endpoints before discovery moves.
 PAYLOADS = {"nothing": b"", "half a command": encode_call(1)[:50], "PING": encode_command("PING")}
 
@@ -233,20 +233,25 @@
     The kernel enforces the descriptor limit of the process.
     """
     plain_command = gateway_process.command
-    monkeypatch.setattr(gateway_process, "command", lambda: f"ulimit -n {LIMIT}; {plain_command()}")
+    monkeypatch.setattr(
+        gateway_process, "command", lambda: f"ulimit -n {DESCRIPTOR_LIMIT}; {plain_command()}"
+    )
     config = tmp_path / "config.json"
     with unaccepting_server() as unaccepting_port:
         async with (
             FakeUpstream(lambda _: None) as silent,
             FakeUpstream(lambda _: encode_reply(b"v")) as good,
-            gateway_process.program(tmp_path, silent, LIMIT, SILENT_ENDPOINTS) as gateway,
+            gateway_process.program(tmp_path, silent, DESCRIPTOR_LIMIT, SILENT_ENDPOINT_COUNT) as gateway,
         ):
             descriptors = DescriptorPeak(gateway.process.pid)
             early_client = await gateway_process.connect(gateway.port)
             await drop_discovery(gateway, config, early_client)
-            clients = ReconnectingClients(gateway.port, [PAYLOADS[payload]] * CLIENTS)
+            clients = ReconnectingClients(gateway.port, [PAYLOADS[payload]] * CLIENT_COUNT)
             early_client.send(*(encode_call(number, timeout_ms=60_000) for number in range(100, 160)))
-            while clients.connects < CLIENTS + LIMIT or len(silent.commands) < MIN_SILENT_ATTEMPTS:
+            while (
+                clients.connects < CLIENT_COUNT + DESCRIPTOR_LIMIT
+                or len(silent.commands) < MIN_SILENT_ATTEMPTS
+            ):
                 await asyncio.sleep(POLL_INTERVAL_S)
                 descriptors.sample()
             instances = [make_instance("s-late", unaccepting_port), make_instance("s-good", good.port)]
@@ -264,6 +269,6 @@
                     await asyncio.sleep(POLL_INTERVAL_S)
                     number += 1
                 descriptors.sample()
-                assert descriptors.peak <= LIMIT
+                assert descriptors.peak <= DESCRIPTOR_LIMIT
                 await clients.end()
     assert "Too many open files" not in capfd.readouterr().err
--- a/tests/net/test_driver.py
+++ b/tests/net/test_driver.py
@@ -33,8 +33,8 @@
 class ScriptedEngine:
     """An engine that records events and returns the actions that a test gives for each event type."""
 
-    def __init__(self, **answers) -> None:
-        self.answers = answers
+    def __init__(self, **scripted_actions) -> None:
+        self.scripted_actions = scripted_actions
         self.events = []
         self.times_ms = []
         self.depth = 0
@@ -45,7 +45,7 @@
         self.events.append(event)
         self.times_ms.append(now_ms)
         self.depth += 1
-        actions = self.answers.get(type(event).__name__, lambda _: [])(event)
+        actions = self.scripted_actions.get(type(event).__name__, lambda _: [])(event)
         self.depth -= 1
         return actions
 
@@ -131,12 +131,12 @@
 
 
 @pytest.mark.parametrize("end", ["answered by another", "rejected", "client left"])
-async def test_connection_that_comes_up_after_the_request_ended_carries_nothing(end, monkeypatch):
-    up, open_connection = asyncio.Event(), UpstreamConnection.open
+async def test_connection_established_after_the_request_ended_carries_no_command(end, monkeypatch):
+    may_open, open_connection = asyncio.Event(), UpstreamConnection.open
 
     async def open_late(self):
         if self.host.address[1] != first_port(self):
-            await up.wait()
+            await may_open.wait()
         await open_connection(self)
 
     def first_port(connection):
@@ -150,7 +150,7 @@
             TimerFired=lambda _: [Reject("r")],
         )
         answers = submit_to(gateway, engine)
-        # The connection to ``late`` is not open until ``up`` is set.
+        # The connection to ``late`` is not open until ``may_open`` is set.
         await quick.wait_until(lambda: len(quick.commands) == 1)
         assert answers == []
         assert engine.outcomes() == []
@@ -161,7 +161,7 @@
             gateway.driver.post(TimerFired(1))
         else:
             gateway.driver.client_disconnected("r")
-        up.set()
+        may_open.set()
         await wait_until(lambda: any(e[:2] == (1, AttemptStatus.NOT_SENT) for e in engine.outcomes()))
         done = asyncio.Event()
         gateway.upstream_pool.start(2, Attempt(b"*1\r\n$4\r\nLAST\r\n", lambda _: done.set()))
@@ -194,13 +194,13 @@
             received_bytes = len(await loop.sock_recv(accepted, 1))
             gateway.driver.client_disconnected("r")
             assert engine.outcomes() == [(0, AttemptStatus.NOT_SENT, True)]
-            while piece := await received(loop, accepted):
+            while piece := await receive(loop, accepted):
                 received_bytes += len(piece)
             assert 0 < received_bytes < len(command)
             accepted.close()
 
 
-async def received(loop, sock):
+async def receive(loop, sock):
     """Receive the next bytes; return none once the connection is closed or reset."""
     try:
         return await loop.sock_recv(sock, 1 << 20)
@@ -247,14 +247,14 @@
         assert not gateway.driver.timers.entries
 
 
-async def test_engine_failure_on_one_request_leaves_the_others_alone():
+async def test_engine_failure_on_one_request_does_not_affect_others():
     def failing(_event):
         raise RuntimeError("no decision")
 
     async with run_gateway(FakeUpstream()) as gateway:
-        good = gateway.driver.engine
+        working_engine = gateway.driver.engine
         assert submit_to(gateway, ScriptedEngine(Request=failing)) == [b"-ERR failed\r\n"]
-        gateway.driver.engine = good
+        gateway.driver.engine = working_engine
         assert await (await gateway.connect_client()).request(encode_call(1)) == b"0000000000000001"
 
 
@@ -280,18 +280,18 @@
         assert not gateway.driver.active_requests
 
 
-@pytest.mark.parametrize("how", ["end", "reset"])
-async def test_client_disconnect_during_connect_does_not_count_against_the_server(how, monkeypatch):
-    async def never(_connection):
+@pytest.mark.parametrize("disconnect", ["end", "reset"])
+async def test_client_disconnect_during_connect_does_not_count_against_the_server(disconnect, monkeypatch):
+    async def never_open(_connection):
         await asyncio.Event().wait()
 
     server = FakeUpstream()
     async with run_gateway(server) as gateway:
-        monkeypatch.setattr(UpstreamConnection, "open", never)
+        monkeypatch.setattr(UpstreamConnection, "open", never_open)
         client = await gateway.connect_client()
         client.send(encode_call(1))
         await wait_until(lambda: any(request.attempts for request in gateway.driver.active_requests.values()))
-        (client.writer.close if how == "end" else client.writer.transport.abort)()
+        (client.writer.close if disconnect == "end" else client.writer.transport.abort)()
         await wait_until(lambda: not gateway.driver.active_requests)
         engine = gateway.driver.engine
         assert engine.endpoints.by_id[1].failures == {} == engine.mechanisms.failures.totals
--- a/tests/net/test_request_guard.py
+++ b/tests/net/test_request_guard.py
@@ -119,7 +119,7 @@
         ),
     ],
 )
-def test_bytes_of_an_attempt_are_refused(change, refusal):
+def test_refusal_to_send_an_attempt(change, refusal):
     harness = GuardHarness()
     attempt = harness.attempt(harness.request(READ))
     for name, value in change.items():
@@ -127,7 +127,7 @@
     assert harness.guard.refusal_to_send(attempt) is refusal
 
 
-def test_command_that_went_late_is_counted_with_the_events_of_its_request(caplog):
+def test_command_sent_late_is_counted_and_logged_with_the_events_of_its_request(caplog):
     harness = GuardHarness()
     attempt = harness.attempt(harness.request(READ))
     harness.guard.on_sent(attempt)
--- a/tests/net/test_transient_faults.py
+++ b/tests/net/test_transient_faults.py
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize("error", sorted(BIND_ERRORS))
-async def test_start_waits_for_an_address_that_can_not_be_had_for_a_moment(error, monkeypatch):
+async def test_start_waits_for_an_address_that_is_unavailable_for_a_moment(error, monkeypatch):
     monkeypatch.setattr(server_module, "LISTEN_RETRY_S", 0.0)
     async with run_gateway() as gateway:
         listener = gateway.client_listener
@@ -61,7 +61,7 @@
             await server_module.listen(listener, ("127.0.0.1", 0))
 
 
-async def test_operators_are_answered_after_accept_has_failed():
+async def test_admin_calls_are_answered_after_accept_has_failed():
     server = admin.AdminServer(lambda: True, None)
     server.listen(("127.0.0.1", 0))
     port = server.acceptor.socket.getsockname()[1]
@@ -80,7 +80,7 @@
     server.close()
 
 
-async def test_operators_address_is_taken_once_it_is_free(monkeypatch):
+async def test_admin_server_listens_once_its_address_is_free(monkeypatch):
     monkeypatch.setattr(admin, "LISTEN_RETRY_S", 0.01)
     holder = socket.create_server(("127.0.0.1", 0))
     port = holder.getsockname()[1]
@@ -93,7 +93,7 @@
     server.close()
 
 
-async def test_handover_listener_is_made_once_the_folder_can_be_written(tmp_path, monkeypatch):
+async def test_handover_listener_is_created_once_its_folder_is_writable(tmp_path, monkeypatch):
     monkeypatch.setattr(handover_sender, "LISTEN_RETRY_S", 0.01)
     monkeypatch.setattr(
         rendezvous, "_listening", FailingCall(rendezvous._listening, errno.ENOSPC, errno.EIO, errno.ENFILE)
@@ -109,7 +109,7 @@
 @pytest.mark.parametrize(
     "first", [None, b"", b'{"discovery": "127.0.'], ids=["missing", "empty", "half written"]
 )
-async def test_reload_reads_again_what_is_being_written(tmp_path, monkeypatch, first):
+async def test_reload_retries_while_the_file_is_being_written(tmp_path, monkeypatch, first):
     monkeypatch.setattr(server_module, "RELOAD_RETRY_S", 0.01)
     path, watched = tmp_path / "config.json", asyncio.get_running_loop().create_future()
     if first is not None:
@@ -128,7 +128,7 @@
     await reload
 
 
-async def test_command_whose_write_failed_never_ran_and_is_repeated(monkeypatch):
+async def test_command_whose_write_failed_never_ran_and_is_retried(monkeypatch):
     first, second = FakeUpstream(), FakeUpstream()
     async with run_gateway(first, second) as gateway:
         client = await gateway.connect_client()
@@ -160,7 +160,7 @@
         assert connection.evict()
 
 
-async def test_timers_go_on_after_one_that_fails():
+async def test_timers_continue_after_a_callback_has_failed():
     clock_ms, called = [0.0], []
     queue = TimerQueue(lambda: clock_ms[0])
     errors = []
@@ -174,7 +174,7 @@
 
 
 @pytest.mark.parametrize("generation", ["1e999", "-1e999"])
-def test_generation_that_is_no_integer_is_a_malformed_document(generation):
+def test_generation_that_is_not_an_integer_is_a_malformed_document(generation):
     text = f'{{"generation": {generation}, "reset": true, "instances": []}}'
     with pytest.raises(DiscoveryError):
         EndpointRegistry().read(json.loads(text))
@@ -188,7 +188,7 @@
         JsonLineReader().add_line(b"[" * 100_000 + b"]" * 100_000)
 
 
-def test_bytes_of_a_connection_that_has_ended_are_counted_off_once():
+def test_bytes_of_a_connection_that_has_ended_are_released_once():
     budget = BufferBudget(1000)
     usage = BufferUsage(budget)
     usage.count(300)
