--- a/tests/net/test_accept_faults.py
+++ b/tests/net/test_accept_faults.py
@@ -14,7 +14,7 @@
 
 
 class FaultyListener(socket.socket):
-    """A listening socket whose first calls of ``accept`` raise these errors."""
+    """A listening socket whose first calls of ``accept`` raise the given errors."""
 
     def __init__(self, listener, *errors):
         super().__init__(fileno=listener.detach())
--- a/tests/net/test_descriptors.py
+++ b/tests/net/test_descriptors.py
@@ -42,7 +42,7 @@
 
 
 def count_descriptors(process: int | str = "self") -> int:
-    """Return the number of open descriptors of a process; ``self`` includes the one that lists them."""
+    """Return the number of open descriptors of a process; for ``self`` this includes the listing's own."""
     return len(list(Path(f"/proc/{process}/fd").iterdir()))
 
 
@@ -205,7 +205,7 @@
     _, watch = await gateway.discovery.next_watch()
     gateway.discovery.server.close()
     watch.write(encode_chunk(encode_update(2, *configured_instances(config), reset=True)))
-    while await client.request(encode_command("PING")) != b"PONG":  # noqa: ASYNC110 - it is another process
+    while await client.request(encode_command("PING")) != b"PONG":  # noqa: ASYNC110 - another process signals no event
         await asyncio.sleep(POLL_INTERVAL_S)
     watch.close()
 
--- a/tests/net/test_transient_faults.py
+++ b/tests/net/test_transient_faults.py
@@ -29,7 +29,7 @@
 
 
 class FailingCall:
-    """A function whose first calls raise these errors."""
+    """A function whose first calls raise the given errors."""
 
     def __init__(self, call, *errors):
         self.call = call
--- a/tests/process/__init__.py
+++ b/tests/process/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the whole program in processes of its own."""
+"""Tests of the whole program as a separate process."""
--- a/tests/process/test_late_signals.py
+++ b/tests/process/test_late_signals.py
@@ -8,8 +8,8 @@
 
 from tests.support.gateway_host import gateway_host, wait_ready
 
-# Runs the program and sends it a signal after its event loop has closed. The signal has its default action
-# then, which the interpreter restores when it exits.
+# Runs the program and sends it a signal after its event loop has closed. The default action of the signal is
+# restored first, as the interpreter does when it exits.
 PROGRAM = """
 import os, signal, uvloop
 from quota_gateway import __main__ as gateway
--- a/tests/process/test_process.py
+++ b/tests/process/test_process.py
@@ -202,7 +202,7 @@
 
 
 async def test_signal_during_the_start_waits_for_its_handler(tmp_path, monkeypatch):
-    """SIGHUP as soon as ``main`` starts must not end the process, which is its default action."""
+    """A SIGHUP as soon as ``main`` starts must not end the process, as its default action would."""
     code = (
         "import os, signal; from quota_gateway import __main__ as program\n"
         "load = program.load_config\n"
--- a/tests/process/test_recorded_handover.py
+++ b/tests/process/test_recorded_handover.py
@@ -32,7 +32,7 @@
 
 
 def recorded_offer(record: dict) -> HandoverOffer:
-    """Read the recorded offer as from the channel."""
+    """Read the recorded offer in the way that an offer from the channel is read."""
     return read_offer(OFFER_HEADER, json.dumps(record["body"]).encode())
 
 
--- a/tests/support/gateway_process.py
+++ b/tests/support/gateway_process.py
@@ -23,7 +23,7 @@
 DEPLOYED_PYTHON = ".venv/bin/python"
 DEPLOYED_COMMAND: str = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
 CONNECT_INTERVAL_S = 0.01
-# The class and the plan have no limits and the names that encode_call uses by default.
+# One class and one plan without limits, with the names that encode_call uses by default.
 PROCESS_SETTINGS: dict[str, Any] = {
     **SETTINGS_DOCUMENT,
     "services": [
