--- a/tests/net/test_descriptors.py
+++ b/tests/net/test_descriptors.py
@@ -163,7 +163,7 @@
                 writer.close()
             await asyncio.sleep(0)
 
-    async def end(self) -> None:
+    async def close(self) -> None:
         """Close all clients."""
         for task in self.tasks:
             task.cancel()
@@ -241,7 +241,9 @@
         async with (
             FakeUpstream(lambda _: None) as silent,
             FakeUpstream(lambda _: encode_reply(b"v")) as good,
-            gateway_process.program(tmp_path, silent, DESCRIPTOR_LIMIT, SILENT_ENDPOINT_COUNT) as gateway,
+            gateway_process.run_gateway_process(
+                tmp_path, silent, DESCRIPTOR_LIMIT, SILENT_ENDPOINT_COUNT
+            ) as gateway,
         ):
             descriptors = DescriptorPeak(gateway.process.pid)
             early_client = await gateway_process.connect(gateway.port)
@@ -270,5 +272,5 @@
                     number += 1
                 descriptors.sample()
                 assert descriptors.peak <= DESCRIPTOR_LIMIT
-                await clients.end()
+                await clients.close()
     assert "Too many open files" not in capfd.readouterr().err
--- a/tests/process/test_process.py
+++ b/tests/process/test_process.py
@@ -21,7 +21,7 @@
 from tests.support.fake_discovery import FakeDiscovery, encode_chunk, encode_update, make_instance
 from tests.support.fake_upstream import FakeUpstream
 from tests.support.gateway_node import SETTINGS, GatewayNode, connect_slow_reader, run_gateway, wait_until
-from tests.support.gateway_process import connect, program
+from tests.support.gateway_process import connect, run_gateway_process
 from tests.support.resp_encoding import encode_call, encode_command, encode_reply
 
 POLL_INTERVAL_S = 0.01
@@ -42,7 +42,7 @@
 async def test_process_is_ready_with_the_first_endpoint_list_and_serves(tmp_path):
     async with (
         FakeUpstream(lambda _: encode_reply(b"v")) as server,
-        program(tmp_path, server) as (process, port, discovery),
+        run_gateway_process(tmp_path, server) as (process, port, discovery),
     ):
         client = await connect(port)
         _, watch = await discovery.next_watch()
@@ -56,7 +56,7 @@
 async def test_sigterm_answers_accepted_requests_and_closes_between_requests(tmp_path):
     async with (
         FakeUpstream(lambda arguments: None if arguments[2].endswith(b"1") else encode_reply(b"v")) as server,
-        program(tmp_path, server) as (process, port, _),
+        run_gateway_process(tmp_path, server) as (process, port, _),
     ):
         idle, busy, silent = await connect(port), await connect(port), await connect(port)
         assert await idle.request(encode_call(2)) == b"v"
@@ -171,7 +171,7 @@
         FakeUpstream(lambda _: encode_reply(b"1")) as first,
         FakeUpstream(lambda _: encode_reply(b"2")) as second,
         AsyncExitStack() as moved_discoveries,
-        program(tmp_path, first) as (process, port, discovery),
+        run_gateway_process(tmp_path, first) as (process, port, discovery),
     ):
         _, watch = await discovery.next_watch()
         watch.write(encode_chunk(encode_update(2, make_instance("s-1", first.port), reset=True)))
@@ -213,7 +213,7 @@
     run_by_code(monkeypatch, code)
     async with (
         FakeUpstream(lambda _: encode_reply(b"v")) as server,
-        program(tmp_path, server) as (process, port, _),
+        run_gateway_process(tmp_path, server) as (process, port, _),
     ):
         client = await connect(port)
         assert await client.request(encode_call(1)) == b"v"
--- a/tests/process/test_restarts.py
+++ b/tests/process/test_restarts.py
@@ -8,7 +8,7 @@
 from tests.process.test_process import POLL_INTERVAL_S, run_by_code, until_ready
 from tests.support.fake_discovery import FakeDiscovery, encode_chunk, encode_update, make_instance
 from tests.support.fake_upstream import FakeUpstream
-from tests.support.gateway_process import connect, program
+from tests.support.gateway_process import connect, run_gateway_process
 from tests.support.resp_encoding import encode_call, encode_reply
 
 FAULTS = ("connection refused", "status 503", "silent")
@@ -52,7 +52,7 @@
         FakeUpstream(lambda _: encode_reply(b"old")) as old,
         FakeUpstream(lambda _: encode_reply(b"new")) as new,
         FaultyDiscovery(fault) as discovery,
-        program(folder, old, known=known, discovery=discovery) as (process, port, _),
+        run_gateway_process(folder, old, known=known, discovery=discovery) as (process, port, _),
     ):
         client, number = await connect(port), 1
         await until_ready(client)
--- a/tests/process/test_upgrade.py
+++ b/tests/process/test_upgrade.py
@@ -35,7 +35,7 @@
 from tests.support.resp_encoding import encode_call, encode_command, encode_reply
 
 
-def silent_on_7(arguments: list[bytes]) -> bytes | None:
+def reply_unless_id_ends_with_7(arguments: list[bytes]) -> bytes | None:
     """Reply with the request id; send nothing if it ends with 7 so that the test can reply itself."""
     return None if arguments[2].endswith(b"7") else encode_reply(arguments[2])
 
@@ -47,7 +47,7 @@
 
 
 async def test_connections_and_requests_continue_through_two_handovers(tmp_path):
-    async with gateway_host(tmp_path, silent_on_7) as host:
+    async with gateway_host(tmp_path, reply_unless_id_ends_with_7) as host:
         old, admin_port = await host.start()
         await wait_ready(admin_port)
         idle, busy, third = [await connect(host.port) for _ in range(3)]
@@ -146,7 +146,7 @@
 
 
 async def test_partial_and_pipelined_commands_continue_in_the_next_process(tmp_path):
-    server = FakeUpstream(silent_on_7)
+    server = FakeUpstream(reply_unless_id_ends_with_7)
     async with run_gateway(server) as old, run_gateway(server) as new:
         old.handover.sender.path = new.handover.sender.path = tmp_path / "rendezvous"
         old.handover.listen()
--- a/tests/support/gateway_process.py
+++ b/tests/support/gateway_process.py
@@ -67,7 +67,7 @@
 
 
 @asynccontextmanager
-async def program(
+async def run_gateway_process(
     folder: Path,
     upstream: FakeUpstream,
     descriptors: int = 1024,
@@ -86,7 +86,7 @@
     if discovery is None:
         async with (
             FakeDiscovery() as own_discovery,
-            program(folder, upstream, descriptors, known, own_discovery) as gateway,
+            run_gateway_process(folder, upstream, descriptors, known, own_discovery) as gateway,
         ):
             yield gateway
         return
--- a/tests/support/virtual_loop.py
+++ b/tests/support/virtual_loop.py
@@ -14,7 +14,7 @@
 Result = TypeVar("Result")
 
 
-class JumpingSelector(selectors.DefaultSelector):
+class VirtualClockSelector(selectors.DefaultSelector):
     """A selector that advances a virtual clock by the timeout in place of waiting for it.
 
     Attributes:
@@ -34,7 +34,7 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """An event loop on the virtual clock of a ``JumpingSelector``.
+    """An event loop on the virtual clock of a ``VirtualClockSelector``.
 
     Attributes:
         connect_delay_s: Time that each connection takes to be established, on the virtual clock.
@@ -42,7 +42,7 @@
 
     def __init__(self) -> None:
         self.connect_delay_s = 0.0
-        self._clock = JumpingSelector()
+        self._clock = VirtualClockSelector()
         super().__init__(self._clock)
 
     def time(self) -> float:
