--- a/tests/net/test_driver.py
+++ b/tests/net/test_driver.py
@@ -1,4 +1,4 @@
-"""Events and actions: their order, one outcome for each attempt, timers, time."""
+"""The driver: order of events and actions, one outcome for each attempt, timers, and time."""
 
 import asyncio
 import gc
@@ -31,31 +31,31 @@
 
 
 class ScriptedEngine:
-    """An engine whose actions the test gives for each type of event; it keeps the events."""
+    """An engine that records events and returns the actions that a test gives for each event type."""
 
-    def __init__(self, **answers) -> None:
-        self.answers = answers
+    def __init__(self, **scripted_actions) -> None:
+        self.scripted_actions = scripted_actions
         self.events = []
         self.times_ms = []
         self.depth = 0
 
     def handle(self, now_ms, event):
-        """Return the actions for an event."""
-        assert self.depth == 0, "events came one inside the other"
+        """Record an event and return the actions for its type."""
+        assert self.depth == 0, "an event was handled while another one was being handled"
         self.events.append(event)
         self.times_ms.append(now_ms)
         self.depth += 1
-        actions = self.answers.get(type(event).__name__, lambda _: [])(event)
+        actions = self.scripted_actions.get(type(event).__name__, lambda _: [])(event)
         self.depth -= 1
         return actions
 
     def outcomes(self):
-        """Return attempt, status and closed of each outcome so far."""
+        """Return ``attempt``, ``status`` and ``closed`` of each outcome so far."""
         return [(e.attempt, e.status, e.closed) for e in self.events if isinstance(e, Outcome)]
 
 
 def submit_to(gateway, engine, timeout_ms=60_000.0):
-    """Submit a request to a scripted engine; return the list that its client's answers go to."""
+    """Submit a request to a scripted engine; return the list that receives the answers to its client."""
     answers = []
     gateway.driver.engine = engine
     request = ActiveRequest("r", lambda _: b"*1\r\n$4\r\nWAIT\r\n", answers.append)
@@ -131,12 +131,12 @@
 
 
 @pytest.mark.parametrize("end", ["answered by another", "rejected", "client left"])
-async def test_connection_that_comes_up_after_the_request_ended_carries_nothing(end, monkeypatch):
-    up, open_connection = asyncio.Event(), UpstreamConnection.open
+async def test_connection_established_after_the_request_ended_carries_no_command(end, monkeypatch):
+    may_open, open_connection = asyncio.Event(), UpstreamConnection.open
 
     async def open_late(self):
         if self.host.address[1] != first_port(self):
-            await up.wait()
+            await may_open.wait()
         await open_connection(self)
 
     def first_port(connection):
@@ -150,7 +150,8 @@
             TimerFired=lambda _: [Reject("r")],
         )
         answers = submit_to(gateway, engine)
-        await quick.wait_until(lambda: len(quick.commands) == 1)  # the second is gated from here on
+        # The connection to ``late`` is not open until ``may_open`` is set.
+        await quick.wait_until(lambda: len(quick.commands) == 1)
         assert answers == []
         assert engine.outcomes() == []
         if end == "answered by another":
@@ -160,7 +161,7 @@
             gateway.driver.post(TimerFired(1))
         else:
             gateway.driver.client_disconnected("r")
-        up.set()
+        may_open.set()
         await wait_until(lambda: any(e[:2] == (1, AttemptStatus.NOT_SENT) for e in engine.outcomes()))
         done = asyncio.Event()
         gateway.upstream_pool.start(2, Attempt(b"*1\r\n$4\r\nLAST\r\n", lambda _: done.set()))
@@ -189,17 +190,18 @@
             )
             loop = asyncio.get_running_loop()
             accepted, _ = await loop.sock_accept(listener)
-            received_bytes = len(await loop.sock_recv(accepted, 1))  # the rest waits for this reader
+            # The gateway can send the rest only as this test reads.
+            received_bytes = len(await loop.sock_recv(accepted, 1))
             gateway.driver.client_disconnected("r")
             assert engine.outcomes() == [(0, AttemptStatus.NOT_SENT, True)]
-            while piece := await received(loop, accepted):
+            while piece := await receive(loop, accepted):
                 received_bytes += len(piece)
             assert 0 < received_bytes < len(command)
             accepted.close()
 
 
-async def received(loop, sock):
-    """The next bytes, or none once the connection has ended in whatever way."""
+async def receive(loop, sock):
+    """Receive the next bytes; return none once the connection is closed or reset."""
     try:
         return await loop.sock_recv(sock, 1 << 20)
     except OSError:
@@ -245,14 +247,14 @@
         assert not gateway.driver.timers.entries
 
 
-async def test_engine_failure_on_one_request_leaves_the_others_alone():
+async def test_engine_failure_on_one_request_does_not_affect_others():
     def failing(_event):
         raise RuntimeError("no decision")
 
     async with run_gateway(FakeUpstream()) as gateway:
-        good = gateway.driver.engine
+        working_engine = gateway.driver.engine
         assert submit_to(gateway, ScriptedEngine(Request=failing)) == [b"-ERR failed\r\n"]
-        gateway.driver.engine = good
+        gateway.driver.engine = working_engine
         assert await (await gateway.connect_client()).request(encode_call(1)) == b"0000000000000001"
 
 
@@ -261,7 +263,7 @@
     async with run_gateway() as gateway:
         await server.start()
         _, address = server.endpoint(1)
-        started = gateway.driver.clock() - 5_000.0  # half of the warm-up
+        started = gateway.driver.clock() - 5_000.0  # Half of the warm-up time has passed.
         gateway.update_endpoints((Endpoint(1, "a", started_ms=started), address), kind=UpdateKind.SNAPSHOT)
         (known,) = gateway.driver.engine.endpoints.by_id.values()
         assert 0.59 < gateway.driver.engine.mechanisms.slow_start.capacity_share(known) < 1.0
@@ -278,18 +280,18 @@
         assert not gateway.driver.active_requests
 
 
-@pytest.mark.parametrize("how", ["end", "reset"])
-async def test_client_disconnect_during_connect_does_not_count_against_the_server(how, monkeypatch):
-    async def never(_connection):
+@pytest.mark.parametrize("disconnect", ["end", "reset"])
+async def test_client_disconnect_during_connect_does_not_count_against_the_server(disconnect, monkeypatch):
+    async def never_open(_connection):
         await asyncio.Event().wait()
 
     server = FakeUpstream()
     async with run_gateway(server) as gateway:
-        monkeypatch.setattr(UpstreamConnection, "open", never)
+        monkeypatch.setattr(UpstreamConnection, "open", never_open)
         client = await gateway.connect_client()
         client.send(encode_call(1))
         await wait_until(lambda: any(request.attempts for request in gateway.driver.active_requests.values()))
-        (client.writer.close if how == "end" else client.writer.transport.abort)()
+        (client.writer.close if disconnect == "end" else client.writer.transport.abort)()
         await wait_until(lambda: not gateway.driver.active_requests)
         engine = gateway.driver.engine
         assert engine.endpoints.by_id[1].failures == {} == engine.mechanisms.failures.totals
@@ -303,7 +305,8 @@
         client = await gateway.connect_client()
         client.send(encode_call(1, "buy", body=b"x" * 60_000))
         await wait_until(lambda: bool(gateway.driver.active_requests))
-        encode = weakref.ref(next(iter(gateway.driver.active_requests.values())).encode)  # it has the command
+        # This function holds the command.
+        encode = weakref.ref(next(iter(gateway.driver.active_requests.values())).encode)
         assert await client.read_reply() == b"0000000000000001"
         assert not gateway.driver.active_requests
         assert any(isinstance(argument, Attempt) for *_, argument in gateway.driver.timers.entries)
--- a/tests/process/test_late_signals.py
+++ b/tests/process/test_late_signals.py
@@ -1,4 +1,4 @@
-"""Signals that come while a process is about to end."""
+"""Signals that arrive while a process is about to exit."""
 
 import shlex
 import signal
@@ -8,8 +8,8 @@
 
 from tests.support.gateway_host import gateway_host, wait_ready
 
-# The program of the deploy file, which gets a signal when its event loop has been closed and the interpreter
-# has given signals back their default, as it does at its end.
+# Runs the program and sends it a signal after its event loop has closed. The default action of the signal is
+# restored first, as the interpreter does when it exits.
 PROGRAM = """
 import os, signal, uvloop
 from quota_gateway import __main__ as gateway
@@ -23,9 +23,9 @@
 """
 
 
-@pytest.mark.parametrize("late", [signal.SIGHUP, signal.SIGTERM])
-async def test_signal_that_comes_when_all_is_answered_changes_nothing(tmp_path, late):
-    program = f"exec {sys.executable} -c {shlex.quote(PROGRAM.format(number=int(late)))}"
+@pytest.mark.parametrize("late_signal", [signal.SIGHUP, signal.SIGTERM])
+async def test_signal_after_the_event_loop_closed_does_not_change_the_exit_code(tmp_path, late_signal):
+    program = f"exec {sys.executable} -c {shlex.quote(PROGRAM.format(number=int(late_signal)))}"
     async with gateway_host(tmp_path) as host:
         process, admin_port = await host.start(program=program)
         await wait_ready(admin_port)
--- a/tests/process/test_process.py
+++ b/tests/process/test_process.py
@@ -1,4 +1,4 @@
-"""The program as deploy/balancer.toml starts it: configuration, readiness, SIGTERM."""
+"""The program as started by deploy/balancer.toml: readiness, shutdown, reload and log limits."""
 
 import asyncio
 import json
@@ -21,20 +21,20 @@
 from tests.support.fake_discovery import FakeDiscovery, encode_chunk, encode_update, make_instance
 from tests.support.fake_upstream import FakeUpstream
 from tests.support.gateway_node import SETTINGS, GatewayNode, connect_slow_reader, run_gateway, wait_until
-from tests.support.gateway_process import connect, program
+from tests.support.gateway_process import connect, run_gateway_process
 from tests.support.resp_encoding import encode_call, encode_command, encode_reply
 
 POLL_INTERVAL_S = 0.01
 
 
 async def until_ready(client: FakeClient) -> None:
-    """Ask until the program serves."""
-    while await client.request(encode_command("PING")) != b"PONG":  # noqa: ASYNC110 - it is another process
+    """Send PING until the program replies that it is ready."""
+    while await client.request(encode_command("PING")) != b"PONG":  # noqa: ASYNC110 - another process signals no event
         await asyncio.sleep(POLL_INTERVAL_S)
 
 
 def run_by_code(monkeypatch: pytest.MonkeyPatch, code: str) -> None:
-    """Have the program started by these statements in place of the deploy file's command."""
+    """Start the program by these Python statements in place of the deploy file's command."""
     monkeypatch.setattr(gateway_process, "command", lambda: f'exec {sys.executable} -c "$CODE"')
     monkeypatch.setenv("CODE", code)
 
@@ -42,7 +42,7 @@
 async def test_process_is_ready_with_the_first_endpoint_list_and_serves(tmp_path):
     async with (
         FakeUpstream(lambda _: encode_reply(b"v")) as server,
-        program(tmp_path, server) as (process, port, discovery),
+        run_gateway_process(tmp_path, server) as (process, port, discovery),
     ):
         client = await connect(port)
         _, watch = await discovery.next_watch()
@@ -56,7 +56,7 @@
 async def test_sigterm_answers_accepted_requests_and_closes_between_requests(tmp_path):
     async with (
         FakeUpstream(lambda arguments: None if arguments[2].endswith(b"1") else encode_reply(b"v")) as server,
-        program(tmp_path, server) as (process, port, _),
+        run_gateway_process(tmp_path, server) as (process, port, _),
     ):
         idle, busy, silent = await connect(port), await connect(port), await connect(port)
         assert await idle.request(encode_call(2)) == b"v"
@@ -73,7 +73,7 @@
         server.writers[number].write(encode_reply(b"late"))
         assert await busy.read_reply() == b"late"
         assert await busy.read_reply() is None
-        # The server stays silent on this one, whose client would wait for a minute: rejected in time.
+        # The server never replies to this request, so it is rejected long before its deadline.
         assert await silent.read_reply() == "-BUSY"
         assert await silent.read_reply() is None
         assert await process.wait() == 0
@@ -93,7 +93,7 @@
 
 
 def start_shutdown(gateway: GatewayNode) -> asyncio.Task[None]:
-    """Begin the graceful shutdown of a gateway."""
+    """Start the graceful shutdown of a gateway."""
     return asyncio.create_task(
         graceful_shutdown.shut_down_gracefully(
             SETTINGS, gateway.driver, gateway.client_listener, gateway.handover
@@ -103,7 +103,7 @@
 
 @pytest.fixture
 def short_shutdown(monkeypatch):
-    """The end comes soon, and what is on its way then has long enough."""
+    """Shorten the shutdown, but leave enough time to write pending replies."""
     monkeypatch.setattr(graceful_shutdown, "ACCEPT_PERIOD_S", 0.05)
     monkeypatch.setattr(graceful_shutdown, "MAX_DEADLINE_S", 0.1)
     monkeypatch.setattr(graceful_shutdown, "KILL_GRACE_S", graceful_shutdown.ANSWERED_BEFORE_KILL_S + 0.1)
@@ -111,7 +111,7 @@
 
 
 @pytest.mark.usefixtures("short_shutdown")
-async def test_replies_that_a_slow_client_has_not_read_at_the_end_still_reach_it():
+async def test_shutdown_delivers_replies_that_a_slow_client_has_not_read():
     value, many = b"v" * 65_000, MAX_PIPELINED_COMMANDS
     async with run_gateway(FakeUpstream(lambda _: encode_reply(value))) as gateway:
         client, connection = await connect_slow_reader(gateway)
@@ -128,7 +128,7 @@
 
 
 @pytest.mark.usefixtures("short_shutdown")
-async def test_command_that_is_read_in_the_last_instant_is_answered(monkeypatch):
+async def test_command_read_just_before_the_end_of_a_shutdown_is_answered(monkeypatch):
     server = FakeUpstream(lambda _: None)
     async with run_gateway(server) as gateway:
         client = await gateway.connect_client()
@@ -137,16 +137,17 @@
         (connection,) = gateway.client_listener.connections
         finish = gateway.client_listener.finish
 
-        def last():
+        def read_command_and_finish():
             connection.data_received(encode_call(2))
             finish()
 
-        monkeypatch.setattr(gateway.client_listener, "finish", last)
+        monkeypatch.setattr(gateway.client_listener, "finish", read_command_and_finish)
         monkeypatch.setattr(
             connection,
             "close_if_done",
+            # Keeps the connection open until the end, as if the client kept sending.
             lambda plain=connection.close_if_done: plain() if connection.is_closing else None,
-        )  # as if it sent on and on
+        )
         shutdown = start_shutdown(gateway)
         assert await client.read_reply() == "-BUSY"
         assert await client.read_reply() == "-BUSY"
@@ -154,13 +155,12 @@
         await shutdown
 
 
-async def test_command_that_has_arrived_when_a_connection_would_close_is_read_first():
+async def test_command_that_arrived_before_a_connection_closes_is_answered():
     async with run_gateway(FakeUpstream()) as gateway:
         client = await gateway.connect_client()
         assert await client.request(encode_call(1)) == b"0000000000000001"
-        os.write(
-            client.writer.get_extra_info("socket").fileno(), encode_call(2)
-        )  # before the loop could read it
+        # The command is in the kernel before the event loop can read it.
+        os.write(client.writer.get_extra_info("socket").fileno(), encode_call(2))
         gateway.client_listener.stop_listening()
         assert await client.read_reply() == b"0000000000000002"
         assert await client.read_reply() is None
@@ -171,7 +171,7 @@
         FakeUpstream(lambda _: encode_reply(b"1")) as first,
         FakeUpstream(lambda _: encode_reply(b"2")) as second,
         AsyncExitStack() as moved_discoveries,
-        program(tmp_path, first) as (process, port, discovery),
+        run_gateway_process(tmp_path, first) as (process, port, discovery),
     ):
         _, watch = await discovery.next_watch()
         watch.write(encode_chunk(encode_update(2, make_instance("s-1", first.port), reset=True)))
@@ -183,7 +183,7 @@
             path.unlink()
             if text:
                 path.write_text(text)
-            process.send_signal(signal.SIGHUP)  # can't be read: what is stays
+            process.send_signal(signal.SIGHUP)  # A file that can't be read leaves the address unchanged.
         assert await client.request(encode_call(1)) == b"1"
         for number, generation in ((2, 9), (3, 4)):
             moved = await moved_discoveries.enter_async_context(FakeDiscovery())
@@ -202,7 +202,7 @@
 
 
 async def test_signal_during_the_start_waits_for_its_handler(tmp_path, monkeypatch):
-    """SIGHUP at the first moment that code of ours runs in ``main``: its default would end the process."""
+    """A SIGHUP as soon as ``main`` starts must not end the process, as its default action would."""
     code = (
         "import os, signal; from quota_gateway import __main__ as program\n"
         "load = program.load_config\n"
@@ -213,7 +213,7 @@
     run_by_code(monkeypatch, code)
     async with (
         FakeUpstream(lambda _: encode_reply(b"v")) as server,
-        program(tmp_path, server) as (process, port, _),
+        run_gateway_process(tmp_path, server) as (process, port, _),
     ):
         client = await connect(port)
         assert await client.request(encode_call(1)) == b"v"
--- a/tests/process/test_restarts.py
+++ b/tests/process/test_restarts.py
@@ -1,4 +1,4 @@
-"""Readiness after a start, whatever state discovery is in and whether any server is known."""
+"""Readiness after a start while discovery is faulty, with and without known servers."""
 
 import asyncio
 from typing import Self
@@ -8,21 +8,21 @@
 from tests.process.test_process import POLL_INTERVAL_S, run_by_code, until_ready
 from tests.support.fake_discovery import FakeDiscovery, encode_chunk, encode_update, make_instance
 from tests.support.fake_upstream import FakeUpstream
-from tests.support.gateway_process import connect, program
+from tests.support.gateway_process import connect, run_gateway_process
 from tests.support.resp_encoding import encode_call, encode_reply
 
 FAULTS = ("connection refused", "status 503", "silent")
 
 
 class FaultyDiscovery(FakeDiscovery):
-    """A discovery with a fault until it has recovered."""
+    """A discovery service that has a fault until ``recover`` is called."""
 
     def __init__(self, fault: str) -> None:
         super().__init__()
         self.fault = fault
 
     async def start(self) -> Self:
-        """Begin, refusing connections where that is the fault."""
+        """Listen, or refuse connections if that is the fault."""
         await super().start()
         if self.fault == "connection refused":
             self.server.close()
@@ -39,30 +39,30 @@
         writer.close()
 
     async def recover(self) -> None:
-        """Serve as discovery should from now on."""
+        """Serve watches without a fault from now on."""
         if self.fault == "connection refused":
             self.server = await asyncio.start_server(self._accept, "127.0.0.1", self.port)
         self.fault = ""
 
 
 async def restart(folder, fault: str, known: int) -> None:
-    """One process from its start until it has heard discovery again and serves by that."""
+    """Start a process while discovery is faulty, let discovery recover, and wait for its update to apply."""
     folder.mkdir()
     async with (
         FakeUpstream(lambda _: encode_reply(b"old")) as old,
         FakeUpstream(lambda _: encode_reply(b"new")) as new,
         FaultyDiscovery(fault) as discovery,
-        program(folder, old, known=known, discovery=discovery) as (process, port, _),
+        run_gateway_process(folder, old, known=known, discovery=discovery) as (process, port, _),
     ):
         client, number = await connect(port), 1
         await until_ready(client)
-        assert discovery.request_targets.empty()  # it has heard nothing
+        assert discovery.request_targets.empty()  # Discovery has served no watch yet.
         if known:
             assert await client.request(encode_call(number)) == b"old"
         await discovery.recover()
         _, watch = await discovery.next_watch()
         watch.write(encode_chunk(encode_update(2, make_instance("s-new", new.port), reset=True)))
-        while await client.request(encode_call(number := number + 1)) != b"new":  # noqa: ASYNC110 - asked from outside
+        while await client.request(encode_call(number := number + 1)) != b"new":  # noqa: ASYNC110 - another process signals no event
             await asyncio.sleep(POLL_INTERVAL_S)
         assert process.returncode is None
 
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize("fault", ["connection refused", "status 503"])
-async def test_process_that_discovery_refuses_serves_by_the_known_list_at_once(fault, tmp_path, monkeypatch):
+async def test_process_serves_by_the_known_list_at_once_if_discovery_refuses_it(fault, tmp_path, monkeypatch):
     code = (
         "from quota_gateway import __main__ as program, server\n"
         "server.FIRST_UPDATE_TIMEOUT_S = 3600.0\n"
