--- a/quota_gateway/net/clients/buffer_budget.py
+++ b/quota_gateway/net/clients/buffer_budget.py
@@ -1,8 +1,8 @@
-"""How many bytes clients' commands and replies take, by connection and in sum."""
+"""Counts the buffered bytes of clients' commands and replies, per connection and in total."""
 
 from __future__ import annotations
 
-READ_AHEAD_SHARE = 0.5  # of the budget; beyond it large values are read only as fast as their clients read
+READ_AHEAD_SHARE = 0.5  # share of the budget; above it large values are read only as fast as clients read
 
 
 class BufferBudget:
@@ -15,7 +15,7 @@
         self.max_buffered_bytes = max_buffered_bytes
 
     def is_exceeded(self) -> bool:
-        """Whether more bytes are buffered than the limit."""
+        """Whether more bytes are buffered than the limit allows."""
         return self.buffered_bytes > self.max_buffered_bytes
 
     def read_ahead_bytes(self) -> int:
@@ -24,12 +24,12 @@
 
 
 class BufferUsage:
-    """The bytes that are buffered for one connection; they count in the budget of all.
+    """The bytes that are buffered for one connection; they also count in the budget of all connections.
 
     Attributes:
         budget: The budget of all connections.
-        buffered_bytes: All bytes that are buffered for this one.
-        pending_bytes: Those of commands that were taken and of replies that are not written yet.
+        buffered_bytes: All bytes that are buffered for this connection.
+        pending_bytes: The bytes of taken commands and of replies that are not written yet.
     """
 
     __slots__ = ("_is_released", "budget", "buffered_bytes", "pending_bytes")
@@ -41,20 +41,20 @@
         self._is_released = False
 
     def count(self, size_bytes: int, is_pending: bool = True) -> None:
-        """Count bytes that are buffered, or are not any more.
+        """Count bytes that are newly buffered or no longer buffered.
 
         Args:
-            size_bytes: How many more, or fewer where it is negative.
-            is_pending: Whether they belong to a command that was taken, or to its reply.
+            size_bytes: The number of newly buffered bytes; negative for bytes that are no longer buffered.
+            is_pending: Whether the bytes belong to a taken command or to its reply.
         """
         if self._is_released:
-            return  # a large value may break off after its connection has ended
+            return  # a large value may end after its connection has closed
         self.buffered_bytes += size_bytes
         self.budget.buffered_bytes += size_bytes
         if is_pending:
             self.pending_bytes += size_bytes
 
     def release_all(self) -> None:
-        """Take all bytes of this connection off the budget, at its end."""
+        """Release all bytes of this connection from the budget when it ends."""
         self.budget.buffered_bytes -= self.buffered_bytes
         self._is_released = True
--- a/quota_gateway/net/clients/connection.py
+++ b/quota_gateway/net/clients/connection.py
@@ -1,4 +1,4 @@
-"""One client connection: the event loop's calls, passed on to its intake, its replies and its lifecycle."""
+"""A client connection, which passes the event loop's calls on to its intake, replies and lifecycle."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 if TYPE_CHECKING:
     from quota_gateway.net.clients.protocols import ConnectionOwner
 
-LINGER_S = 0.3  # before a rejected connection closes: a reset sooner could overtake the error line
-WRITE_STALL_TIMEOUT_S = 15.0  # without any progress of a client that does not read its replies
+LINGER_S = 0.3  # delay before a rejected connection closes; a reset any sooner could overtake the error line
+WRITE_STALL_TIMEOUT_S = 15.0  # maximum time that a client may block writing by not reading its replies
 
 
 class ClientConnection(asyncio.Protocol):
-    """One client's connection, from the event loop's first call until the loop has closed it."""
+    """Serves one client, from the event loop's first call until the loop has closed the connection."""
 
     def __init__(self, owner: ConnectionOwner, sock: socket.socket, resumed: ResumedConnection) -> None:
         self.socket = sock
@@ -45,7 +45,7 @@
 
     @property
     def transport(self) -> asyncio.Transport | None:
-        """The transport, while there is one."""
+        """The transport; None before the event loop's first call and after it has closed the socket."""
         return self.lifecycle.transport
 
     @property
@@ -60,17 +60,17 @@
 
     @property
     def is_write_blocked(self) -> bool:
-        """Whether nothing is written, as the client does not read."""
+        """Whether writing is paused because the client does not read its replies."""
         return self.replies.is_blocked
 
-    # ---- Calls of the event loop
+    # ---- Callbacks of the event loop
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin to serve, and go on with the command that another process has read a part of."""
-        # uvloop's transports are not asyncio.Transport by class: no isinstance here
+        """Start serving the client; continue with a command that another process has read in part."""
+        # uvloop's transports do not inherit from asyncio.Transport, so that isinstance would reject them
         self.lifecycle.open(cast(asyncio.Transport, transport))
         self._owner.connection_opened(self, self._resumed.command_due_for_s)
-        if self._has_disconnected():  # left while it waited to be accepted: nothing is forwarded for it
+        if self._has_disconnected():  # the client left before it was accepted: nothing is forwarded
             self._disconnect()
             return
         resumed, self._resumed = self._resumed, NEW_CONNECTION
@@ -91,23 +91,23 @@
                 self._owner.driver.client_disconnected(reply.request_id)
 
     def eof_received(self) -> None:
-        """End the connection, as the client has closed its side; the loop closes it after the last write."""
+        """End the connection after the client closed its side; the loop closes it after the last write."""
         self._disconnect()
 
     def data_received(self, data: bytes) -> None:
-        """Take in bytes and read the commands that they complete."""
+        """Buffer received bytes and read the commands that they complete."""
         if not self.is_closing:
             self.intake.receive(self, data)
 
     def pause_writing(self) -> None:
-        """Read no further while the client does not read its replies; abort if that takes too long."""
+        """Pause reading while the client does not read its replies, and abort if this takes too long."""
         transport = self.transport
         self.replies.block(transport.get_write_buffer_size() if transport else 0)
         self.intake.update_read_pause(self)
         self.lifecycle.abort_after(WRITE_STALL_TIMEOUT_S, CloseReason.WRITE_STALLED)
 
     def resume_writing(self) -> None:
-        """Go on writing, as the client has read its replies."""
+        """Resume writing after the client has read its replies."""
         self.replies.unblock()
         self.lifecycle.cancel_abort()
         self.flush()
@@ -115,13 +115,13 @@
     # ---- Replies
 
     def reply_now(self, reply: bytes) -> None:
-        """Add the reply to a command that needs no upstream server."""
+        """Queue the reply to a command that needs no upstream server, and write the replies that are due."""
         self.replies.add(PendingReply(self, reply, buffered_bytes=len(reply)))
         self.buffers.count(len(reply))
         self.flush()
 
     def flush(self) -> None:
-        """Write the replies that are due, then read on or close where that is next."""
+        """Write the replies that are due, then resume reading or close the connection if either is due."""
         transport = self.transport
         if transport is None or transport.is_closing():
             return
@@ -130,34 +130,34 @@
             self.intake.update_read_pause(self)
         self.intake.continue_after_reply(self)
 
-    # ---- The client's end
+    # ---- Disconnects and timeouts
 
     def wants_reply(self) -> bool:
-        """Whether the client is still connected; asked before an attempt for it begins.
+        """Whether the client is still connected; checked before an attempt for it starts.
 
-        See docs/decisions/client-disconnect.md for the time between a client's end and the loop's notice.
+        See docs/decisions/client-disconnect.md for disconnects that the event loop has not noticed yet.
         """
         if not self._has_disconnected():
             return True
         self.lifecycle.finish()
-        self._owner.loop.call_soon(self._disconnect)  # not now, among the actions of a decision
+        self._owner.loop.call_soon(self._disconnect)  # deferred: a decision's actions may be under way
         return False
 
     def is_unread_with_pending_replies(self) -> bool:
-        """Whether nothing is read while replies are pending, so that the loop can't see the client's end."""
+        """Whether reading is paused while replies are pending, so that the loop can't notice a disconnect."""
         return self.intake.is_read_paused and bool(self.pending_replies)
 
     def close_if_disconnected(self) -> None:
-        """End the connection if the client has left."""
+        """Close the connection if the client has left."""
         if self._has_disconnected():
             self._disconnect()
 
     def _has_disconnected(self) -> bool:
-        """Whether the connection has been closed or reset, though what the client sent before is unread."""
+        """Whether the connection was closed or reset, even if bytes sent before that are still unread."""
         return not self.lifecycle.is_connected() or has_hung_up(self.socket)
 
     def _disconnect(self) -> None:
-        """Drop the requests of a client that has left, and close."""
+        """Drop the pending requests of a client that has left, and close its connection."""
         if not self.lifecycle.is_connected():
             return
         self.lifecycle.finish()
@@ -167,7 +167,7 @@
         self.lifecycle.close(CloseReason.CLIENT_LEFT)
 
     def time_out(self) -> None:
-        """End the connection after its command read timeout; pending requests fail."""
+        """End the connection after its command read timeout; its pending requests fail."""
         if self.transport is None:
             return
         if self.is_closing and not self.pending_replies:
@@ -180,12 +180,12 @@
                 self._owner.driver.client_disconnected(reply.request_id)
                 reply.set_reply(FAILED_REPLY)
 
-    # ---- The gateway's end of it
+    # ---- Closing by the gateway
 
     def close_if_done(self) -> None:
-        """Close between requests if the connection is to end; commands that have come are taken first.
+        """Close the connection if it is to end and no reply is pending; received commands are taken first.
 
-        See docs/decisions/client-closing.md for the order and for the time that a connection lingers.
+        See docs/decisions/client-closing.md for the order and for how long a connection lingers.
         """
         if not self.lifecycle.is_connected() or self.pending_replies or self.intake.is_read_scheduled:
             return
@@ -195,7 +195,7 @@
             self.lifecycle.close(CloseReason.SHUTDOWN)
 
     def _may_stop(self) -> bool:
-        """Whether the gateway stops and no command has come that this connection could still read."""
+        """Whether the gateway is stopping and no command is left that this connection could still read."""
         owner = self._owner
         return (
             owner.is_stopping
@@ -214,7 +214,7 @@
         self.lifecycle.abort(reason)
 
     def evict(self) -> bool:
-        """Close the connection unless a reply is pending or a command unread; whether it was closed."""
+        """Close the connection unless a reply is pending or a command is unread; return whether it closed."""
         transport = self.transport
         if transport is None or transport.is_closing():
             return False
@@ -226,9 +226,9 @@
         return True
 
     def release(self) -> ReleasedConnection | None:
-        """Let go of the connection once no reply is pending, so that another process serves it on.
+        """Release the connection for another process to serve, if no reply is pending.
 
-        What waits in the kernel goes with the descriptor, what was read of a command with the rest.
+        Unread bytes stay in the kernel with the descriptor; bytes of a partial command are returned.
 
         Returns:
             The connection for the other process; None while replies are pending or commands are being read.
--- a/quota_gateway/net/clients/connection_lifecycle.py
+++ b/quota_gateway/net/clients/connection_lifecycle.py
@@ -1,4 +1,4 @@
-"""The state of one client connection and its end: every close goes through here."""
+"""Holds the state of one client connection and closes it; every close goes through here."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from quota_gateway.net.clients.reply_writer import ReplyWriter
 from quota_gateway.telemetry import Invariant, Metric, Telemetry
 
-# A client that has left, or reads nothing, can't be answered. A truncated value is not among them: its end is
-# its answer, but the commands after it need their own.
+# A client that has left, or reads nothing, can't be answered. VALUE_TRUNCATED is not included: the truncated
+# value counts as answered, but the commands after it still need answers.
 REASONS_ALLOWED_BEFORE_ANSWER = frozenset((CloseReason.CLIENT_LEFT, CloseReason.WRITE_STALLED))
 
 
@@ -17,14 +17,14 @@
     """Holds the transport of a connection while there is one, and closes it.
 
     Args:
-        loop: The event loop, for the timer of a later abort.
+        loop: The event loop, for the timer of a delayed abort.
         telemetry: Counts closes and checks that no answer is missing.
         replies: The replies of the connection.
 
     Attributes:
         state: The state of the connection.
         is_closing: Whether no more commands are taken.
-        transport: The transport, from the loop's first call until it has closed the socket.
+        transport: The transport, from the event loop's first call until it has closed the socket; else None.
     """
 
     __slots__ = ("_abort_timer", "_loop", "_replies", "_telemetry", "is_closing", "state", "transport")
@@ -39,7 +39,7 @@
         self._abort_timer: asyncio.TimerHandle | None = None
 
     def open(self, transport: asyncio.Transport) -> None:
-        """Begin to serve the connection."""
+        """Start serving the connection."""
         self.transport = transport
         self._enter(ConnectionState.OPEN)
 
@@ -48,11 +48,11 @@
         self._enter(ConnectionState.FINISHING)
 
     def reject(self) -> None:
-        """Take no more commands, as the input is malformed or missing; linger before the close."""
+        """Take no more commands after malformed or missing input; the connection lingers before it closes."""
         self._enter(ConnectionState.REJECTED)
 
     def mark_closed(self) -> None:
-        """Note that the event loop has closed the socket."""
+        """Record that the event loop has closed the socket."""
         self.transport = None
         self._enter(ConnectionState.CLOSED)
         self.cancel_abort()
@@ -65,8 +65,8 @@
         """Close the connection.
 
         Args:
-            reason: Why, for the metrics and for the check that no answer is missing.
-            at_once: Whether replies that are not sent yet are lost; else they still go out.
+            reason: The reason for the metrics and for the check that no answer is missing.
+            at_once: Whether replies that are not sent yet are lost; otherwise they are still sent.
         """
         transport = self.transport
         if transport is None:
@@ -85,12 +85,12 @@
         self.close(reason, at_once=True)
 
     def abort_after(self, delay_s: float, reason: CloseReason) -> None:
-        """Abort after a delay, unless that is due already for another reason."""
+        """Abort after a delay, unless an abort is scheduled already."""
         if self._abort_timer is None:
             self._abort_timer = self._loop.call_later(delay_s, self.abort, reason)
 
     def cancel_abort(self) -> None:
-        """Take back an abort that is due."""
+        """Cancel the scheduled abort, if there is one."""
         if self._abort_timer:
             self._abort_timer.cancel()
             self._abort_timer = None
--- a/quota_gateway/net/clients/connection_state.py
+++ b/quota_gateway/net/clients/connection_state.py
@@ -1,4 +1,4 @@
-"""The states of a client connection, the transitions between them, and why one is closed."""
+"""The states of a client connection, the transitions between them, and the reasons for closing it."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 
 class ConnectionState(Enum):
-    """How far a client connection is on its way from accepting to its end."""
+    """The state of a client connection, from accepting it to its end."""
 
     CONNECTING = auto()  # accepted, not yet served by the event loop
     OPEN = auto()  # commands are taken
     FINISHING = auto()  # no more commands are taken; closes once all replies are written
-    REJECTED = auto()  # as FINISHING, after malformed or missing input; lingers before it closes
-    CLOSING = auto()  # closed by the gateway; what was written may still go out
+    REJECTED = auto()  # no more commands are taken after malformed or missing input; lingers before it closes
+    CLOSING = auto()  # closed by the gateway; written replies may still be sent
     CLOSED = auto()  # the event loop has closed the socket
 
 
@@ -29,8 +29,8 @@
     ConnectionState.CLOSING: (ConnectionState.CLOSED,),
     ConnectionState.CLOSED: (),
 }
-"""The states that each state leads to. A call for another one changes nothing: a rejected connection that is
-also told to finish still lingers."""
+"""The states that may follow each state. A change to any other state is ignored: a rejected connection that
+is also told to finish still lingers."""
 
 
 class CloseReason(Enum):
--- a/quota_gateway/net/clients/pending_reply.py
+++ b/quota_gateway/net/clients/pending_reply.py
@@ -1,4 +1,4 @@
-"""The reply to one command: short, or a large value in pieces."""
+"""The reply to one command: a short reply, or a large value in pieces."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 class PendingReply:
     """The reply to one command, from the command's arrival until it is written.
 
-    A short reply is set at once, by ``set_reply``. A large value comes in pieces: ``start_streaming``, then
-    ``take`` for each piece, then ``end``. See docs/decisions/client-large-values.md.
+    A short reply is set at once with ``set_reply``. A large value comes in pieces: ``start_streaming`` is
+    called first, ``take`` for each piece, and ``end`` last. See docs/decisions/client-large-values.md.
 
     Attributes:
-        reply: None until it is known; empty for a value that comes in pieces.
-        buffered_bytes: Of the command, then of the reply.
-        attempt: The attempt that brings a large value, until that is complete.
-        pieces: What has come of a large value and is not written yet.
+        reply: The encoded reply; None until it is known, and empty for a value that comes in pieces.
+        buffered_bytes: The number of buffered bytes, first of the command and later of the reply.
+        attempt: The attempt that delivers a large value, until the value ends; else None.
+        pieces: The received pieces of a large value that are not written yet; None for a short reply.
         has_started_writing: Whether a part of a large value has been written.
         may_gather: Whether a large value may be held back until it is complete.
     """
@@ -56,7 +56,7 @@
         self.may_gather = True
 
     def set_reply(self, reply: bytes) -> None:
-        """Set the command's one reply, also in place of a large value of which nothing was written."""
+        """Set the one reply to the command; it may replace a large value of which nothing is written."""
         self.reply = reply
         self.pieces = None
         self.connection.buffers.count(len(reply) - self.buffered_bytes)
@@ -64,14 +64,14 @@
         self.connection.flush()
 
     def start_streaming(self, length_bytes: int, attempt: Attempt) -> PendingReply:
-        """Begin a large value, whose pieces are written as they come.
+        """Start a large value, whose pieces are written as they arrive.
 
         Args:
             length_bytes: The length of the value.
-            attempt: The attempt that brings it; paused while too much is buffered.
+            attempt: The attempt that delivers the value; it is paused while too much is buffered.
 
         Returns:
-            This reply, which takes the pieces.
+            This pending reply, which takes the pieces.
         """
         self.attempt = attempt
         self.pieces = deque()
@@ -82,7 +82,7 @@
         return self
 
     def take(self, piece: bytes) -> None:
-        """Take the next bytes of a large value, and pause its attempt where too much is buffered."""
+        """Buffer the next bytes of a large value, and pause its attempt if too much is buffered."""
         assert self.pieces is not None
         self.pieces.append(piece)
         self.connection.buffers.count(len(piece))
@@ -100,9 +100,9 @@
         return self.has_started_writing and self.attempt is not None
 
     def on_deadline(self) -> bool:
-        """Note that the client's timeout is over; return whether the value fails now.
+        """Handle the end of the client's timeout; return whether the value fails now.
 
-        It fails if nothing of it is written though all replies before it are.
+        The value fails if nothing of it is written although all replies before it are written.
         """
         self.may_gather = False
         return not self.has_started_writing and self.connection.replies.is_first(self)
@@ -110,10 +110,10 @@
     def end(self, is_complete: bool) -> None:
         """End a large value.
 
-        Its last two bytes are written only now, so that a client can recognize a truncated value.
+        The last two bytes are written only now, so that a client can recognize a truncated value.
 
         Args:
-            is_complete: Whether the whole reply of the server has come and is well-formed.
+            is_complete: Whether the server's whole reply has arrived and is well-formed.
         """
         self.attempt = None
         if is_complete:
--- a/quota_gateway/net/clients/protocols.py
+++ b/quota_gateway/net/clients/protocols.py
@@ -1,7 +1,7 @@
-"""What the parts of a client connection need of each other, for type checkers only.
+"""Typing protocols between the parts of a client connection, for type checkers only.
 
-Other modules import this one under ``TYPE_CHECKING``: protocols are slow to create, and none is needed at
-run time.
+Other modules import this one under ``TYPE_CHECKING``: protocol classes are slow to create, and none is needed
+at run time.
 """
 
 from __future__ import annotations
@@ -26,41 +26,41 @@
 
 
 class RequestHandler(Protocol):
-    """Takes the requests of clients and answers each once."""
+    """Accepts the requests of clients and answers each of them once."""
 
     @property
     def telemetry(self) -> Telemetry:
-        """Counters, trace and invariants of the process."""
+        """The counters, trace and invariants of the process."""
 
     def submit(self, active: ActiveRequest, request: Request, timeout_ms: float) -> None:
-        """Start on a request, which is answered through the callbacks of ``active``."""
+        """Start a request, which is answered through the callbacks of ``active``."""
 
     def is_active(self, request_id: str) -> bool:
-        """Whether a request of this id is in progress."""
+        """Whether a request with this id is in progress."""
 
     def client_disconnected(self, request_id: str) -> None:
         """Drop a request whose client has closed its connection."""
 
     def cancel_attempt(self, attempt: Attempt) -> None:
-        """Stop an attempt whose value nobody reads any more."""
+        """Stop an attempt whose large value has no client to read it any more."""
 
 
 class CommandProgress(Protocol):
-    """What has come on a connection so far; ``last_received_s`` is by the event loop's clock."""
+    """What a connection has received so far; ``last_received_s`` is a time of the event loop's clock."""
 
     has_sent_command: bool
     last_received_s: float
     request_count: int
 
     def has_partial_command(self) -> bool:
-        """Whether bytes have come that were not taken as a command."""
+        """Whether received bytes have not been taken as a command yet."""
 
     def is_receiving_body(self) -> bool:
-        """Whether only the rest of a command's body is missing, and that is still coming."""
+        """Whether only the rest of a command's body is missing and bytes of it keep arriving."""
 
 
 class TrackedConnection(Protocol):
-    """What the tracking needs of a connection."""
+    """What ``IdleConnections`` needs from a connection."""
 
     @property
     def is_closing(self) -> bool:
@@ -68,7 +68,7 @@
 
     @property
     def intake(self) -> CommandProgress:
-        """What has come on the connection."""
+        """What the connection has received so far."""
 
     @property
     def pending_replies(self) -> Sized:
@@ -78,25 +78,25 @@
         """End the connection after its command read timeout."""
 
     def evict(self) -> bool:
-        """Close the connection unless a reply is pending or a command unread; whether it was closed."""
+        """Close the connection unless a reply is pending or a command is unread; return whether it closed."""
 
 
 class ReplyOrder(Protocol):
-    """The replies of one connection."""
+    """The replies of one connection, in the order of their commands."""
 
     def is_first(self, reply: PendingReply) -> bool:
         """Whether all replies before this one have been written."""
 
 
 class ReplyLifecycle(Protocol):
-    """The end of a connection."""
+    """Closes a connection."""
 
     def close(self, reason: CloseReason) -> None:
-        """Close the connection; what was written still goes out."""
+        """Close the connection; replies that are written already are still sent."""
 
 
 class ReplyConnection(Protocol):
-    """What a pending reply needs of its connection."""
+    """What a pending reply needs from its connection."""
 
     @property
     def buffers(self) -> BufferUsage:
@@ -108,21 +108,21 @@
 
     @property
     def lifecycle(self) -> ReplyLifecycle:
-        """The end of the connection."""
+        """The lifecycle of the connection, which closes it."""
 
     def flush(self) -> None:
         """Write the replies that are due."""
 
 
 class CommandBuffer(Protocol):
-    """What the writer needs of the connection's command intake."""
+    """What the reply writer needs from the command intake of its connection."""
 
     def has_partial_command(self) -> bool:
-        """Whether bytes have come that were not taken as a command."""
+        """Whether received bytes have not been taken as a command yet."""
 
 
 class IntakeServices(Protocol):
-    """What the listener gives to the intake of each connection."""
+    """What the listener provides to the command intake of each connection."""
 
     driver: RequestHandler
     request_parser: RequestParser
@@ -132,40 +132,40 @@
 
     @property
     def is_suspended(self) -> bool:
-        """Whether another process takes over, so that nothing is read here."""
+        """Whether reading is suspended because another process takes over."""
 
     def ping_reply(self) -> bytes:
         """Return the reply to PING."""
 
 
 class IntakeReplies(ReplyOrder, Protocol):
-    """What the intake needs of the replies of its connection."""
+    """What the command intake needs from the replies of its connection."""
 
     pending: deque[PendingReply]
     is_blocked: bool
 
     def add(self, reply: PendingReply) -> None:
-        """Add the reply to the next command."""
+        """Queue the reply to the next command."""
 
     def is_streaming(self) -> bool:
         """Whether a large value is partly written and not yet complete."""
 
 
 class IntakeLifecycle(ReplyLifecycle, Protocol):
-    """What the intake needs of the lifecycle of its connection."""
+    """What the command intake needs from the lifecycle of its connection."""
 
     def reject(self) -> None:
-        """Take no more commands, and linger before the close."""
+        """Take no more commands; the connection lingers before it closes."""
 
 
 class CommandConnection(ReplyConnection, TrackedConnection, Protocol):
-    """What the intake needs of its connection."""
+    """What the command intake needs from its connection."""
 
     socket: socket.socket
 
     @property
     def transport(self) -> asyncio.Transport | None:
-        """The transport, while there is one."""
+        """The transport; None before the event loop's first call and after it has closed the socket."""
 
     @property
     def replies(self) -> IntakeReplies:
@@ -173,33 +173,33 @@
 
     @property
     def lifecycle(self) -> IntakeLifecycle:
-        """The end of the connection."""
+        """The lifecycle of the connection, which closes it."""
 
     def reply_now(self, reply: bytes) -> None:
-        """Add the reply to a command that needs no upstream server."""
+        """Queue the reply to a command that needs no upstream server, and write the replies that are due."""
 
     def wants_reply(self) -> bool:
         """Whether the client is still connected."""
 
     def close_if_done(self) -> None:
-        """Close between requests if the connection is to end."""
+        """Close the connection if it is to end and no reply is pending."""
 
 
 class ConnectionOwner(IntakeServices, Protocol):
-    """What a connection needs of the listener that accepted it."""
+    """What a connection needs from the listener that accepted it."""
 
     budget: BufferBudget
     is_stopping: bool
 
     def connection_opened(self, connection: ClientConnection, command_due_for_s: float) -> None:
-        """Add a connection that the event loop serves now."""
+        """Add a connection that the event loop has started to serve."""
 
     def connection_closed(self, connection: ClientConnection) -> None:
-        """Remove a connection; its descriptor is free."""
+        """Remove a closed connection, whose descriptor is free."""
 
 
 class SweptListener(Protocol):
-    """What the sweeper needs of the listener."""
+    """What the sweeper needs from the listener."""
 
     idle_connections: IdleConnections
     stalls: StallDetector
--- a/quota_gateway/net/clients/reply_writer.py
+++ b/quota_gateway/net/clients/reply_writer.py
@@ -14,14 +14,14 @@
 
 
 class ReplyWriter:
-    """The pending replies of one connection, written as far as they are known and the client reads them.
+    """Holds the pending replies of one connection, and writes those that are known while the client reads.
 
-    The transport is passed to each call: kept here it would be part of a reference cycle, whose memory is
-    freed only when the garbage collector gets to it.
+    The transport is passed to each call: an attribute would form a reference cycle, whose memory is freed
+    only when the garbage collector runs.
 
     Attributes:
         pending: The replies that are not written yet, in the order of their commands.
-        is_blocked: Whether the transport's buffer is full, as the client does not read.
+        is_blocked: Whether the transport's buffer is full because the client does not read.
     """
 
     __slots__ = ("_buffers", "_unsent_bytes", "is_blocked", "pending")
@@ -30,25 +30,25 @@
         self.pending: deque[PendingReply] = deque()
         self.is_blocked = False
         self._buffers = buffers
-        self._unsent_bytes = 0  # in the transport's buffer when it filled up
+        self._unsent_bytes = 0  # size of the transport's buffer when it filled up
 
     def add(self, reply: PendingReply) -> None:
-        """Add the reply to the next command."""
+        """Queue the reply to the next command."""
         self.pending.append(reply)
 
     def take_all(self) -> deque[PendingReply]:
-        """Remove and return the pending replies, at the connection's end."""
+        """Remove and return all pending replies when the connection ends."""
         replies, self.pending = self.pending, deque()
         return replies
 
     def block(self, unsent_bytes: int) -> None:
-        """Write no further for now; count what the client has not taken."""
+        """Stop writing, and count the bytes that the client has not read yet as buffered."""
         self.is_blocked = True
         self._unsent_bytes = unsent_bytes
         self._buffers.count(unsent_bytes)
 
     def unblock(self) -> None:
-        """Write again, as the client has read on."""
+        """Write again after the client has read its replies."""
         self.is_blocked = False
         self._buffers.count(-self._unsent_bytes)
         self._unsent_bytes = 0
@@ -86,8 +86,9 @@
     def _must_gather(self, reply: PendingReply, commands: CommandBuffer) -> bool:
         """Whether a large value is held back until it is complete.
 
-        A value that breaks off after a part of it was written closes the connection. Commands behind it
-        would lose their answers; so nothing of it is written while there are any, as far as memory allows.
+        A value that is truncated after a part of it was written closes the connection, and the commands after
+        it lose their answers. So while there are such commands, nothing of the value is written as long as
+        memory allows.
         """
         if reply.attempt is None or reply.has_started_writing or not reply.may_gather:
             return False
@@ -100,7 +101,7 @@
         reply: PendingReply,
         pieces: deque[bytes],
     ) -> None:
-        """Write the pieces of a large value as far as the client reads, then let its server go on."""
+        """Write pieces of a large value while the client reads, then resume its attempt if buffers allow."""
         while pieces and not self.is_blocked:
             piece = pieces.popleft()
             self._buffers.count(-len(piece))
