--- a/quota_gateway/net/clients/arrival.py
+++ b/quota_gateway/net/clients/arrival.py
@@ -1,6 +1,6 @@
-"""Tells when bytes arrived that are read only now: docs/decisions/arrival-time.md.
+"""Determines when bytes arrived, which may be long before they are read.
 
-All times are of the monotonic clock, in seconds.
+See docs/decisions/arrival-time.md. All times are in seconds of the monotonic clock.
 """
 
 from __future__ import annotations
@@ -13,18 +13,18 @@
 
 from quota_gateway.net.clock import MS_PER_S
 
-NEGLIGIBLE_WAIT_S = 0.03  # far below the permitted error of a deadline
-BACKLOG_READ_S = 0.05  # after reading resumes, until all that came before has been read
-MIN_POLL_DELAY_S = 0.001  # of a timer that is due after the loop has polled for input once
+NEGLIGIBLE_WAIT_S = 0.03  # shorter waits are ignored, as they are far below the permitted error of a deadline
+BACKLOG_READ_S = 0.05  # time after reading resumes by which all earlier bytes have been read
+MIN_POLL_DELAY_S = 0.001  # a timer with this delay fires only after the loop has polled for input
 
-# struct tcp_info of linux/tcp.h: tcpi_last_data_recv, in milliseconds, follows eight bytes of flags and
-# eleven numbers of four bytes.
+# In struct tcp_info of linux/tcp.h, tcpi_last_data_recv is in milliseconds. It follows eight bytes of flags
+# and eleven numbers of four bytes each.
 TCP_INFO_BYTES = 56
 LAST_DATA_RECEIVED = struct.Struct("@52xI")
 
 
 def seconds_since_data(sock: socket.socket) -> float | None:
-    """Return how long ago the kernel last received data on a connection, None if it does not tell."""
+    """Return how many seconds ago the kernel last received data on a connection; None if it is unknown."""
     try:
         info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
     except OSError:
@@ -36,15 +36,15 @@
 
 
 def arrival_s(sock: socket.socket, earliest_s: float) -> float:
-    """Return when the bytes arrived that are read now on a connection.
+    """Return the arrival time of the bytes that are being read from a connection.
 
     Args:
         sock: The connection.
-        earliest_s: A time before which they can't have arrived.
+        earliest_s: The earliest possible arrival time of the bytes.
 
     Returns:
-        Now, unless they may have waited for longer than is negligible; then what the kernel tells, or the
-        earliest time if it tells nothing.
+        The current time, unless the bytes may have waited for longer than is negligible; then the time that
+        the kernel reports, or ``earliest_s`` if that is later or the kernel reports none.
     """
     now_s = time.monotonic()
     if now_s - earliest_s <= NEGLIGIBLE_WAIT_S:
@@ -54,13 +54,13 @@
 
 
 class ArrivalTracker:
-    """Tells for how long the bytes read last on one connection have waited to be read.
+    """Tracks how long the bytes most recently read from one connection have waited to be read.
 
     Args:
-        waiting_since_s: A time before which the first bytes can't have arrived; infinite for now.
+        waiting_since_s: The earliest possible arrival time of the first bytes; infinite if none wait yet.
 
     Attributes:
-        waiting_since_s: The same of what is read next; infinite while nothing waits.
+        waiting_since_s: The earliest possible arrival time of the bytes read next; infinite if none wait yet.
     """
 
     __slots__ = ("_last_arrival_s", "_resumed_s", "waiting_since_s")
@@ -71,20 +71,20 @@
         self._resumed_s = inf if waiting_since_s == inf else time.monotonic()
 
     def on_pause(self) -> None:
-        """Note that nothing is read from now on."""
+        """Record that reading is paused."""
         self.waiting_since_s = min(self.waiting_since_s, time.monotonic())
         self._resumed_s = inf
 
     def on_resume(self) -> None:
-        """Note that reading has resumed; what is read next may have waited."""
+        """Record that reading has resumed; the bytes read next may have waited."""
         self._resumed_s = time.monotonic()
 
     def on_read(self, sock: socket.socket, stalled_since_s: float) -> None:
-        """Note when the bytes just read arrived: now, or earlier if the connection or the process waited.
+        """Record when the bytes just read arrived: now, or earlier if the connection or process had to wait.
 
         Args:
             sock: The connection's socket.
-            stalled_since_s: A time before which nothing can have arrived that this process reads now.
+            stalled_since_s: The earliest possible arrival time of any bytes that this process reads now.
         """
         now_s = time.monotonic()
         if now_s - self._resumed_s > BACKLOG_READ_S:
@@ -93,24 +93,24 @@
         self._last_arrival_s = arrival_s(sock, min(self.waiting_since_s, stalled_since_s))
 
     def waited_s(self) -> float:
-        """Return for how long the bytes read last have waited since they arrived."""
+        """Return how many seconds ago the most recently read bytes arrived."""
         return time.monotonic() - self._last_arrival_s
 
 
 class StallDetector:
-    """Detects that the process was held up, by a periodic call that comes late.
+    """Detects that the process was stalled, from a periodic call that comes late.
 
     Args:
-        interval_s: The time between two calls of ``tick``.
+        interval_s: The time between two calls of ``tick``, in seconds.
     """
 
     def __init__(self, interval_s: float) -> None:
         self._interval_s = interval_s
         self._last_tick_s = time.monotonic()
-        self._stalled_since_s: float | None = None  # until the loop has polled for input once more
+        self._stalled_since_s: float | None = None  # start of a stall, None once input has been polled
 
     def tick(self) -> None:
-        """Note that the event loop is running."""
+        """Record that the event loop is running."""
         now_s = time.monotonic()
         if now_s - self._last_tick_s > self._interval_s + NEGLIGIBLE_WAIT_S:
             self._stalled_since_s = self._last_tick_s
@@ -118,7 +118,7 @@
         self._last_tick_s = now_s
 
     def earliest_s(self) -> float:
-        """Return a time before which nothing can have arrived that is read now."""
+        """Return the earliest possible arrival time of bytes that are read now."""
         if self._stalled_since_s is not None:
             return self._stalled_since_s
         now_s = time.monotonic()
--- a/quota_gateway/net/clients/command_intake.py
+++ b/quota_gateway/net/clients/command_intake.py
@@ -21,16 +21,16 @@
 
 log = logging.getLogger(__name__)
 
-# Bounds of one connection; what comes beyond the first two waits in the kernel.
+# Limits for one connection. Input beyond the first two limits waits in the kernel.
 MAX_PIPELINED_COMMANDS = 64
-MAX_PENDING_BYTES = 256 * 1024  # of commands that were taken and of replies that are not written
-MAX_COMMANDS_PER_TURN = 64  # before other connections are read
+MAX_PENDING_BYTES = 256 * 1024  # bytes of taken commands and of replies that are not written yet
+MAX_COMMANDS_PER_TURN = 64  # commands taken from one connection before other connections are read
 MAX_CONSECUTIVE_ERRORS = 16  # malformed commands in a row, after which the connection is closed
-BODY_GAP_TIMEOUT_S = 1.0  # between two pieces of a body that comes after the command read timeout
+BODY_GAP_TIMEOUT_S = 1.0  # longest gap between pieces of a body that goes on after the command read timeout
 
 
 class TakenCommands(NamedTuple):
-    """How many commands were taken at once, and whether an incomplete one is left."""
+    """The number of commands that one read has taken, and whether an incomplete one is left."""
 
     command_count: int
     is_within_command: bool
@@ -39,8 +39,8 @@
 class CommandIntake:
     """Reads one connection's commands, and pauses its reading while too many of them are pending.
 
-    See docs/decisions/client-limits.md for the bounds. The connection is passed to each call: kept here it
-    would be part of a reference cycle, whose memory is freed only when the garbage collector gets to it.
+    See docs/decisions/client-limits.md for the limits. The connection is passed to each call: an attribute
+    would form a reference cycle, whose memory is freed only when the garbage collector runs.
     """
 
     __slots__ = (
@@ -69,13 +69,13 @@
         self.request_count = request_count
         self.last_received_s = services.loop.time()
         self.is_read_paused = False
-        self.is_read_scheduled = False  # more commands are read after other connections
+        self.is_read_scheduled = False  # True while more commands are to be read after other connections
         self.arrivals = ArrivalTracker(waiting_since_s)
         self._is_reading = False
         self._consecutive_errors = 0
 
     def receive(self, connection: CommandConnection, data: bytes) -> None:
-        """Take in bytes and read the commands that they complete."""
+        """Buffer received bytes and read the commands that they complete."""
         self.reader.receive_data(data)
         self.last_received_s = self._services.loop.time()
         self.arrivals.on_read(connection.socket, self._services.stalls.earliest_s())
@@ -83,7 +83,7 @@
         self.read_commands(connection)
 
     def read_commands(self, connection: CommandConnection) -> None:
-        """Read commands up to the bounds of the connection, and close it if it is to end."""
+        """Read commands up to the limits of the connection, and close the connection if it is to end."""
         self._is_reading = True
         taken = self._take_commands(connection)
         self._is_reading = False
@@ -97,7 +97,7 @@
         connection.close_if_done()
 
     def _take_commands(self, connection: CommandConnection) -> TakenCommands:
-        """Take the complete commands, as many as the bounds allow."""
+        """Take as many complete commands as the limits allow."""
         taken_count = 0
         while (
             not connection.is_closing
@@ -119,9 +119,9 @@
         return TakenCommands(taken_count, is_within_command=False)
 
     def continue_after_reply(self, connection: CommandConnection) -> None:
-        """Read on after replies were written if reading had paused, or note that the connection is idle.
+        """Resume paused reading after replies were written, or record that the connection is idle.
 
-        Does nothing within ``read_commands``, where a command may be answered at once.
+        Does nothing while ``read_commands`` runs, where a command may be answered at once.
         """
         if self._is_reading:
             return
@@ -148,7 +148,7 @@
         )
 
     def update_read_pause(self, connection: CommandConnection) -> None:
-        """Read from the socket, or pause, by whether more commands may be taken."""
+        """Pause or resume reading from the socket, depending on whether more commands may be taken."""
         transport = connection.transport
         if transport is None or transport.is_closing():
             return
@@ -202,21 +202,21 @@
         )
 
     def _waited_ms(self) -> float:
-        """Return for how long the command has waited to be read."""
+        """Return how many milliseconds the command has waited to be read; count it if it came late."""
         waited_s = self.arrivals.waited_s()
         if waited_s > NEGLIGIBLE_WAIT_S:
             self._services.driver.telemetry.metrics.count(Metric.LATE_COMMANDS, "waited to be read")
         return waited_s * MS_PER_S
 
     def _reply_error(self, connection: CommandConnection, reason: str) -> None:
-        """Answer a malformed command; reject a client that sends many in a row."""
+        """Answer a malformed command with an error; reject a client that sends many in a row."""
         self._consecutive_errors += 1
         if self._consecutive_errors >= MAX_CONSECUTIVE_ERRORS:
             connection.lifecycle.reject()
         connection.reply_now(encode_error(reason))
 
     def reject_input(self, connection: CommandConnection, reason: str) -> None:
-        """Answer malformed or missing input, and close the connection after the replies before it."""
+        """Answer malformed or missing input with an error, and close the connection after all replies."""
         log.info("client connection rejected reason=%s", reason)
         connection.lifecycle.reject()
         connection.buffers.count(-len(self.reader.buffer), is_pending=False)
@@ -226,10 +226,10 @@
         self.update_read_pause(connection)
 
     def has_partial_command(self) -> bool:
-        """Whether bytes have come that were not taken as a command."""
+        """Whether received bytes have not been taken as a command yet."""
         return bool(self.reader.buffer)
 
     def is_receiving_body(self) -> bool:
-        """Whether only the rest of a command's body is missing, and that is still coming."""
+        """Whether only the rest of a command's body is missing and bytes of it keep arriving."""
         silent_s = self._services.loop.time() - self.last_received_s
         return self.reader.is_within_body() and silent_s < BODY_GAP_TIMEOUT_S
--- a/quota_gateway/net/clients/commands.py
+++ b/quota_gateway/net/clients/commands.py
@@ -14,11 +14,11 @@
 PING = b"PING"
 
 GET_ARGUMENT_COUNT = 4  # name, customer, request id, list of fields
-POST_ARGUMENT_COUNT = 5  # the same, then the body
-CLIENT_MARGIN_MS = 10.0  # of a client's timeout, kept for the network and a late event loop
+POST_ARGUMENT_COUNT = 5  # name, customer, request id, list of fields, body
+CLIENT_MARGIN_MS = 10.0  # part of a client's timeout that is reserved for the network and a late event loop
 MAX_CUSTOMER_NUMBER = (1 << 33) - 1
 CUSTOMER_PATTERN = re.compile(rb"[0-9a-fA-F]{16}")
-ID_PATTERN = re.compile(rb"[0-9A-Za-z]{1,64}")  # of a request, and an idempotency key
+ID_PATTERN = re.compile(rb"[0-9A-Za-z]{1,64}")  # request ids and idempotency keys
 INTEGER_PATTERN = re.compile(rb"[0-9]{1,6}")
 DECIMAL_PATTERN = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?")
 
@@ -63,7 +63,10 @@
 
 
 def _parse_timeout_ms(fields: Fields, request_class: api.RequestClass, waited_ms: float) -> float:
-    """Return how long the reply may take; at most the deadline of the class, which bounds the timers kept."""
+    """Return how long the reply may take, in milliseconds.
+
+    The deadline of the class limits the client's timeout, and with it how long timers are kept.
+    """
     timeout_ms = float(_matching_field(fields, TIMEOUT_MS_FIELD, DECIMAL_PATTERN))
     if timeout_ms <= 0.0:
         raise CommandError(f"bad value of {TIMEOUT_MS_FIELD.decode()}")
@@ -71,17 +74,17 @@
 
 
 def upstream_encoder(name: bytes, command: list[bytes], field_list: bytes) -> Encoder:
-    """Make the function that encodes a client's command for an upstream server.
+    """Return a function that encodes a client's command for an upstream server.
 
-    Everything is forwarded unchanged but the timeout, which becomes how long the gateway waits.
+    The command is forwarded unchanged except for the timeout, which becomes the time that the gateway waits.
 
     Args:
         name: The command's name in upper case.
         command: The command as the client sent it.
-        field_list: The command's list of fields; it has a timeout.
+        field_list: The command's list of fields, which includes a timeout.
 
     Returns:
-        A function from the timeout in milliseconds to the command's bytes.
+        A function that takes the timeout in milliseconds and returns the command's bytes.
     """
     parts = field_list.split(b",")
     timeout_index = next(index for index, part in enumerate(parts) if part.startswith(TIMEOUT_PREFIX))
@@ -102,7 +105,7 @@
 
 
 class RequestParser:
-    """Parses CALL.GET and CALL.POST; every value is checked before it is charged or forwarded.
+    """Parses CALL.GET and CALL.POST; every value is checked before anything is charged or forwarded.
 
     See docs/decisions/client-commands.md for what a lenient parser would accept.
     """
@@ -118,10 +121,10 @@
 
         Args:
             command: The command's name and arguments; the name is CALL.GET or CALL.POST in any case.
-            waited_ms: For how long it has waited to be read.
+            waited_ms: How many milliseconds the command has waited to be read.
 
         Raises:
-            CommandError: An argument is missing, malformed or out of range; the text is for the client.
+            CommandError: An argument is missing, malformed or out of range; the message goes to the client.
         """
         name = command[0].upper()
         is_write = name == CALL_POST
@@ -166,7 +169,7 @@
         return units
 
     def _parse_gateway_number(self, fields: Fields, name: bytes, lowest: int) -> int:
-        """Parse the size of a customer's gateway set, at least 1, or the number of its first, at least 0."""
+        """Parse the size of a gateway set, at least 1, or the number of its first gateway, at least 0."""
         number = int(_matching_field(fields, name, INTEGER_PATTERN))
         if not lowest <= number < self._gateway_count + lowest:
             raise CommandError(f"bad value of {name.decode()}")
--- a/quota_gateway/net/clients/idle_connections.py
+++ b/quota_gateway/net/clients/idle_connections.py
@@ -1,4 +1,4 @@
-"""Which client connections are idle, past their command read timeout, or evicted for capacity."""
+"""Tracks idle client connections and those past their command read timeout, and evicts for capacity."""
 
 from __future__ import annotations
 
@@ -10,23 +10,26 @@
 if TYPE_CHECKING:
     from quota_gateway.net.clients.protocols import TrackedConnection
 
-COMMAND_READ_TIMEOUT_S = 2.7  # from connecting, or from the first byte of a command; the protocol has 3 s
-# How long a connection is spared from eviction:
-SILENT_GRACE_S = 0.25  # without a command; evicted sooner, clients would reconnect again and again
-PARTIAL_COMMAND_GRACE_S = 0.7  # without a byte, within a command
-IDLE_GRACE_S = 2.0  # without a request, after the last one
+# Timeout for a complete command, from connecting or from the command's first byte; the protocol allows 3 s.
+COMMAND_READ_TIMEOUT_S = 2.7
+# Grace periods in which a connection is not evicted.
+SILENT_GRACE_S = 0.25  # silence outside a command; clients evicted sooner would reconnect again and again
+PARTIAL_COMMAND_GRACE_S = 0.7  # silence within a command
+IDLE_GRACE_S = 2.0  # time without a request since the last one
 MAX_EVICTIONS_PER_CALL = 16
 
 
 class IdleConnections:
-    """Tracks what each connection waits for; each is in one of these states, or in none while it is busy.
+    """Tracks what each connection waits for.
 
-    * ``awaiting_command``: a first command, the rest of one, or the end of the connection is due.
-    * ``awaiting_body``: past the command read timeout, but a body is still coming.
-    * ``idle_without_request``, ``idle_after_one_request``, ``idle_after_requests``: no reply is pending; by
-      how many requests the client has made.
+    A connection is in one of these states, or in none of them while it is busy:
 
-    Each keeps its connections in the order in which they entered. See
+    * ``awaiting_command``: the first command, the rest of a command or the connection's end is due.
+    * ``awaiting_body``: the command read timeout is over, but a body is still arriving.
+    * ``idle_without_request``, ``idle_after_one_request``, ``idle_after_requests``: no reply is pending, and
+      the client has made no request, one request or several.
+
+    Each state keeps its connections in the order in which they entered it. See
     docs/decisions/client-idle-connections.md for the order in which they are evicted.
     """
 
@@ -44,22 +47,22 @@
 
         Args:
             connection: The connection.
-            command_due_for_s: For how many seconds its command has been due, if it has waited before.
+            command_due_for_s: How many seconds its first command has been due already.
         """
         self.awaiting_command[connection] = self._loop.time() - command_due_for_s
 
     def discard(self, connection: TrackedConnection) -> None:
-        """Forget a connection that has ended."""
+        """Stop tracking a connection that has ended."""
         self.awaiting_command.pop(connection, None)
         self.awaiting_body.pop(connection, None)
         self._leave_idle(connection)
 
     def update(self, connection: TrackedConnection, within_command: bool, took_command: bool) -> None:
-        """Note what a connection waits for after bytes were read on it.
+        """Update what a connection waits for after bytes were read from it.
 
         Args:
             connection: The connection.
-            within_command: Whether an incomplete command has come.
+            within_command: Whether a command has been received in part.
             took_command: Whether at least one command was taken.
         """
         if took_command:
@@ -77,7 +80,7 @@
                 self.mark_idle(connection)
 
     def mark_idle(self, connection: TrackedConnection) -> None:
-        """Note that all replies of a connection are written."""
+        """Record that all replies of a connection are written."""
         if not connection.intake.has_sent_command or connection in self.awaiting_command:
             return
         self._leave_idle(connection)
@@ -95,16 +98,16 @@
         self.idle_without_request.pop(connection, None)
 
     def command_due_for_s(self, connection: TrackedConnection) -> float:
-        """Return for how many seconds a command has been due on a connection; 0 if none is."""
+        """Return how many seconds a command has been due on a connection; 0 if none is due."""
         if connection in self.awaiting_body:
             return COMMAND_READ_TIMEOUT_S
         now_s = self._loop.time()
         return now_s - self.awaiting_command.get(connection, now_s)
 
     def time_out_late_commands(self) -> None:
-        """End the connections past their command read timeout, unless a body is still coming."""
+        """Time out the connections past their command read timeout, unless a body is still arriving."""
         due_before_s = self._loop.time() - COMMAND_READ_TIMEOUT_S
-        # Not in the order of time: connections that were handed over have waited elsewhere before.
+        # The entries are not sorted by time: handed over connections have waited in another process before.
         late = [item for item, since_s in self.awaiting_command.items() if since_s <= due_before_s]
         for connection in late:
             del self.awaiting_command[connection]
@@ -114,7 +117,7 @@
             connection.time_out()
 
     def evict(self) -> None:
-        """Evict unproductive connections, then idle ones; among each those that are so for longest."""
+        """Evict unproductive connections first, then idle ones; in each group the longest waiting first."""
         wanted = MAX_EVICTIONS_PER_CALL
         for connection in self._unproductive()[: 2 * MAX_EVICTIONS_PER_CALL]:
             if wanted > 0:
@@ -142,7 +145,7 @@
     def _evict_idle(
         self, state: OrderedDict[TrackedConnection, float], idle_before_s: float, wanted: int
     ) -> int:
-        """Evict at most ``wanted`` connections that entered this state before a time; return how many."""
+        """Evict up to ``wanted`` connections that entered this state before a time; return how many."""
         evicted_count = 0
         for connection, since_s in list(islice(state.items(), max(0, wanted))):
             if since_s >= idle_before_s:
@@ -151,7 +154,7 @@
                 evicted_count += 1
                 del state[connection]
             else:
-                state.move_to_end(connection)  # a command has come that is not read yet
+                state.move_to_end(connection)  # a received command is not read yet
         return evicted_count
 
 
--- a/quota_gateway/net/clients/resumed_connection.py
+++ b/quota_gateway/net/clients/resumed_connection.py
@@ -1,4 +1,4 @@
-"""Connections that one process stops serving and another one resumes."""
+"""Connections that one process stops serving and another process resumes."""
 
 from __future__ import annotations
 
@@ -9,15 +9,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ResumedConnection:
-    """The past of a connection: of a handed over one, or how long a new one has waited to be accepted.
+    """The state of a connection that this process starts to serve, handed over or newly accepted.
 
     Attributes:
-        has_sent_command: Whether a complete command has come.
+        has_sent_command: Whether a complete command has been received.
         request_count: How many requests were taken.
-        command_due_for_s: For how many seconds a command has been due.
+        command_due_for_s: How many seconds a command has been due.
         partial_command: The bytes that were read of a command that is not complete yet.
-        silent_s: Seconds since its last byte came.
-        waiting_since_s: A monotonic time in seconds: what is read first can't have come before.
+        silent_s: Seconds since the last byte was received.
+        waiting_since_s: The earliest possible arrival time of the bytes that are read first, in seconds of
+            the monotonic clock; infinite if none wait yet.
     """
 
     has_sent_command: bool = False
@@ -32,7 +33,7 @@
 
 
 class ReleasedConnection(NamedTuple):
-    """A connection that this process serves no more; the descriptor is the receiver's to close."""
+    """A connection that this process no longer serves; the receiver has to close the descriptor."""
 
     descriptor: int
     resumed: ResumedConnection
--- a/quota_gateway/net/clients/socket_state.py
+++ b/quota_gateway/net/clients/socket_state.py
@@ -1,4 +1,4 @@
-"""What the kernel knows of a client's socket that the event loop has not seen yet."""
+"""Checks the kernel's state of a client's socket for what the event loop has not noticed yet."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 def has_hung_up(sock: socket.socket) -> bool:
-    """Whether the client has closed or reset the connection, though what it sent before is unread."""
+    """Whether the client has closed or reset the connection, even if bytes that it sent before are unread."""
     poll = select.poll()
     poll.register(sock.fileno(), select.POLLRDHUP)
     return bool(poll.poll(0))
 
 
 def has_unread_bytes(sock: socket.socket) -> bool:
-    """Whether the kernel has bytes of the client that were not read yet."""
+    """Whether the kernel holds bytes from the client that have not been read yet."""
     with suppress(OSError):
         return bool(sock.recv(1, socket.MSG_PEEK))
     return False
