--- a/quota_gateway/net/clients/connection_admission.py
+++ b/quota_gateway/net/clients/connection_admission.py
@@ -1,4 +1,4 @@
-"""Admits client connections within the capacity of the gateway, and evicts others when that is used up."""
+"""Admits client connections within the capacity of the gateway, and evicts others when it is used up."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 
     Args:
         owner: The listener, which owns each connection once it is admitted.
-        max_connections: The capacity in connections, over both processes of this gateway.
+        max_connections: The maximum number of connections, in both processes of this gateway together.
 
     Attributes:
         acceptor: Accepts from the listening socket.
-        descriptors_in_use: Connections from accepting until the event loop has closed their sockets.
-        peer_connections: The connections of the peer process of this gateway.
+        descriptors_in_use: The number of connections, from accepting them until their sockets are closed.
+        peer_connections: The number of connections of the peer process of this gateway.
     """
 
     def __init__(self, owner: ConnectionOwner, max_connections: int) -> None:
@@ -43,22 +43,22 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def available_capacity(self) -> int:
-        """Return how many more connections may be open, over both processes of this gateway."""
+        """Return how many more connections may be open in both processes of this gateway together."""
         return self._max_connections - self.descriptors_in_use - self.peer_connections
 
     def evict(self) -> None:
-        """Close idle and unproductive connections, as others wait to be accepted."""
+        """Close idle and unproductive connections because others wait to be accepted."""
         self._owner.idle_connections.evict()
 
     def accept_or_evict(self) -> None:
-        """Accept again where capacity is free, else evict connections for those that wait."""
+        """Accept again if capacity is free; else evict connections in favour of those that wait."""
         if self.available_capacity() > 0:
             self.acceptor.resume()
         elif not self.acceptor.is_accepting:
             self.evict()
 
     def on_accepted(self, sock: socket.socket, waiting_since_s: float) -> None:
-        """Serve a new connection; its command read timeout runs from when it came."""
+        """Serve a new connection, whose command read timeout runs from its arrival."""
         waited_s = time.monotonic() - arrival_s(sock, waiting_since_s)
         self.admit(sock, ResumedConnection(command_due_for_s=waited_s, waiting_since_s=waiting_since_s))
 
@@ -72,7 +72,7 @@
 
         Args:
             sock: The connection's socket, which is closed with the connection.
-            resumed: The past of the connection.
+            resumed: The state of the connection before this process serves it.
         """
         self.descriptors_in_use += 1
         task = self._owner.loop.create_task(self._connect(sock, resumed))
--- a/quota_gateway/net/clients/connection_sweeper.py
+++ b/quota_gateway/net/clients/connection_sweeper.py
@@ -1,4 +1,4 @@
-"""Looks at regular intervals after client connections that no event of the loop wakes."""
+"""Checks client connections at regular intervals for what no event of the loop reports."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 class ConnectionSweeper:
-    """Enforces command read timeouts, and notices clients that left while their connection is not read.
+    """Enforces command read timeouts, and detects clients that left while their connection is not read.
 
     Args:
         listener: The listener whose connections are swept.
         admission: Accepts again, or evicts, after each sweep.
-        interval_s: The time between two sweeps; the listener's stall detector expects it too.
+        interval_s: The time between two sweeps in seconds, which is also that of the stall detector.
     """
 
     def __init__(self, listener: SweptListener, admission: ConnectionAdmission, interval_s: float) -> None:
@@ -28,7 +28,7 @@
         self._timer = self._loop.call_later(interval_s, self._sweep)
 
     def stop(self) -> None:
-        """Sweep no more."""
+        """Stop sweeping."""
         self._timer.cancel()
 
     def _sweep(self) -> None:
--- a/quota_gateway/net/clients/listener.py
+++ b/quota_gateway/net/clients/listener.py
@@ -1,4 +1,4 @@
-"""The listener for clients: owns their connections, suspends and ends them."""
+"""The listener for clients, which owns their connections, suspends them and closes them."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 __all__ = ["ClientConnection", "ClientListener", "ResumedConnection"]
 
-SWEEP_INTERVAL_S = 0.1  # short against the shortest timeout that the sweep enforces
+SWEEP_INTERVAL_S = 0.1  # much shorter than any timeout that the sweep enforces
 LISTEN_BACKLOG = 1024  # connections that wait in the kernel while the capacity is used up
 
 
@@ -32,8 +32,8 @@
     Args:
         driver: Answers the requests of clients.
         settings: The classes and plans that requests may name, and their bounds.
-        max_connections: The capacity in connections, over both processes of this gateway.
-        max_buffered_bytes: The bytes of commands and replies that may be buffered.
+        max_connections: The maximum number of connections, in both processes of this gateway together.
+        max_buffered_bytes: The maximum number of buffered bytes of commands and replies.
 
     Attributes:
         connections: The connections that the event loop serves, in the order in which they were accepted.
@@ -59,7 +59,7 @@
 
     @property
     def max_buffered_bytes(self) -> int:
-        """How many bytes of commands and replies may be buffered; two processes share them at a handover."""
+        """The maximum number of buffered bytes, which two processes share during a handover."""
         return self.budget.max_buffered_bytes
 
     @max_buffered_bytes.setter
@@ -70,7 +70,7 @@
 
     @property
     def listening_socket(self) -> socket.socket | None:
-        """The listening socket, until it is closed."""
+        """The listening socket; None before it is opened and after it is closed."""
         return self.acceptor.socket
 
     @property
@@ -80,26 +80,26 @@
 
     @property
     def is_suspended(self) -> bool:
-        """Whether another process takes over, so that nothing is accepted or read here."""
+        """Whether accepting and reading are suspended because another process takes over."""
         return self.acceptor.is_suspended
 
     def listen(self, host: str, port: int) -> tuple[str, int]:
-        """Listen on one address; another process may listen there too.
+        """Listen on an address that another process may listen on too.
 
         Returns:
-            The address, with the port that was chosen where ``port`` is 0.
+            The address, with the port that the kernel chose if ``port`` is 0.
 
         Raises:
-            OSError: The address is in use or not one of this machine.
+            OSError: The address is in use or does not belong to this machine.
         """
         return self.adopt(socket.create_server((host, port), backlog=LISTEN_BACKLOG, reuse_port=True))
 
     def adopt(self, listening_socket: socket.socket, waited_s: float = 0.0) -> tuple[str, int]:
-        """Accept from a listening socket, which another process may have accepted from before.
+        """Accept from a listening socket that another process may have accepted from before.
 
         Args:
             listening_socket: The socket.
-            waited_s: For how many seconds connections may have waited in its queue.
+            waited_s: How many seconds connections may have waited in the socket's queue.
 
         Returns:
             The socket's address.
@@ -110,12 +110,12 @@
 
     @property
     def descriptors_in_use(self) -> int:
-        """Connections from accepting until the event loop has closed their sockets."""
+        """The number of connections, from accepting them until the event loop has closed their sockets."""
         return self._admission.descriptors_in_use
 
     @property
     def peer_connections(self) -> int:
-        """The connections of the peer process of this gateway, which take from the same capacity."""
+        """The number of connections of the peer process, which shares the capacity of this gateway."""
         return self._admission.peer_connections
 
     @peer_connections.setter
@@ -127,49 +127,49 @@
 
         Args:
             sock: The connection's socket, which is closed with the connection.
-            resumed: The past of the connection.
+            resumed: The state of the connection in the other process.
         """
         self._admission.admit(sock, resumed)
 
-    # ---- Calls of the connections
+    # ---- Callbacks of the connections
 
     def ping_reply(self) -> bytes:
-        """Return the reply to PING: PONG, which attracts traffic, only once an endpoint list is known."""
+        """Return the reply to PING: PONG, which attracts traffic, only if an endpoint list is known."""
         return PONG_REPLY if self.is_ready else LOADING_REPLY
 
     def connection_opened(self, connection: ClientConnection, command_due_for_s: float) -> None:
-        """Add a connection that the event loop serves now.
+        """Add a connection that the event loop has started to serve.
 
         Args:
             connection: The connection.
-            command_due_for_s: For how many seconds its first command has been due.
+            command_due_for_s: How many seconds its first command has been due.
         """
         self.connections[connection] = None
         self.idle_connections.add(connection, command_due_for_s)
 
     def connection_closed(self, connection: ClientConnection) -> None:
-        """Remove a connection; its descriptor is free."""
+        """Remove a closed connection, whose descriptor is free."""
         self.connections.pop(connection, None)
         self.idle_connections.discard(connection)
         connection.buffers.release_all()
         self._admission.release_descriptor()
 
-    # ---- Suspending and ending
+    # ---- Suspending and closing
 
     def suspend(self) -> None:
-        """Accept and read no more, as another process takes over; commands that were taken are answered."""
+        """Stop accepting and reading because another process takes over; taken commands are answered."""
         self.acceptor.suspend()
         for connection in list(self.connections):
             connection.intake.update_read_pause(connection)
 
     def resume(self) -> None:
-        """Accept and read again, as the other process has given up."""
+        """Accept and read again after the other process has given up the handover."""
         self.acceptor.take_back()
         for connection in list(self.connections):
             connection.intake.read_commands(connection)
 
     def stop_listening(self) -> None:
-        """Accept what waits already, and close each connection once all its replies are written."""
+        """Accept the connections that already wait, and close each one once all its replies are written."""
         self.is_stopping = True
         for connection in list(self.connections):
             connection.flush()
@@ -180,7 +180,7 @@
         return self.descriptors_in_use > 0 or self.listening_socket is not None
 
     def finish(self) -> None:
-        """Read no more; each connection closes once all its replies are written."""
+        """Stop accepting and reading; each connection closes once all its replies are written."""
         self.acceptor.close()
         for connection in list(self.connections):
             connection.finish()
