--- a/quota_gateway/net/__init__.py
+++ b/quota_gateway/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real gateway's sockets: they carry events to the decisions and actions out, and decide nothing."""
+"""The gateway's sockets: they pass events to the policy engine and carry out its actions."""
--- a/quota_gateway/net/acceptor.py
+++ b/quota_gateway/net/acceptor.py
@@ -8,9 +8,9 @@
 
 from quota_gateway.net.transient_errors import FAILED_CONNECTION_ERRORS
 
-MAX_ACCEPTS_PER_TURN = 32  # before other events of the loop are handled
-# After a shortage of descriptors or memory: retries at once, then with an exponential backoff. It stays
-# short, as the deadlines of those that wait in the queue run on.
+MAX_ACCEPTS_PER_TURN = 32  # connections accepted before other events of the loop are handled
+# After a shortage of descriptors or memory, accept is retried at once, then with an exponential backoff. The
+# backoff stays short because the deadlines of the clients in the queue go on running.
 MAX_IMMEDIATE_RETRIES = 3
 INITIAL_BACKOFF_S = 0.005
 BACKOFF_FACTOR = 2.0
@@ -18,21 +18,21 @@
 
 
 class AcceptorOwner:
-    """What an acceptor needs of its owner; the defaults suit one without a limit on connections."""
+    """What an acceptor needs from its owner; the defaults suit an owner without a limit on connections."""
 
     def available_capacity(self) -> int:
         """Return how many more connections may be accepted now."""
         return MAX_ACCEPTS_PER_TURN
 
     def evict(self) -> None:
-        """Close connections that others, which wait, may replace."""
+        """Close connections so that waiting ones can be accepted."""
 
     def on_accepted(self, sock: socket.socket, waiting_since_s: float) -> None:
-        """Take a connection, which has come at this monotonic time in seconds or later."""
+        """Take a new connection, which arrived at or after a monotonic time in seconds."""
         raise NotImplementedError
 
     def on_accept_error(self, error: OSError) -> None:
-        """Note that a call of accept has failed."""
+        """Handle a failed call of accept."""
         raise NotImplementedError
 
 
@@ -41,9 +41,9 @@
 
     Attributes:
         socket: The listening socket, None before it is opened and after it is closed.
-        is_accepting: Whether the event loop watches it.
-        is_suspended: Whether nothing is accepted here, as another process takes over.
-        is_shared: Whether that process already accepts from the same queue.
+        is_accepting: Whether the event loop watches the listening socket.
+        is_suspended: Whether accepting is suspended because another process takes over.
+        is_shared: Whether the process that takes over already accepts from the same queue.
     """
 
     def __init__(self, owner: AcceptorOwner) -> None:
@@ -53,14 +53,14 @@
         self.is_shared = False
         self._owner = owner
         self._loop = asyncio.get_running_loop()
-        self._waiting_since_s: float | None = None  # monotonic; the queue was not emptied since then
+        self._waiting_since_s: float | None = None  # monotonic time since which the queue was never empty
         self._backoff_s = INITIAL_BACKOFF_S
-        self._consecutive_failures = 0  # for a shortage
+        self._consecutive_failures = 0  # failures in a row because of a shortage
         self._retry_timer: asyncio.TimerHandle | None = None
         self._closes_when_empty = False
 
     def open(self, listening_socket: socket.socket, waited_s: float = 0.0) -> None:
-        """Accept from this socket, where connections may have waited for so many seconds."""
+        """Accept from a socket, where connections may have waited for ``waited_s`` seconds."""
         listening_socket.setblocking(False)
         self.socket = listening_socket
         self._closes_when_empty = False
@@ -68,7 +68,7 @@
         self.resume()
 
     def resume(self) -> None:
-        """Accept, unless closed or suspended."""
+        """Start accepting, unless the acceptor is closed or suspended."""
         if self._retry_timer:
             self._retry_timer.cancel()
             self._retry_timer = None
@@ -81,12 +81,12 @@
             self._loop.call_soon(self._probe)
 
     def _probe(self) -> None:
-        """Accept without an event of the loop, which does not tell that the queue is empty."""
+        """Accept without an event of the loop, because no event reports that the queue is empty."""
         if self.is_accepting and self._owner.available_capacity() > 0:
             self._accept()
 
     def pause(self) -> None:
-        """Leave new connections in the kernel."""
+        """Stop accepting and leave new connections in the kernel."""
         if self._waiting_since_s is None:
             self._waiting_since_s = time.monotonic()
         if self.socket and self.is_accepting:
@@ -94,9 +94,9 @@
             self._loop.remove_reader(self.socket)
 
     def close_when_empty(self) -> None:
-        """Accept what waits already, then close: closing resets what is in the queue.
+        """Accept the connections that already wait, then close, because closing resets those in the queue.
 
-        A process that takes over empties the queue itself, as soon as it accepts from it.
+        A process that takes over empties the queue itself as soon as it accepts from it.
         """
         self._closes_when_empty = True
         if self.is_shared:
@@ -105,24 +105,24 @@
             self._accept()
 
     def suspend(self) -> None:
-        """Accept nothing, as another process takes over."""
+        """Stop accepting because another process takes over."""
         self.is_suspended = True
         self.pause()
 
     def share(self) -> None:
-        """Note that the process that takes over accepts from the same queue."""
+        """Record that the process that takes over accepts from the same queue."""
         self.is_shared = True
         if self._closes_when_empty:
             self.close()
 
     def take_back(self) -> None:
-        """Accept again, as the other process has given up."""
+        """Accept again after the other process has given up the handover."""
         self.is_suspended = False
         self.is_shared = False
         self.resume()
 
     def close(self) -> None:
-        """Close the socket; what waits in its queue is reset, unless another process has the socket too."""
+        """Close the socket; connections in its queue are reset unless another process has the socket too."""
         self.pause()
         if self._retry_timer:
             self._retry_timer.cancel()
@@ -131,9 +131,9 @@
             self.socket = None
 
     def _accept(self) -> None:
-        """Accept while there is capacity, else have the owner evict connections.
+        """Accept while there is capacity; else have the owner evict connections.
 
-        Capacity is free only once the loop has closed a descriptor: the owner calls ``resume`` then.
+        Capacity becomes free only once the loop has closed a descriptor; the owner then calls ``resume``.
         """
         if self.socket is None or self.is_suspended:
             return
@@ -144,10 +144,10 @@
         for _ in range(min(MAX_ACCEPTS_PER_TURN, self._owner.available_capacity())):
             if self.socket is None or not self._accept_one(self.socket):
                 return
-        self.resume()  # the rest of the queue in the next turn of the loop
+        self.resume()  # accepts the rest of the queue in the next turn of the loop
 
     def _accept_one(self, listening_socket: socket.socket) -> bool:
-        """Accept one connection; return whether to go on."""
+        """Accept one connection; return whether to accept more."""
         now_s = time.monotonic()
         try:
             sock, _ = listening_socket.accept()
@@ -163,7 +163,7 @@
         return True
 
     def _may_retry_at_once(self) -> bool:
-        """Return whether to retry at once after a shortage; else a retry is scheduled."""
+        """Return whether to retry at once after a shortage; if not, schedule a retry."""
         self._consecutive_failures += 1
         if self._consecutive_failures <= MAX_IMMEDIATE_RETRIES:
             return True
--- a/quota_gateway/net/address.py
+++ b/quota_gateway/net/address.py
@@ -1,3 +1,3 @@
 """The address of a TCP endpoint."""
 
-Address = tuple[str, int]  # host and port, as asyncio and the socket module have it
+Address = tuple[str, int]  # host and port, in the form that asyncio and the socket module use
--- a/quota_gateway/net/driver.py
+++ b/quota_gateway/net/driver.py
@@ -1,4 +1,4 @@
-"""Hands events to the policy engine, one after the other, and carries out the actions it answers with."""
+"""Passes events to the policy engine, one after the other, and carries out the actions that it returns."""
 
 from __future__ import annotations
 
@@ -47,11 +47,11 @@
 
 
 class Driver:
-    """Drives one ``PolicyEngine``: posts events to it and carries out its actions in their order.
+    """Drives one ``PolicyEngine``: posts events to it and carries out its actions in order.
 
     Args:
         engine: Decides on each event.
-        upstream: Carries the attempts.
+        upstream: Sends the attempts to their servers.
         clock: The gateway's clock.
         notify_peer: Passes usage on to the peer process of this gateway, if there is one.
     """
@@ -72,7 +72,7 @@
         self._notify_peer = notify_peer
         self._events: deque[Event] = deque()
         self._is_handling = False
-        self._last_snapshot: dict[str, Any] = {}  # Any: plain values that go into JSON
+        self._last_snapshot: dict[str, Any] = {}  # Any stands for the plain values of JSON
         guard = RequestGuard(engine.settings, upstream.hosts, clock, self.telemetry)
         self._request_telemetry = RequestTelemetry(self.telemetry)
         self._requests = ActiveRequests(upstream)
@@ -95,13 +95,13 @@
 
     @property
     def clock_offset_ms(self) -> float:
-        """The offset of the clock that all times in the engine's state are measured with."""
+        """The offset in milliseconds of the clock that measures all times in the engine's state."""
         return self.clock.offset_ms
 
-    # ---- Events in
+    # ---- Incoming events
 
     def submit(self, active: ActiveRequest, request: Request, timeout_ms: float) -> None:
-        """Start on a client's request; it is answered once, through the callbacks of ``active``."""
+        """Start a client's request, which is answered once through the callbacks of ``active``."""
         active.deadline_ms = self.clock() + timeout_ms
         active.request_class = self._classes.get(request.class_name)
         self._requests.add(active)
@@ -109,15 +109,15 @@
         self.post(request)
 
     def is_active(self, request_id: str) -> bool:
-        """Whether a request of this id is in progress."""
+        """Whether a request with this id is in progress."""
         return request_id in self._requests.by_id
 
     def cancel_attempt(self, attempt: Attempt) -> None:
-        """Stop an attempt whose large value nobody reads any more."""
+        """Stop an attempt whose large value has no client to read it any more."""
         self.upstream.stop(attempt, AttemptStatus.CANCELLED)
 
     def client_disconnected(self, request_id: str) -> None:
-        """Drop a request whose client has closed its connection, unless it is answered."""
+        """Drop a request whose client has closed its connection, unless the request is answered."""
         active = self._requests.by_id.get(request_id)
         if active and not active.is_answered:
             active.state = RequestState.CLIENT_LEFT
@@ -136,10 +136,10 @@
         return self.engine.has_peer_process
 
     def post(self, event: Event) -> None:
-        """Queue an event, and handle all queued ones unless that is under way.
+        """Queue an event, and handle all queued events unless that is already under way.
 
-        Never re-entrant: an event that an action causes at once (a connection that is refused) waits until
-        the actions before it are carried out.
+        Handling is never re-entrant: an event that an action causes at once (a connection that is refused)
+        waits until the actions before it are carried out.
         """
         self._events.append(event)
         if self._is_handling:
@@ -155,14 +155,14 @@
         try:
             for action in self.engine.handle(self.clock(), event):
                 self._perform(action)
-        except Exception:  # a fault of the engine over one request must not end the others
+        except Exception:  # an engine failure on one request must not end the others
             log.exception("policy engine failed event=%r", event)
             request_id = getattr(event, "request_id", None)
             if isinstance(request_id, str):
                 self.answers.fail(Fail(request_id))
         self._requests.end_answered()
 
-    # ---- Actions out
+    # ---- Outgoing actions
 
     def _perform(self, action: Action) -> None:
         match action:
@@ -193,6 +193,6 @@
             case NotifyPeerProcess():
                 self._notify_peer(action.usage)
             case Subscribe():
-                pass  # the watch of discovery is always open here
+                pass  # the watch of discovery is always open in this driver
             case _:
                 log.error("action unsupported action=%r", action)
--- a/quota_gateway/net/graceful_shutdown.py
+++ b/quota_gateway/net/graceful_shutdown.py
@@ -1,6 +1,6 @@
-"""The graceful shutdown of a gateway: all that was accepted is answered before SIGKILL comes.
+"""The graceful shutdown of a gateway: all accepted requests are answered before SIGKILL arrives.
 
-The order of the steps matters: docs/decisions/start-and-shutdown.md.
+The order of the steps matters; see docs/decisions/start-and-shutdown.md.
 """
 
 from __future__ import annotations
@@ -17,20 +17,22 @@
 
 log = logging.getLogger("quota_gateway")
 
-ACCEPT_PERIOD_S = 0.45  # after SIGTERM: clients go on connecting for 0.4 s
-MAX_DEADLINE_S = 3.0  # SIGKILL follows SIGTERM after the longest deadline, this at most, ...
-KILL_GRACE_S = 0.7  # ... and this much more
-ANSWERED_BEFORE_KILL_S = 0.3  # before SIGKILL all that is pending is answered
-FLUSH_TIMEOUT_S = 0.2  # of that, for replies on their way to clients that still send or read slowly
-SHUTDOWN_CHECK_S = 0.01  # between two looks at whether all is answered
+ACCEPT_PERIOD_S = 0.45  # time of accepting after SIGTERM; clients go on connecting for 0.4 s
+# SIGKILL follows SIGTERM after the longest deadline of a class (at most MAX_DEADLINE_S) plus KILL_GRACE_S.
+MAX_DEADLINE_S = 3.0
+KILL_GRACE_S = 0.7
+ANSWERED_BEFORE_KILL_S = 0.3  # all pending requests are answered this long before SIGKILL
+# Part of ANSWERED_BEFORE_KILL_S that is left for replies to clients that still send or read slowly.
+FLUSH_TIMEOUT_S = 0.2
+SHUTDOWN_CHECK_S = 0.01  # interval between checks for requests in progress
 
 
 async def shut_down_gracefully(
     settings: Settings, driver: Driver, clients: ClientListener, handover: Handover
 ) -> None:
-    """Accept for ``ACCEPT_PERIOD_S`` more, answer all that was accepted, close; all before SIGKILL comes.
+    """Accept for ``ACCEPT_PERIOD_S`` more, answer all accepted requests and close before SIGKILL arrives.
 
-    Where the next process has taken over, connections are handed over to it in place of being closed.
+    If the next process has taken over, connections are handed over to it instead of being closed.
     """
     loop = asyncio.get_running_loop()
     longest_deadline_s = max(request_class.deadline_ms for request_class in settings.classes) / MS_PER_S
@@ -49,5 +51,5 @@
 
 async def _wait_while(is_busy: Callable[[], bool], until: float) -> None:
     loop = asyncio.get_running_loop()
-    while is_busy() and loop.time() < until:  # noqa: ASYNC110 - an event for it would cost each request
+    while is_busy() and loop.time() < until:  # noqa: ASYNC110 - an event would add work to each request
         await asyncio.sleep(SHUTDOWN_CHECK_S)
--- a/quota_gateway/net/timer_queue.py
+++ b/quota_gateway/net/timer_queue.py
@@ -13,15 +13,15 @@
 
 Argument = TypeVar("Argument")
 
-MIN_LOOP_DELAY_MS = 1  # the event loop rounds a shorter delay down to nothing
+MIN_LOOP_DELAY_MS = 1  # the event loop rounds a shorter delay down to zero
 
-# Due time in milliseconds, order of the request, callback, its argument. A plain tuple compares fastest.
-# Any: each callback has an argument of its own type.
+# Due time in milliseconds, sequence number, callback and its argument. A plain tuple compares fastest.
+# Any stands for the argument, whose type depends on the callback.
 TimerEntry = tuple[float, int, Callable[[Any], None], Any]
 
 
 class TimerQueue:
-    """Calls back at given times, in the order of these times, then in the order of ``call_at``.
+    """Calls callbacks at given times, in the order of their times and then of the ``call_at`` calls.
 
     Args:
         clock: Returns the time in milliseconds.
@@ -46,7 +46,7 @@
     def _arm(self) -> None:
         """Set the event loop's timer for the first entry, in whole milliseconds rounded up.
 
-        A shorter delay would spin until the entry is due; see docs/decisions/driver.md.
+        With a shorter delay the loop would spin until the entry is due; see docs/decisions/driver.md.
         """
         due_ms = self.entries[0][0]
         if self._loop_timer:
--- a/quota_gateway/net/transient_errors.py
+++ b/quota_gateway/net/transient_errors.py
@@ -4,7 +4,7 @@
 
 import errno
 
-# Descriptors, memory or buffers are short for a moment, or a signal came.
+# Descriptors, memory or buffers are temporarily short, or a signal has interrupted the call.
 SHORTAGE_ERRORS = frozenset(
     (errno.EAGAIN, errno.EINTR, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.ETOOMANYREFS)
 )
@@ -24,12 +24,12 @@
         errno.ETIMEDOUT,
     )
 )
-# Of a bind: the address or the name is in use, or the folder is full or failing, for a while.
+# Errors of bind: for a while the address or the name is in use, or the folder is full or failing.
 BIND_ERRORS = SHORTAGE_ERRORS | {errno.EADDRINUSE, errno.EDQUOT, errno.EIO, errno.ENOSPC}
 
-READ_ERRORS = SHORTAGE_ERRORS | {errno.EIO}  # of a file that is there
+READ_ERRORS = SHORTAGE_ERRORS | {errno.EIO}  # errors of reading a file that exists
 
 
 def errno_name(error: OSError) -> str:
-    """Return the name of an error's number, for metrics."""
+    """Return the name of an error's number for the metrics."""
     return errno.errorcode.get(error.errno or 0, "unknown")
