--- a/quota_gateway/net/active_request.py
+++ b/quota_gateway/net/active_request.py
@@ -1,4 +1,4 @@
-"""A client's request in progress, and its attempts, as the sockets see them."""
+"""A client's request in progress and its attempts, as the socket layer tracks them."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 
 class BodyWriter(Protocol):
-    """Writes a large value to a client as it comes."""
+    """Writes a large value to a client as it arrives."""
 
     def take(self, piece: bytes) -> None:
-        """Write the next bytes."""
+        """Write the next bytes of the value."""
 
     def on_deadline(self) -> bool:
-        """Note that the client's timeout is over; return whether the value fails now."""
+        """Handle the end of the client's timeout; return whether the value fails now."""
 
     def end(self, is_complete: bool) -> None:
-        """Note that the value is complete, or that no more of it will come."""
+        """End the value, which is either complete or cut short."""
 
 
 def _always_waiting() -> bool:
@@ -29,16 +29,16 @@
 
 
 class RequestState(Enum):
-    """What a request's client has been given. The first state leads to each other one; those are final."""
+    """How a request has been answered. The first state may change to any other; the others are final."""
 
     AWAITING_ANSWER = "awaiting_answer"
-    ANSWERED = "answered"  # by one short reply
-    STREAMING = "streaming"  # answered by a large value, whose end may still fail
-    CLIENT_LEFT = "client_left"  # no answer is needed any more
+    ANSWERED = "answered"  # one short reply was given
+    STREAMING = "streaming"  # a large value has begun, and may still fail before its end
+    CLIENT_LEFT = "client_left"  # the client needs no answer any more
 
 
 class ExecutedAttempt(NamedTuple):
-    """An attempt that may have run, when it started, and the zone and cell whose servers share its key."""
+    """An attempt that may have run: its number, start, and the zone and cell whose servers share its key."""
 
     number: int
     started_ms: float
@@ -52,8 +52,8 @@
     Args:
         request_id: The id of the request, unique among those in progress.
         encode: Encodes the command for a server, with the remaining timeout in milliseconds.
-        on_answer: Called with the one final answer, unless a large value answers.
-        on_body_started: Called with the length of a large value in bytes and the attempt that brings it.
+        on_answer: Called with the one final answer, unless that is a large value.
+        on_body_started: Called with the length of a large value in bytes and the attempt that delivers it.
         is_client_waiting: Returns whether the client is still connected.
     """
 
@@ -85,11 +85,11 @@
         self.on_answer = on_answer
         self.on_body_started = on_body_started
         self.is_client_waiting = is_client_waiting
-        self.body_writer: BodyWriter | None = None  # once a large value has begun
+        self.body_writer: BodyWriter | None = None  # set once a large value has begun
         self.deadline_ms = 0.0
-        self.attempt_count = 0  # started so far; the number of the next one
-        self.attempts: dict[int, Attempt] = {}  # in flight, by number
-        self.executions: dict[int, ExecutedAttempt] = {}  # of the attempts that may have run or still may
+        self.attempt_count = 0  # attempts started so far, and the number of the next one
+        self.attempts: dict[int, Attempt] = {}  # attempts in flight by number
+        self.executions: dict[int, ExecutedAttempt] = {}  # attempts that may have run or may still run
         self.request_class: RequestClass | None = None
         self.state = RequestState.AWAITING_ANSWER
 
@@ -99,7 +99,7 @@
         return self.state is not RequestState.AWAITING_ANSWER
 
     def first_possible_execution(self) -> ExecutedAttempt | None:
-        """Return the first of its attempts that may have run or still may, None if there is none."""
+        """Return the request's first attempt that may have run or may still run; None if there is none."""
         return min(self.executions.values(), default=None)
 
 
@@ -123,13 +123,13 @@
         self.execution = execution
         self.server = server
         self.deadline_ms = deadline_ms
-        self.encoded_ms = execution.started_ms  # when the remaining timeout in its command was true
-        self.first_byte_latency_ms = inf  # until the first bytes of a large value
+        self.encoded_ms = execution.started_ms  # time for which the timeout in the command was computed
+        self.first_byte_latency_ms = inf  # time to the first bytes of a large value
         self.attempt: Attempt | None = None
 
     @property
     def number(self) -> int:
-        """The number among the attempts of its request, from 0."""
+        """The number of the attempt among those of its request, from 0."""
         return self.execution.number
 
     @property
--- a/quota_gateway/net/active_requests.py
+++ b/quota_gateway/net/active_requests.py
@@ -21,7 +21,7 @@
         self._possibly_finished: list[ActiveRequest] = []
 
     def add(self, request: ActiveRequest) -> None:
-        """Add a request that has come."""
+        """Add a new request."""
         self.by_id[request.request_id] = request
 
     def remove_if_idle(self, request: ActiveRequest) -> None:
@@ -30,14 +30,14 @@
             self.by_id.pop(request.request_id, None)
 
     def check_after_event(self, request: ActiveRequest) -> None:
-        """Let ``end_answered`` look at a request once the actions of the current event are carried out."""
+        """Have ``end_answered`` check a request once the actions of the current event are carried out."""
         self._possibly_finished.append(request)
 
     def end_answered(self) -> None:
-        """Cancel the unsent attempts of answered requests, and remove those with no attempt in flight.
+        """Cancel the unsent attempts of answered requests, and remove the requests with none in flight.
 
-        Comes after the actions of an event, which may cancel an attempt themselves. An unsent attempt that
-        stayed would go out after the answer; see docs/decisions/driver.md.
+        Called after the actions of an event, which may cancel an attempt themselves. An unsent attempt that
+        is not cancelled would be sent after the answer; see docs/decisions/driver.md.
         """
         while self._possibly_finished:
             request = self._possibly_finished.pop()
--- a/quota_gateway/net/client_replies.py
+++ b/quota_gateway/net/client_replies.py
@@ -1,4 +1,4 @@
-"""The short replies of the clients' protocol, RESP2."""
+"""Replies to clients, encoded in their protocol, RESP2."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def encode_error(reason: str) -> bytes:
-    """Encode an error line; what is not ASCII is replaced."""
+    """Encode an error line; characters that are not ASCII are replaced."""
     return f"-ERR {reason}\r\n".encode("ascii", "replace")
 
 
--- a/quota_gateway/net/request_answers.py
+++ b/quota_gateway/net/request_answers.py
@@ -17,7 +17,7 @@
 
 
 class RequestAnswers:
-    """Gives each request its final answer; what comes after the first is dropped."""
+    """Gives each request its final answer; answers after the first are dropped."""
 
     def __init__(self, requests: ActiveRequests, guard: RequestGuard, telemetry: RequestTelemetry) -> None:
         self._requests = requests
@@ -27,8 +27,8 @@
     def reject(self, action: Reject) -> None:
         """Tell the client that it may safely send the request again, and after how many milliseconds.
 
-        The reply is a failure where the guard does not allow a rejection; the answer is counted as
-        rejected all the same.
+        If the guard does not allow a rejection, the reply is a failure; the answer is still counted as
+        rejected.
         """
         reply = encode_busy(action.retry_after_ms)
         request = self._requests.by_id.get(action.request_id)
@@ -41,7 +41,7 @@
         self._answer_unserved(action.request_id, FAILED_REPLY, FAILED_LABEL_PREFIX + action.reason.value)
 
     def serve(self, request: ActiveRequest, value: bytes) -> None:
-        """Answer with the complete value of a server, unless the request is answered."""
+        """Answer with the complete value of a server, unless the request is answered already."""
         if request.is_answered:
             return
         self._telemetry.on_answer(request, SERVED_LABEL)
@@ -53,7 +53,7 @@
         request.state = RequestState.STREAMING
 
     def send(self, request: ActiveRequest, reply: bytes) -> None:
-        """Hand a reply to the client's connection."""
+        """Pass a reply to the client's connection."""
         request.state = RequestState.ANSWERED
         request.on_answer(reply)
 
--- a/quota_gateway/net/request_attempts.py
+++ b/quota_gateway/net/request_attempts.py
@@ -1,4 +1,4 @@
-"""The attempts of requests: started, cancelled and timed out; each reports one outcome."""
+"""Starts, cancels and times out the attempts of requests, each of which reports one outcome."""
 
 from __future__ import annotations
 
@@ -27,21 +27,21 @@
 
 log = logging.getLogger(__name__)
 
-UNLISTED_HOST = UpstreamHost()  # stands for a server that is not listed any more
+UNLISTED_HOST = UpstreamHost()  # placeholder for a server that is no longer listed
 
 
 class RequestAttempts:
-    """Carries out the policy engine's decisions on attempts, and posts what becomes of each.
+    """Carries out the policy engine's decisions on attempts, and posts the outcome of each attempt.
 
     Args:
-        upstream: Carries the attempts.
+        upstream: Sends the attempts to their servers.
         clock: The gateway's clock, in milliseconds.
         timers: Ends attempts at their deadlines.
-        guard: Checks each attempt against what the sockets have seen.
+        guard: Checks each attempt against what the sockets have observed.
         requests: The requests in progress.
-        answers: Takes the values that attempts bring.
+        answers: Answers clients with the values that attempts deliver.
         telemetry: Counts attempts and their outcomes.
-        post: Hands an event to the policy engine.
+        post: Passes an event to the policy engine.
     """
 
     def __init__(
@@ -65,7 +65,7 @@
         self._post = post
 
     def start(self, action: StartAttempt) -> None:
-        """Start an attempt, if the guard allows it; else report that it was not sent."""
+        """Start an attempt if the guard allows it; else report that it was not sent."""
         request = self._requests.by_id.get(action.request_id)
         if request is None:
             log.error("attempt started after request end action=%r", action)
@@ -91,16 +91,16 @@
         if request is None or attempt is None:
             return
         if request.state is RequestState.CLIENT_LEFT:
-            self._upstream.cancel_unsent(attempt)  # no failure of the server, though it never connected
+            self._upstream.cancel_unsent(attempt)  # not a failure of the server, even if it never connected
         self._upstream.stop(attempt, AttemptStatus.CANCELLED)
 
     def time_out(self, attempt: Attempt) -> None:
-        """End an attempt at its deadline, unless a large value that has begun may go on."""
+        """End an attempt at its deadline, unless a large value that has begun may continue."""
         if attempt.body_consumer is None or attempt.on_deadline():
             self._upstream.stop(attempt, AttemptStatus.TIMEOUT)
 
     def _create_active_attempt(self, request: ActiveRequest, action: StartAttempt) -> ActiveAttempt:
-        """Number the next attempt of a request; its deadline is that of the client or an earlier one."""
+        """Create the next attempt of a request, with the client's deadline or an earlier one."""
         number = request.attempt_count
         request.attempt_count += 1
         now_ms = self.clock()
@@ -112,7 +112,7 @@
         return ActiveAttempt(request, execution, action.server, deadline_ms)
 
     def _create_upstream_attempt(self, active: ActiveAttempt) -> Attempt:
-        """Create what the upstream pool carries of an attempt: its command and its callbacks."""
+        """Create the object that the upstream pool works on: the attempt's command and its callbacks."""
         attempt = Attempt(
             active.request.encode(active.deadline_ms - active.started_ms),
             partial(self._on_attempt_done, active),
@@ -125,12 +125,12 @@
         return attempt
 
     def _encode_again(self, active: ActiveAttempt) -> bytes:
-        """Encode the command with its remaining timeout, as connecting may have taken a while."""
+        """Encode the command again with its remaining timeout, because connecting may have taken a while."""
         active.encoded_ms = self.clock()
         return active.request.encode(active.deadline_ms - active.encoded_ms)
 
     def _on_body_started(self, active: ActiveAttempt, length_bytes: int) -> BodyConsumer:
-        """Answer the client with a large value from its first bytes on, if no other answer came before."""
+        """Answer the client with a large value from its first bytes on, unless it has an answer already."""
         request = active.request
         attempt = active.attempt
         assert attempt is not None
@@ -158,7 +158,7 @@
         self._report_outcome(active, reply)
 
     def _report_outcome(self, active: ActiveAttempt, reply: UpstreamReply) -> None:
-        """Post the outcome of an attempt; a value goes to the client first, if it still waits."""
+        """Post the outcome of an attempt, after passing its value to the client if the client still waits."""
         request = active.request
         self._telemetry.on_attempt_ended(request, reply.status)
         if reply.value is not None:
--- a/quota_gateway/net/request_guard.py
+++ b/quota_gateway/net/request_guard.py
@@ -1,7 +1,7 @@
-"""Checks whether an attempt may start, its bytes may be sent, and a rejection may be given.
+"""Checks whether an attempt may start, whether its bytes may be sent, and whether a rejection may be given.
 
-The policy engine has decided by the same rules; they are checked again here, against what the sockets have
-seen since. See docs/invariants.md.
+The policy engine has decided by the same rules. They are checked again here against what the sockets have
+observed since. See docs/invariants.md.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 from quota_gateway.net.upstream.host import UpstreamHost
 from quota_gateway.telemetry import Invariant, Metric, Telemetry
 
-MAX_DEADLINE_EXCESS_MS = 150.0  # by which the timeout in a command may exceed the client's remaining one
-# A command names the timeout that remained when it was encoded. If its last bytes are not sent by this age it
-# ends instead; the margin to the limit above is for a process that is held up while it writes.
+MAX_DEADLINE_EXCESS_MS = 150.0  # limit on how far a command's timeout may exceed the client's remaining one
+# A command contains the timeout that remained when it was encoded. If its last bytes are not sent by this
+# age, its attempt ends instead. The margin to the limit above is for a process that stalls while it writes.
 MAX_ENCODED_AGE_MS = 100.0
 
 
@@ -64,7 +64,7 @@
         """Check an attempt before its first bytes are written, and before the last ones.
 
         Returns:
-            None if they may be sent; else the status that the attempt ends with.
+            None if the bytes may be sent; else the status that the attempt ends with.
         """
         request = attempt.request
         if not self._telemetry.invariants.check(
@@ -81,15 +81,16 @@
             return AttemptStatus.NOT_SENT
         first = request.first_possible_execution()
         if first and first.number < attempt.number and not self._is_repeatable(request, attempt.server):
-            self._refuse(attempt, StartRefusal.WINDOW_OVER)  # since it started to connect or to be written
+            # The window has ended since the attempt started to connect or to be written.
+            self._refuse(attempt, StartRefusal.WINDOW_OVER)
             return AttemptStatus.NOT_SENT
         if now_ms - attempt.encoded_ms > MAX_ENCODED_AGE_MS:
             self._refuse(attempt, StartRefusal.ENCODED_TOO_LONG_AGO)
-            return AttemptStatus.CONNECT_FAILED  # it never ran, so that a retry is allowed
+            return AttemptStatus.CONNECT_FAILED  # the command never ran, so a retry is allowed
         return None
 
     def on_sent(self, attempt: ActiveAttempt) -> None:
-        """Check, once the kernel has the last byte, that the command's timeout is not too long by now."""
+        """Check that the command's timeout is not too long by the time the kernel has its last byte."""
         age_ms = self._clock() - attempt.encoded_ms
         request_id = attempt.request.request_id
         self._telemetry.trace.add(request_id, "attempt sent", attempt.server)
@@ -97,7 +98,7 @@
         self._telemetry.invariants.check(Invariant.DEADLINE_NOT_EXTENDED, holds, request_id, age_ms)
 
     def may_reject(self, request: ActiveRequest) -> bool:
-        """Return whether a rejection is true: nothing was executed, or a retry is harmless."""
+        """Return whether a rejection is truthful: nothing was executed, or a retry is harmless."""
         request_class = request.request_class
         holds = (
             request_class is None
@@ -113,7 +114,7 @@
         return False
 
     def _is_repeatable(self, request: ActiveRequest, server: int) -> bool:
-        """Whether the earlier attempts, of which one may have run or may yet, allow one at this server."""
+        """Whether an attempt at this server is allowed after those that may have run or may still run."""
         request_class = request.request_class
         first = request.first_possible_execution()
         if first is None or request_class is None or request_class.idempotency is Idempotency.IDEMPOTENT:
--- a/quota_gateway/net/request_telemetry.py
+++ b/quota_gateway/net/request_telemetry.py
@@ -1,4 +1,4 @@
-"""What is counted and traced of requests and their attempts."""
+"""Counts and traces requests and their attempts."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from quota_gateway.net.active_request import ActiveRequest
 from quota_gateway.telemetry import Invariant, Metric, Telemetry
 
-# Labels of the metrics, as dashboards have them.
+# Labels of the metrics, which dashboards use.
 SERVED_LABEL = "served"
 STREAMED_LABEL = "streamed"
 CLIENT_LEFT_LABEL = "client_left"
@@ -50,6 +50,6 @@
         self._telemetry.trace.add(request.request_id, "answered", label)
 
     def on_client_left(self, request: ActiveRequest) -> None:
-        """Count a request whose client has left before its answer."""
+        """Count a request whose client has left before the answer."""
         self._telemetry.metrics.count(Metric.ANSWERS, CLIENT_LEFT_LABEL)
         self._telemetry.trace.add(request.request_id, "client left")
--- a/quota_gateway/net/resp.py
+++ b/quota_gateway/net/resp.py
@@ -13,13 +13,14 @@
 
 from quota_gateway.errors import ProtocolError
 
-MAX_BODY_BYTES = 4 * 1024 * 1024  # of a command; the protocol says 64 KiB, but values get this long
-MAX_VALUE_BYTES = 9_999_999  # of a reply; streamed, so that a long one takes no more memory than a short one
+MAX_BODY_BYTES = 4 * 1024 * 1024  # body of a command; the protocol says 64 KiB, but values get this long
+# Value of a reply; it is streamed, so that a long one takes no more memory than a short one.
+MAX_VALUE_BYTES = 9_999_999
 STREAMED_MIN_BYTES = 64 * 1024  # longer values are streamed
-MAX_HEADER_BYTES = 16  # a type, up to seven digits, CR LF, and a margin
-MAX_ERROR_LINE_BYTES = 512  # some words, the usage figures, a load report
-MAX_FIGURES_BYTES = 256  # of the usage figures, and of a load report
-HEAD_ARGUMENT_COUNT = 4  # of a command, before its body
+MAX_HEADER_BYTES = 16  # a type byte, up to seven digits, CR LF, and a margin
+MAX_ERROR_LINE_BYTES = 512  # room for some words, a usage report and a load report
+MAX_FIGURES_BYTES = 256  # limit for the usage report, and for the load report
+HEAD_ARGUMENT_COUNT = 4  # arguments of a command before its body
 COMMAND_ARGUMENT_MAX_BYTES = (64, 64, 128, 512, MAX_BODY_BYTES)  # name, customer, id, list of fields, body
 ARRAY_HEADER = re.compile(rb"\*([0-9]{1,7})\r\n")
 BULK_HEADER = re.compile(rb"\$([0-9]{1,7}|-1)\r\n")
@@ -28,11 +29,11 @@
 class BulkArrayReader:
     """Parses arrays of bulk strings from bytes that come in pieces of any length.
 
-    A long first element may be streamed: ``next_array`` returns None then, ``take_piece`` takes its bytes as
-    they come, and in the array it is empty.
+    A long first element may be streamed: ``next_array`` then returns None, ``take_piece`` returns the bytes
+    of the element as they arrive, and the element is empty in the array.
 
     Args:
-        max_lengths_bytes: The maximum length of each element; an array has no more elements than this has.
+        max_lengths_bytes: The maximum length of each element; their number is the maximum number of elements.
         min_count: The minimum number of elements.
         nullable_from: The index of the first element that may be null.
         streamed_min_bytes: The first element is streamed if it is longer than this.
@@ -52,21 +53,21 @@
     ) -> None:
         self.buffer = bytearray()
         self.streamed_bytes_left: int | None = None
-        self._length_bytes: int | None = None  # of the element whose header has been read; negative for null
+        self._length_bytes: int | None = None  # length by the element's header; negative for null
         self._elements: list[bytes | None] = []  # the elements that are complete
         self._max_lengths_bytes = max_lengths_bytes
         self._min_count = min_count
         self._nullable_from = nullable_from
         self._streamed_min_bytes = streamed_min_bytes
-        self._position = 0  # of the next byte to be parsed
-        self._count = 0  # elements in the current array; 0 before its header
+        self._position = 0  # index of the next byte to be parsed
+        self._count = 0  # number of elements in the current array; 0 before its header
 
     def receive_data(self, data: bytes) -> None:
-        """Take in bytes as they come."""
+        """Buffer received bytes."""
         self.buffer += data
 
     def take_piece(self) -> bytes:
-        """Return the bytes that have come of a streamed element; empty if none have."""
+        """Remove and return the received bytes of a streamed element; empty if there are none."""
         assert self.streamed_bytes_left is not None
         taken = bytes(memoryview(self.buffer)[: self.streamed_bytes_left])
         del self.buffer[: len(taken)]
@@ -79,7 +80,7 @@
         """Parse the next array.
 
         Returns:
-            Its elements, or None while it is not complete.
+            The array's elements, or None while it is not complete.
 
         Raises:
             ProtocolError: The bytes are not the beginning of an array within the bounds.
@@ -108,14 +109,14 @@
         return True
 
     def _read_elements(self) -> bool:
-        """Parse the elements that have come; return whether the array is complete."""
+        """Parse the elements that have arrived; return whether the array is complete."""
         buffer = self.buffer
         elements = self._elements
         while len(elements) < self._count:
             if self._length_bytes is None and not self._read_bulk_header():
                 return False
             if self.streamed_bytes_left:
-                return False  # until ``take_piece`` has taken all of it
+                return False  # ``take_piece`` has to take the whole element first
             length = cast(int, self._length_bytes)
             if length < 0:
                 elements.append(None)
@@ -168,23 +169,23 @@
         """Parse the next command.
 
         Returns:
-            Its name and arguments, or None while it is not complete.
+            The command's name and arguments, or None while it is not complete.
 
         Raises:
             ProtocolError: The bytes are not the beginning of a command.
         """
-        return cast("list[bytes] | None", self.next_array())  # nothing may be null
+        return cast("list[bytes] | None", self.next_array())  # no element may be null
 
     def is_within_body(self) -> bool:
         """Whether only the rest of a command's body is missing."""
         return len(self._elements) == HEAD_ARGUMENT_COUNT and self._length_bytes is not None
 
 
-RawReply = list[bytes | None] | str  # value, usage figures, load report; or an error line without its dash
+RawReply = list[bytes | None] | str  # value, usage report, load report; or an error line without its dash
 
 
 class ReplyReader(BulkArrayReader):
-    """Parses the replies of an upstream server: value, usage figures and load report, or an error line."""
+    """Parses the replies of an upstream server: value, usage report and load report, or an error line."""
 
     def __init__(self) -> None:
         super().__init__(
