--- a/quota_gateway/net/resp.py
+++ b/quota_gateway/net/resp.py
@@ -19,7 +19,7 @@
 STREAMED_MIN_BYTES = 64 * 1024  # longer values are streamed
 MAX_HEADER_BYTES = 16  # a type byte, up to seven digits, CR LF, and a margin
 MAX_ERROR_LINE_BYTES = 512  # room for some words, a usage report and a load report
-MAX_FIGURES_BYTES = 256  # limit for the usage report, and for the load report
+MAX_REPORT_BYTES = 256  # limit for the usage report, and for the load report
 HEAD_ARGUMENT_COUNT = 4  # arguments of a command before its body
 COMMAND_ARGUMENT_MAX_BYTES = (64, 64, 128, 512, MAX_BODY_BYTES)  # name, customer, id, list of fields, body
 ARRAY_HEADER = re.compile(rb"\*([0-9]{1,7})\r\n")
@@ -189,7 +189,7 @@
 
     def __init__(self) -> None:
         super().__init__(
-            (MAX_VALUE_BYTES, MAX_FIGURES_BYTES, MAX_FIGURES_BYTES),
+            (MAX_VALUE_BYTES, MAX_REPORT_BYTES, MAX_REPORT_BYTES),
             min_count=3,
             nullable_from=1,
             streamed_min_bytes=STREAMED_MIN_BYTES,
