--- a/quota_gateway/net/acceptor.py
+++ b/quota_gateway/net/acceptor.py
@@ -115,7 +115,7 @@
         if self._closes_when_empty:
             self.close()
 
-    def take_back(self) -> None:
+    def end_suspension(self) -> None:
         """Accept again after the other process has given up the handover."""
         self.is_suspended = False
         self.is_shared = False
--- a/quota_gateway/net/clients/listener.py
+++ b/quota_gateway/net/clients/listener.py
@@ -164,7 +164,7 @@
 
     def resume(self) -> None:
         """Accept and read again after the other process has given up the handover."""
-        self.acceptor.take_back()
+        self.acceptor.end_suspension()
         for connection in list(self.connections):
             connection.intake.read_commands(connection)
 
