--- a/quota_gateway/net/clients/arrival.py
+++ b/quota_gateway/net/clients/arrival.py
@@ -122,8 +122,8 @@
         if self._stalled_since_s is not None:
             return self._stalled_since_s
         now_s = time.monotonic()
-        is_held_up = now_s - self._last_tick_s > self._interval_s + NEGLIGIBLE_WAIT_S
-        return self._last_tick_s if is_held_up else now_s
+        is_stalled = now_s - self._last_tick_s > self._interval_s + NEGLIGIBLE_WAIT_S
+        return self._last_tick_s if is_stalled else now_s
 
     def _on_input_read(self) -> None:
         self._stalled_since_s = None
