--- a/tests/net/clients/__init__.py
+++ b/tests/net/clients/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the client side of the sockets."""
+"""Tests of client connections."""
--- a/tests/net/clients/test_arrival.py
+++ b/tests/net/clients/test_arrival.py
@@ -1,4 +1,4 @@
-"""When a command came that is read only now, and what a server is told of its time then."""
+"""The arrival times of commands that waited to be read, and the timeouts that servers get for them."""
 
 import asyncio
 import time
@@ -19,19 +19,19 @@
 
 
 class SettableTime:
-    """Takes the place of the module ``time``: its monotonic clock is ahead by ``offset_s``."""
+    """Replaces the module ``time``, with a monotonic clock that is ahead by ``offset_s``."""
 
     def __init__(self):
         self.offset_s = 0.0
 
     def monotonic(self):
-        """Give the time."""
+        """Return the shifted monotonic time in seconds."""
         return time.monotonic() + self.offset_s
 
 
 @pytest.fixture
 def clock(monkeypatch):
-    """The clock by which waits are measured; the deadlines of requests go by another one."""
+    """Replace the clock that measures waits; the deadlines of requests use another clock."""
     settable = SettableTime()
     for module in (acceptor, arrival):
         monkeypatch.setattr(module, "time", settable)
@@ -39,7 +39,7 @@
 
 
 def told_ms(command):
-    """The time that a command tells its server."""
+    """Return the timeout in milliseconds that a forwarded command contains."""
     fields = dict(part.split(b"=") for part in command[3].split(b","))
     return int(fields[b"d"])
 
@@ -48,9 +48,9 @@
     ("waited_s", "kernel_age_s", "age_s"),
     [
         pytest.param(0.01, 5.0, 0.0, id="negligible"),
-        pytest.param(1.0, 0.25, 0.25, id="the kernel tells"),
-        pytest.param(1.0, 3.0, 1.0, id="not before it can have come"),
-        pytest.param(1.0, None, 1.0, id="the kernel does not tell"),
+        pytest.param(1.0, 0.25, 0.25, id="the kernel reports the age"),
+        pytest.param(1.0, 3.0, 1.0, id="not before the earliest time"),
+        pytest.param(1.0, None, 1.0, id="the kernel reports no age"),
     ],
 )
 def test_arrival_is_as_late_as_is_known(monkeypatch, waited_s, kernel_age_s, age_s):
@@ -79,9 +79,9 @@
     start_s = clock.monotonic()
     assert stalls.earliest_s() >= start_s
     clock.offset_s = WAIT_S
-    assert start_s - 0.01 <= stalls.earliest_s() <= start_s + 0.01  # held up: input is handled before timers
+    assert start_s - 0.01 <= stalls.earliest_s() <= start_s + 0.01  # stalled: input is handled before timers
     stalls.tick()
-    assert stalls.earliest_s() <= start_s + 0.01  # input after the tick may be as old
+    assert stalls.earliest_s() <= start_s + 0.01  # input read after the tick may have arrived as early
     await wait_until(lambda: stalls.earliest_s() > start_s + WAIT_S)
 
 
@@ -120,7 +120,7 @@
         gateway.client_listener.acceptor.resume()
         assert await client.read_reply() == b"%016x" % 1
         assert told_ms(upstream.commands[0]) <= TIMEOUT_MS - 1000.0 * WAIT_S
-        clock.offset_s = 2.0 * WAIT_S + 1.0  # what comes later has not waited
+        clock.offset_s = 2.0 * WAIT_S + 1.0  # commands that arrive later have not waited
         await wait_until(lambda: gateway.client_listener.stalls.earliest_s() >= clock.monotonic() - 0.05)
         assert await client.request(encode_call(2, timeout_ms=TIMEOUT_MS)) == b"%016x" % 2
         assert told_ms(upstream.commands[1]) > TIMEOUT_MS - 1000.0 * WAIT_S
@@ -141,7 +141,7 @@
 
 
 async def test_connection_that_comes_long_after_a_pause_has_not_waited(clock, monkeypatch):
-    monkeypatch.setattr(arrival, "seconds_since_data", lambda _: None)  # the kernel does not tell
+    monkeypatch.setattr(arrival, "seconds_since_data", lambda _: None)  # the kernel reports no age
     upstream = FakeUpstream()
     async with run_gateway(upstream) as gateway:
         gateway.client_listener.acceptor.pause()
--- a/tests/net/clients/test_client_disconnect.py
+++ b/tests/net/clients/test_client_disconnect.py
@@ -1,7 +1,7 @@
-"""No attempt, first or retry, begins for a client that has closed or reset its connection.
+"""No attempt, first or retry, starts for a client that has closed or reset its connection.
 
-In each case here the client's end is in the kernel and the loop has had no turn since, as where it is busy or
-reads nothing of the connection, when an attempt falls due.
+In each case an attempt becomes due after the kernel has received the disconnect and before the event loop has
+noticed it. This happens when the loop is busy or does not read the connection.
 """
 
 import asyncio
@@ -24,16 +24,18 @@
 from tests.support.gateway_node import run_gateway, wait_until
 from tests.support.resp_encoding import encode_call, encode_reply
 
+# Times so long that no timer fires by itself.
 CLASSES = (
-    RequestClass("read", 200_000.0, 600_000.0, Idempotency.IDEMPOTENT),  # nothing falls due by itself
+    RequestClass("read", 200_000.0, 600_000.0, Idempotency.IDEMPOTENT),
     RequestClass("buy", 200_000.0, 600_000.0, Idempotency.NON_IDEMPOTENT),
 )
-PLANS = (Plan("free"), Plan("held", rate=0.2, burst=2.0), Plan("two", max_in_flight=2))  # one of two here
+# Plan "two" allows two requests in flight, of which this gateway may have one.
+PLANS = (Plan("free"), Plan("held", rate=0.2, burst=2.0), Plan("two", max_in_flight=2))
 LIMITS = GatewayLimits(max_attempts=3, may_duplicate=True, can_cancel=True, connect_timeout_ms=2000.0)
-LIMIT_MS = 10_000  # generous: what a loopback end takes to arrive
-FIRST, SECOND = 1, 2  # requests of the client that disconnects
-OTHER, LAST = 50, 99  # of another client
-LONG = range(100, 108)  # with a long reply
+LIMIT_MS = 10_000  # generous limit for a disconnect to arrive over loopback
+FIRST, SECOND = 1, 2  # numbers of requests of the client that disconnects
+OTHER, LAST = 50, 99  # numbers of requests of other clients
+LONG = range(100, 108)  # numbers of requests with a long reply
 
 
 def encode_request(number: int, plan: str = "free", **more) -> bytes:
@@ -45,7 +47,7 @@
 
 
 class DisconnectingClient:
-    """A client that ends its connection in order or by a reset, seen from both sides."""
+    """A client that ends its connection in order or by a reset, with access to both ends of it."""
 
     def __init__(self, how: str, *servers: FakeUpstream) -> None:
         self.how, self.servers = how, servers
@@ -61,7 +63,7 @@
         return self
 
     def disconnect(self) -> None:
-        """Disconnect; on return the end has come to the gateway's kernel, and its loop has had no turn."""
+        """Disconnect; on return the gateway's kernel has received it, but its event loop has not run yet."""
         if self.how == "reset":
             self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             self.socket.close()
@@ -72,26 +74,26 @@
         assert arrived.poll(LIMIT_MS)
 
     def forwarded(self, *numbers: int) -> list[bytes]:
-        """The ids of requests that servers have received: of these, or of all of this client."""
+        """Return the ids of requests that servers received: of those given, or of all of this client."""
         came = [words[2] for server in self.servers for words in server.commands]
         wanted = [request_id(number) for number in numbers or (FIRST, SECOND, *range(10, 30))]
         return sorted(number for number in came if number in wanted)
 
 
 def fire_timer(gateway, which: type) -> None:
-    """Let a timer of the policy engine fire."""
+    """Fire the one timer of this type that the policy engine has set."""
     (token,) = [token for token, timer in gateway.driver.engine.timers.armed.items() if type(timer) is which]
     gateway.driver.post(TimerFired(token))
 
 
 def upstream_connections(gateway, number: int) -> list[UpstreamConnection]:
-    """The connections with an attempt of this request."""
+    """Return the upstream connections that carry an attempt of a request."""
     held = gateway.driver.active_requests[request_id(number).decode()]
     return [attempt.connection for attempt in held.attempts.values()]
 
 
 def deliver_reply(connection: UpstreamConnection, reply: bytes) -> None:
-    """Deliver a server's reply, which the loop reads before it comes to the client."""
+    """Deliver a server's reply, which the event loop reads before the client's connection."""
     connection.data_received(reply)
 
 
@@ -102,7 +104,7 @@
 
 
 async def start_other_request(gateway, client: DisconnectingClient, plan: str) -> None:
-    """Let another client have a request in flight."""
+    """Start a request of another client and leave it in flight."""
     client.others.append(await gateway.connect_client())
     client.others[-1].send(encode_request(OTHER, plan))
     await wait_until_sent(gateway, client, OTHER)
@@ -113,7 +115,7 @@
     assert not upstream_connections(gateway, number)
 
 
-# Each case: what happens before the client disconnects; it returns what makes an attempt fall due after that.
+# Each case prepares the state before the disconnect, and returns a function that makes an attempt due later.
 
 
 async def delayed_by_the_bucket(gateway, client):
@@ -157,7 +159,7 @@
 
 async def slow_and_not_read(gateway, client):
     trigger = await slow(gateway, client)
-    client.connection.pause_writing()  # as the loop does where answers are not taken
+    client.connection.pause_writing()  # as the event loop does when the client reads no replies
     return trigger
 
 
@@ -166,7 +168,7 @@
     await wait_until_sent(gateway, client, FIRST)
     fire_timer(gateway, AttemptSlow)
     await wait_until_sent(gateway, client, FIRST)
-    first, second = upstream_connections(gateway, FIRST)  # a third server is left
+    first, second = upstream_connections(gateway, FIRST)  # a third server is left for a retry
     return lambda: (deliver_reply(first, b"-ERR\r\n"), deliver_reply(second, b"-ERR\r\n"))
 
 
@@ -189,12 +191,12 @@
 
 async def not_read_yet(_gateway, client):
     client.socket.sendall(encode_request(FIRST))
-    return lambda: None  # the loop comes to the command first, then to the end
+    return lambda: None  # the event loop reads the command first, then sees the disconnect
 
 
 async def reset_not_noticed_yet(gateway, client):
     trigger = await queued_under_an_in_flight_limit(gateway, client)
-    # The loop aborts the transport once reading has failed.
+    # The event loop aborts the transport once reading has failed.
     return lambda: (client.connection.transport.abort(), trigger())
 
 
@@ -215,7 +217,7 @@
 
 
 async def open_idle_connections(gateway, servers: int) -> None:
-    """Open an idle connection to each server: an attempt that falls due is sent at once."""
+    """Open an idle connection to each server, so that a due attempt is sent at once."""
     for number in range(1, servers + 1):
         done = []
         gateway.upstream_pool.start(number, Attempt(encode_request(LAST), done.append))
@@ -223,7 +225,7 @@
 
 
 async def expect_nothing_forwarded(gateway, client: DisconnectingClient, before: list[bytes]) -> None:
-    """Expect that no more was forwarded once another request was served, and no state is kept."""
+    """Check that nothing more was forwarded by the time another request is served, and no state is left."""
     decisions = gateway.driver.engine
     decisions.mechanisms.concurrency.limit = 100.0
     assert await (await gateway.connect_client()).request(encode_request(LAST)) == request_id(LAST)
@@ -292,11 +294,11 @@
         client.disconnect()
         gateway.update_endpoints(server.endpoint(1))
         await expect_nothing_forwarded(gateway, client, [])
-        assert client.connection.intake.request_count == 8  # and nothing is read on
+        assert client.connection.intake.request_count == 8  # no more commands were read
 
 
 async def send_half_a_command(gateway, listener, client) -> socket.socket:
-    """Send a command that the server takes only in part; returns the server's end of the connection."""
+    """Send a command that the server reads only in part; return the server's end of the connection."""
     loop = asyncio.get_running_loop()
     listener.setblocking(False)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -343,7 +345,7 @@
 
 
 async def receive(sock: socket.socket) -> bytes:
-    """Receive the next bytes, or none once the connection has ended in whatever way."""
+    """Receive the next bytes; return none once the connection is closed or reset."""
     try:
         return await asyncio.get_running_loop().sock_recv(sock, 1 << 20)
     except OSError:
--- a/tests/net/clients/test_client_listener.py
+++ b/tests/net/clients/test_client_listener.py
@@ -1,4 +1,4 @@
-"""What clients see: replies in order, malformed input, disconnects, slow readers, limits on connections."""
+"""The client listener: reply order, malformed input, disconnects, slow readers, limits on connections."""
 
 import asyncio
 import gc
@@ -71,7 +71,7 @@
             for n, words in zip(server.connection_numbers, server.commands, strict=True)
             if words[2].endswith(b"1")
         )
-        # The second is answered first: it waits for its turn.
+        # The second request is answered first, and its reply waits for that of the first.
         await wait_until(lambda: len(gateway.driver.active_requests) == 1)
         server.writers[first].write(encode_reply(b"late"))
         assert await peer.read_reply() == b"late"
@@ -173,7 +173,7 @@
 
 
 def disconnect(peer, how: str) -> None:
-    """Leave by an orderly end, or by a reset."""
+    """Close the client's connection in order, or by a reset."""
     if how == "reset":
         sock = peer.writer.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -239,7 +239,7 @@
         await peer.writer.drain()
         disconnect(peer, how)
         await wait_until(lambda: not gateway.driver.active_requests or bool(answered))
-        assert not answered  # they have ended before their time was up
+        assert not answered  # the requests have ended before their timeout
         await server.start()
         gateway.update_endpoints(server.endpoint(1))
         other = await gateway.connect_client()
@@ -293,7 +293,7 @@
     server = FakeUpstream(lambda words: encode_reply(words[2] + value))
     async with run_gateway(server) as gateway:
         peer, many = await gateway.connect_client(), 300
-        peer.reader._limit = 1  # the stream stops reading at once
+        peer.reader._limit = 1  # the client's stream stops reading at once
         peer.send(*(encode_call(number, timeout_ms=60_000) for number in range(many)))
         (client,) = gateway.client_listener.connections
         await wait_until(lambda: client.is_write_blocked)
@@ -330,7 +330,7 @@
         fourth.send(encode_call(3))
         await wait_until(lambda: not gateway.client_listener.is_accepting)
         server.writers[0].write(encode_reply(b"value"))
-        assert await busy.read_reply() == b"value"  # and it is idle now, and evicted
+        assert await busy.read_reply() == b"value"  # the connection is idle now and is evicted
         await server.wait_until(lambda: len(server.commands) == 3)
         assert gateway.client_listener.descriptors_in_use == 2 == len(gateway.client_listener.connections)
 
@@ -368,7 +368,7 @@
         for number in (1, 2):
             assert await usual.request(encode_call(number)) == b"%016x" % number
         assert await once.request(encode_call(3)) == b"0000000000000003"
-        await asyncio.sleep(0.01)  # both are idle for long enough now
+        await asyncio.sleep(0.01)  # both have been idle for long enough now
         assert await (await gateway.connect_client()).request(encode_call(4)) == b"0000000000000004"
         assert await once.read_reply() is None
         assert await usual.request(encode_call(5)) == b"0000000000000005"
@@ -381,7 +381,7 @@
         (client,) = gateway.client_listener.connections
         os.write(
             peer.writer.get_extra_info("socket").fileno(), encode_call(1)
-        )  # before the loop could read it
+        )  # the event loop has had no chance to read it
         assert not client.evict()
         assert await peer.read_reply() == b"0000000000000001"
         assert client.evict()
--- a/tests/net/clients/test_idle_connections.py
+++ b/tests/net/clients/test_idle_connections.py
@@ -1,4 +1,4 @@
-"""Many connections without a request, and slowly arriving commands among them."""
+"""Eviction and timeouts with many connections without requests and slowly arriving commands."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -16,7 +16,7 @@
 
 
 async def connect_many(gateway, said: bytes) -> list:
-    """Open three times as many connections as there may be; each sends these bytes and no more."""
+    """Open three times as many connections as allowed; each sends the given bytes and no more."""
     peers = []
     for _ in range(3 * MAX_CONNECTIONS):
         peers.append(await gateway.connect_client())
@@ -29,7 +29,7 @@
     "said", [b"", encode_command("PING"), encode_call(1)[:50], encode_command("NONSENSE")]
 )
 async def test_connections_without_requests_do_not_keep_others_out(said, monkeypatch):
-    monkeypatch.setattr(idle_connections, "COMMAND_READ_TIMEOUT_S", 50.0)  # nobody's time is up
+    monkeypatch.setattr(idle_connections, "COMMAND_READ_TIMEOUT_S", 50.0)  # no command times out
     monkeypatch.setattr(idle_connections, "IDLE_GRACE_S", 50.0)
     async with run_gateway(FakeUpstream(), max_connections=MAX_CONNECTIONS) as gateway:
         peers = await connect_many(gateway, said)
@@ -74,7 +74,7 @@
 
 @dataclass(eq=False)
 class FakeConnection:
-    """A connection as the tracking sees it, without a socket."""
+    """A tracked connection without a socket, which is also its own command intake."""
 
     name: str
     request_count: int = 0
@@ -88,15 +88,15 @@
 
     @property
     def intake(self) -> "FakeConnection":
-        """What has come on it."""
+        """The connection itself, which stands for its intake."""
         return self
 
     def has_partial_command(self) -> bool:
-        """Whether a part of a command has come."""
+        """Whether a part of a command has been received."""
         return self.partial_command
 
     def evict(self) -> bool:
-        """Note that it was closed, unless a command waits to be read."""
+        """Record that the connection was closed, unless a command is unread; return whether it was."""
         if self.has_unread_command:
             return False
         self.closed.append(self.name)
@@ -104,7 +104,7 @@
 
 
 def track(tracked: IdleConnections, *connections: FakeConnection) -> list[str]:
-    """Track connections that have been read to the end; gives the names that are closed, in order."""
+    """Track connections without unread bytes; return the list to which the names of closed ones are added."""
     closed: list[str] = []
     for connection in connections:
         connection.closed = closed
--- a/tests/net/clients/test_large_replies.py
+++ b/tests/net/clients/test_large_replies.py
@@ -1,4 +1,4 @@
-"""Large values that are streamed: pieces, backpressure both ways, values that break off."""
+"""Streamed large values: pieces, backpressure in both directions, truncated values."""
 
 import asyncio
 
@@ -18,13 +18,13 @@
 
 
 def writer_for(server: FakeUpstream, ending: bytes) -> asyncio.StreamWriter:
-    """The connection on which the one command has come whose request id ends so."""
+    """Return the writer of the connection with the one command whose request id has this ending."""
     (number,) = [n for n, words in enumerate(server.commands) if words[2].endswith(ending)]
     return server.writers[server.connection_numbers[number]]
 
 
 def read_in_pieces(answer: bytes, size: int) -> tuple[bytes, list]:
-    """What a reader of answers makes of bytes that come in pieces: the large value, and all answers."""
+    """Parse bytes that arrive in pieces; return the streamed value and all replies."""
     reader, value, answers = ReplyReader(), b"", []
     for at in range(0, len(answer), size):
         reader.receive_data(answer[at : at + size])
@@ -261,7 +261,7 @@
         (connection,) = gateway.client_listener.connections
         assert connection.intake.is_read_paused
         assert len(connection.pending_replies) == 1
-        server.writers[0].close()  # the client sees its value break off, and sends the second again elsewhere
+        server.writers[0].close()  # the client sees a truncated value, and sends its second command elsewhere
         await wait_until(lambda: not gateway.client_listener.connections)
         assert len(server.commands) == 1
 
