--- a/tests/net/clients/test_arrival.py
+++ b/tests/net/clients/test_arrival.py
@@ -38,7 +38,7 @@
     return settable
 
 
-def told_ms(command):
+def forwarded_timeout_ms(command):
     """Return the timeout in milliseconds that a forwarded command contains."""
     fields = dict(part.split(b"=") for part in command[3].split(b","))
     return int(fields[b"d"])
@@ -53,13 +53,13 @@
         pytest.param(1.0, None, 1.0, id="the kernel reports no age"),
     ],
 )
-def test_arrival_is_as_late_as_is_known(monkeypatch, waited_s, kernel_age_s, age_s):
+def test_arrival_time_is_the_kernels_within_the_possible_wait(monkeypatch, waited_s, kernel_age_s, age_s):
     monkeypatch.setattr(arrival, "seconds_since_data", lambda _: kernel_age_s)
     now_s = time.monotonic()
     assert arrival_s(None, now_s - waited_s) == pytest.approx(now_s - age_s, abs=0.02)
 
 
-async def test_kernel_tells_when_data_came():
+async def test_kernel_reports_when_data_arrived():
     async with run_gateway(FakeUpstream(lambda _: None)) as gateway:
         client = await gateway.connect_client()
         client.send(encode_call(1))
@@ -74,7 +74,7 @@
         assert seconds_since_data(connection.socket) <= before_s
 
 
-async def test_stall_is_noticed_while_it_lasts_and_until_input_was_read(clock):
+async def test_stall_is_detected_while_it_lasts_and_until_the_loop_has_polled_for_input(clock):
     stalls = StallDetector(TICK_S)
     start_s = clock.monotonic()
     assert stalls.earliest_s() >= start_s
@@ -85,7 +85,7 @@
     await wait_until(lambda: stalls.earliest_s() > start_s + WAIT_S)
 
 
-async def test_command_that_waited_for_pending_ones_names_its_remaining_timeout(clock):
+async def test_command_that_waited_for_pending_ones_is_forwarded_with_its_remaining_timeout(clock):
     upstream = FakeUpstream(lambda _: None)
     async with run_gateway(upstream) as gateway:
         client = await gateway.connect_client()
@@ -105,10 +105,12 @@
         last = b"%016x" % MAX_PIPELINED_COMMANDS
         await upstream.wait_until(lambda: any(words[2] == last for words in upstream.commands))
         (command,) = [words for words in upstream.commands if words[2] == last]
-        assert told_ms(command) <= TIMEOUT_MS - 1000.0 * WAIT_S
+        assert forwarded_timeout_ms(command) <= TIMEOUT_MS - 1000.0 * WAIT_S
 
 
-async def test_command_of_a_connection_that_waited_to_be_accepted_tells_what_is_left(clock, monkeypatch):
+async def test_command_on_a_connection_that_waited_to_be_accepted_has_its_remaining_timeout(
+    clock, monkeypatch
+):
     monkeypatch.setattr(arrival, "seconds_since_data", lambda _: WAIT_S)
     upstream = FakeUpstream()
     async with run_gateway(upstream) as gateway:
@@ -119,14 +121,14 @@
         clock.offset_s = 2.0 * WAIT_S
         gateway.client_listener.acceptor.resume()
         assert await client.read_reply() == b"%016x" % 1
-        assert told_ms(upstream.commands[0]) <= TIMEOUT_MS - 1000.0 * WAIT_S
+        assert forwarded_timeout_ms(upstream.commands[0]) <= TIMEOUT_MS - 1000.0 * WAIT_S
         clock.offset_s = 2.0 * WAIT_S + 1.0  # commands that arrive later have not waited
         await wait_until(lambda: gateway.client_listener.stalls.earliest_s() >= clock.monotonic() - 0.05)
         assert await client.request(encode_call(2, timeout_ms=TIMEOUT_MS)) == b"%016x" % 2
-        assert told_ms(upstream.commands[1]) > TIMEOUT_MS - 1000.0 * WAIT_S
+        assert forwarded_timeout_ms(upstream.commands[1]) > TIMEOUT_MS - 1000.0 * WAIT_S
 
 
-async def test_no_attempt_for_a_command_whose_time_is_over_when_it_is_read(clock, monkeypatch):
+async def test_no_attempt_starts_for_a_command_whose_timeout_is_over_when_it_is_read(clock, monkeypatch):
     monkeypatch.setattr(arrival, "seconds_since_data", lambda _: WAIT_S)
     upstream = FakeUpstream()
     async with run_gateway(upstream) as gateway:
@@ -140,7 +142,7 @@
         assert not upstream.commands
 
 
-async def test_connection_that_comes_long_after_a_pause_has_not_waited(clock, monkeypatch):
+async def test_connection_that_arrives_long_after_a_pause_has_not_waited(clock, monkeypatch):
     monkeypatch.setattr(arrival, "seconds_since_data", lambda _: None)  # the kernel reports no age
     upstream = FakeUpstream()
     async with run_gateway(upstream) as gateway:
@@ -151,4 +153,4 @@
         await wait_until(lambda: gateway.client_listener.stalls.earliest_s() >= clock.monotonic() - 0.05)
         client = await gateway.connect_client()
         assert await client.request(encode_call(1, timeout_ms=TIMEOUT_MS)) == b"%016x" % 1
-        assert told_ms(upstream.commands[0]) > TIMEOUT_MS - 1000.0 * WAIT_S
+        assert forwarded_timeout_ms(upstream.commands[0]) > TIMEOUT_MS - 1000.0 * WAIT_S
