--- a/tests/net/clients/test_client_disconnect.py
+++ b/tests/net/clients/test_client_disconnect.py
@@ -32,10 +32,10 @@
 # Plan "two" allows two requests in flight, of which this gateway may have one.
 PLANS = (Plan("free"), Plan("held", rate=0.2, burst=2.0), Plan("two", max_in_flight=2))
 LIMITS = GatewayLimits(max_attempts=3, may_duplicate=True, can_cancel=True, connect_timeout_ms=2000.0)
-LIMIT_MS = 10_000  # generous limit for a disconnect to arrive over loopback
+DISCONNECT_TIMEOUT_MS = 10_000  # generous limit for a disconnect to arrive over loopback
 FIRST, SECOND = 1, 2  # numbers of requests of the client that disconnects
 OTHER, LAST = 50, 99  # numbers of requests of other clients
-LONG = range(100, 108)  # numbers of requests with a long reply
+LONG_REPLIES = range(100, 108)  # numbers of requests with a long reply
 
 
 def encode_request(number: int, plan: str = "free", **more) -> bytes:
@@ -69,27 +69,29 @@
             self.socket.close()
         else:
             self.socket.shutdown(socket.SHUT_WR)
-        arrived = select.poll()
-        arrived.register(self.connection.socket.fileno(), select.POLLRDHUP)
-        assert arrived.poll(LIMIT_MS)
+        poller = select.poll()
+        poller.register(self.connection.socket.fileno(), select.POLLRDHUP)
+        assert poller.poll(DISCONNECT_TIMEOUT_MS)
 
     def forwarded(self, *numbers: int) -> list[bytes]:
         """Return the ids of requests that servers received: of those given, or of all of this client."""
-        came = [words[2] for server in self.servers for words in server.commands]
-        wanted = [request_id(number) for number in numbers or (FIRST, SECOND, *range(10, 30))]
-        return sorted(number for number in came if number in wanted)
+        received_ids = [words[2] for server in self.servers for words in server.commands]
+        expected_ids = [request_id(number) for number in numbers or (FIRST, SECOND, *range(10, 30))]
+        return sorted(number for number in received_ids if number in expected_ids)
 
 
-def fire_timer(gateway, which: type) -> None:
+def fire_timer(gateway, timer_type: type) -> None:
     """Fire the one timer of this type that the policy engine has set."""
-    (token,) = [token for token, timer in gateway.driver.engine.timers.armed.items() if type(timer) is which]
+    (token,) = [
+        token for token, timer in gateway.driver.engine.timers.armed.items() if type(timer) is timer_type
+    ]
     gateway.driver.post(TimerFired(token))
 
 
 def upstream_connections(gateway, number: int) -> list[UpstreamConnection]:
     """Return the upstream connections that carry an attempt of a request."""
-    held = gateway.driver.active_requests[request_id(number).decode()]
-    return [attempt.connection for attempt in held.attempts.values()]
+    active = gateway.driver.active_requests[request_id(number).decode()]
+    return [attempt.connection for attempt in active.attempts.values()]
 
 
 def deliver_reply(connection: UpstreamConnection, reply: bytes) -> None:
@@ -119,8 +121,8 @@
 
 
 async def delayed_by_the_bucket(gateway, client):
-    peer = await gateway.connect_client()
-    assert await peer.request(encode_request(OTHER + 1, "held")) == request_id(OTHER + 1)
+    other_client = await gateway.connect_client()
+    assert await other_client.request(encode_request(OTHER + 1, "held")) == request_id(OTHER + 1)
     client.socket.sendall(encode_request(FIRST, "held"))
     await wait_until_queued(gateway, FIRST)
     return lambda: fire_timer(gateway, WaitOver)
@@ -179,11 +181,13 @@
     return lambda: deliver_reply(*upstream_connections(gateway, FIRST), encode_reply(b"v"))
 
 
-async def replies_not_taken(gateway, client):
+async def replies_not_read(gateway, client):
     client.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     client.connection.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     await start_other_request(gateway, client, "two")
-    client.socket.sendall(b"".join(encode_request(number) for number in LONG) + encode_request(FIRST, "two"))
+    client.socket.sendall(
+        b"".join(encode_request(number) for number in LONG_REPLIES) + encode_request(FIRST, "two")
+    )
     await wait_until(lambda: client.connection.is_write_blocked and client.connection.intake.is_read_paused)
     await wait_until_queued(gateway, FIRST)
     return lambda: deliver_reply(*upstream_connections(gateway, OTHER), encode_reply(b"v"))
@@ -210,7 +214,7 @@
     slow_and_not_read,
     hedged,
     pipelined,
-    replies_not_taken,
+    replies_not_read,
     not_read_yet,
     reset_not_noticed_yet,
 ]
@@ -226,34 +230,34 @@
 
 async def expect_nothing_forwarded(gateway, client: DisconnectingClient, before: list[bytes]) -> None:
     """Check that nothing more was forwarded by the time another request is served, and no state is left."""
-    decisions = gateway.driver.engine
-    decisions.mechanisms.concurrency.limit = 100.0
+    engine = gateway.driver.engine
+    engine.mechanisms.concurrency.limit = 100.0
     assert await (await gateway.connect_client()).request(encode_request(LAST)) == request_id(LAST)
     assert client.forwarded() == before
     await wait_until(lambda: not gateway.driver.active_requests)
-    assert not decisions.requests
-    assert not decisions.mechanisms.queue.requests
-    assert not decisions.mechanisms.concurrency.in_flight
-    assert not any(server.in_flight for server in decisions.endpoints.by_id.values())
-    assert not any(customer.in_flight for customer in decisions.customers.values())
+    assert not engine.requests
+    assert not engine.mechanisms.queue.requests
+    assert not engine.mechanisms.concurrency.in_flight
+    assert not any(server.in_flight for server in engine.endpoints.by_id.values())
+    assert not any(customer.in_flight for customer in engine.customers.values())
 
 
 @pytest.mark.parametrize("how", ["end", "reset"])
 @pytest.mark.parametrize("case", CASES)
-async def test_attempt_due_after_its_client_disconnected_does_not_begin(case, how, monkeypatch):
+async def test_attempt_due_after_its_client_disconnected_does_not_start(case, how, monkeypatch):
     monkeypatch.setattr(upstream_pool, "REUSE_DELAY_S", 0.0)
     monkeypatch.setattr(client_listener, "SWEEP_INTERVAL_S", 3600.0)
     monkeypatch.setattr(client_connection, "WRITE_STALL_TIMEOUT_S", 3600.0)
-    silent = set()
+    unanswered_ids = set()
 
     def reply(words):
-        long = b"v" * 60_000 if int(words[2], 16) in LONG else words[2]
-        return None if words[2] in silent else encode_reply(long)
+        long = b"v" * 60_000 if int(words[2], 16) in LONG_REPLIES else words[2]
+        return None if words[2] in unanswered_ids else encode_reply(long)
 
     servers = [FakeUpstream(reply) for _ in range(3)]
     async with run_gateway(*servers, classes=CLASSES, plans=PLANS, limits=LIMITS) as gateway:
         await open_idle_connections(gateway, len(servers))
-        silent.update(map(request_id, (FIRST, SECOND, OTHER)))
+        unanswered_ids.update(map(request_id, (FIRST, SECOND, OTHER)))
         client = await DisconnectingClient(how, *servers).open(gateway)
         trigger = await case(gateway, client)
         before = client.forwarded()
@@ -264,12 +268,12 @@
 
 @pytest.mark.parametrize("how", ["end", "reset"])
 async def test_connection_established_after_the_client_disconnected_forwards_nothing(how, monkeypatch):
-    made, clients = UpstreamConnection.connection_made, []
+    original_connection_made, clients = UpstreamConnection.connection_made, []
 
     def disconnect_first(self, transport):
         while clients:
             clients.pop().disconnect()
-        made(self, transport)
+        original_connection_made(self, transport)
 
     monkeypatch.setattr(UpstreamConnection, "connection_made", disconnect_first)
     server = FakeUpstream()
@@ -297,7 +301,7 @@
         assert client.connection.intake.request_count == 8  # no more commands were read
 
 
-async def send_half_a_command(gateway, listener, client) -> socket.socket:
+async def send_half_written_command(gateway, listener, client) -> socket.socket:
     """Send a command that the server reads only in part; return the server's end of the connection."""
     loop = asyncio.get_running_loop()
     listener.setblocking(False)
@@ -321,7 +325,7 @@
     async with run_gateway(classes=CLASSES, plans=PLANS) as gateway:
         with socket.create_server(("127.0.0.1", 0)) as listener:
             client, reader = DisconnectingClient(how), hiredis.Reader()
-            accepted = await send_half_a_command(gateway, listener, client)
+            accepted = await send_half_written_command(gateway, listener, client)
             client.disconnect()
             command = False
             while command is False and (data := await receive(accepted)):
@@ -336,7 +340,7 @@
     async with run_gateway(classes=CLASSES, plans=PLANS) as gateway:
         with socket.create_server(("127.0.0.1", 0)) as listener:
             client = DisconnectingClient("end")
-            accepted = await send_half_a_command(gateway, listener, client)
+            accepted = await send_half_written_command(gateway, listener, client)
             accepted.send(b"-ERR\r\n")
             await wait_until(lambda: not gateway.driver.active_requests)
             assert not gateway.upstream_pool.hosts[1].idle
