--- a/tests/net/clients/test_client_listener.py
+++ b/tests/net/clients/test_client_listener.py
@@ -188,24 +188,24 @@
 async def test_request_that_waits_when_its_client_disconnects_is_not_forwarded_and_its_units_return(
     wait, how, monkeypatch
 ):
-    up, plain = asyncio.Event(), UpstreamConnection.open
+    may_open, original_open = asyncio.Event(), UpstreamConnection.open
 
     async def open_late(self):
-        await up.wait()
-        await plain(self)
+        await may_open.wait()
+        await original_open(self)
 
     server = FakeUpstream()
     async with run_gateway(plans=PLANS_WITH_DELAY) as gateway:
         await server.start()
-        peer, last = await gateway.connect_client(), 1
+        peer, request_number = await gateway.connect_client(), 1
         if wait != "queued":
             gateway.update_endpoints(server.endpoint(1))
         if wait == "delayed by the bucket":
-            up.set()
+            may_open.set()
             assert await peer.request(encode_call(0, plan="held")) == b"0000000000000000"
         elif wait == "for a connection":
             monkeypatch.setattr(UpstreamConnection, "open", open_late)
-        peer.send(encode_call(last, plan="held"))
+        peer.send(encode_call(request_number, plan="held"))
         await wait_until(lambda: len(gateway.driver.active_requests) == 1)
         (pending,) = gateway.driver.engine.requests.values()
         customer = pending.customer
@@ -216,10 +216,10 @@
         await wait_until(lambda: not gateway.driver.active_requests)
         assert customer.excess == before - 1000.0
         gateway.update_endpoints(server.endpoint(1))
-        up.set()
+        may_open.set()
         gateway.driver.engine.lifecycle.on_timer(WaitOver(pending))
         assert await (await gateway.connect_client()).request(encode_call(9)) == b"0000000000000009"
-        assert b"%016x" % last not in [words[2] for words in server.commands]
+        assert b"%016x" % request_number not in [words[2] for words in server.commands]
 
 
 @pytest.mark.parametrize("how", ["end", "reset"])
@@ -249,11 +249,14 @@
 
 
 async def test_disconnect_with_unread_replies_ends_the_pending_requests(monkeypatch):
-    answered, plain = [], RequestAnswers.send
+    answered, original_send = [], RequestAnswers.send
     monkeypatch.setattr(
         RequestAnswers,
         "send",
-        lambda self, request, reply: (answered.append(request.request_id), plain(self, request, reply)),
+        lambda self, request, reply: (
+            answered.append(request.request_id),
+            original_send(self, request, reply),
+        ),
     )
     server = FakeUpstream(lambda words: encode_reply(b"v" * 65_000) if words[2].endswith(b"0") else None)
     async with run_gateway(server) as gateway:
@@ -275,11 +278,11 @@
         busy = await gateway.connect_client()
         busy.send(encode_call(1))
         await server.wait_until(lambda: len(server.commands) == 1)
-        gone = await gateway.connect_client()
-        gone.send(encode_call(2))
-        await gone.writer.drain()
-        gone.writer.close()
-        await gone.writer.wait_closed()
+        disconnected = await gateway.connect_client()
+        disconnected.send(encode_call(2))
+        await disconnected.writer.drain()
+        disconnected.writer.close()
+        await disconnected.writer.wait_closed()
         last = await gateway.connect_client()
         last.send(encode_call(3))
         server.writers[0].write(encode_reply(b"v"))
@@ -364,14 +367,14 @@
     monkeypatch.setattr(idle_connections, "IDLE_GRACE_S", 0.0)
     monkeypatch.setattr(idle_connections, "MAX_EVICTIONS_PER_CALL", 1)
     async with run_gateway(FakeUpstream(), max_connections=2) as gateway:
-        usual, once = await gateway.connect_client(), await gateway.connect_client()
+        with_two_requests, with_one_request = await gateway.connect_client(), await gateway.connect_client()
         for number in (1, 2):
-            assert await usual.request(encode_call(number)) == b"%016x" % number
-        assert await once.request(encode_call(3)) == b"0000000000000003"
+            assert await with_two_requests.request(encode_call(number)) == b"%016x" % number
+        assert await with_one_request.request(encode_call(3)) == b"0000000000000003"
         await asyncio.sleep(0.01)  # both have been idle for long enough now
         assert await (await gateway.connect_client()).request(encode_call(4)) == b"0000000000000004"
-        assert await once.read_reply() is None
-        assert await usual.request(encode_call(5)) == b"0000000000000005"
+        assert await with_one_request.read_reply() is None
+        assert await with_two_requests.request(encode_call(5)) == b"0000000000000005"
 
 
 async def test_idle_connection_with_an_unread_command_is_not_evicted():
@@ -509,7 +512,7 @@
         ("d=4000", "d= 4000"),
     ],
 )
-async def test_field_out_of_range_is_an_error_and_charges_nobody(old, new):
+async def test_field_out_of_range_is_an_error_and_charges_no_customer(old, new):
     server = FakeUpstream()
     async with run_gateway(server) as gateway:
         peer = await gateway.connect_client()
@@ -549,14 +552,16 @@
 
 
 async def test_commands_read_but_not_taken_yet_are_served_when_the_gateway_stops():
-    held = []
+    unanswered = []
     server = FakeUpstream(
-        lambda words: held.append(words) if len(held) < MAX_PIPELINED_COMMANDS else encode_reply(b"v")
+        lambda words: (
+            unanswered.append(words) if len(unanswered) < MAX_PIPELINED_COMMANDS else encode_reply(b"v")
+        )
     )
     async with run_gateway(server) as gateway:
         peer, more = await gateway.connect_client(), 6
         peer.send(*(encode_call(number) for number in range(MAX_PIPELINED_COMMANDS + more)))
-        await server.wait_until(lambda: len(held) == MAX_PIPELINED_COMMANDS)
+        await server.wait_until(lambda: len(unanswered) == MAX_PIPELINED_COMMANDS)
         gateway.client_listener.stop_listening()
         first = next(
             n
