--- a/tests/net/clients/test_idle_connections.py
+++ b/tests/net/clients/test_idle_connections.py
@@ -15,24 +15,24 @@
 MAX_CONNECTIONS = 8
 
 
-async def connect_many(gateway, said: bytes) -> list:
+async def connect_many(gateway, sent: bytes) -> list:
     """Open three times as many connections as allowed; each sends the given bytes and no more."""
     peers = []
     for _ in range(3 * MAX_CONNECTIONS):
         peers.append(await gateway.connect_client())
-        peers[-1].send(said)
+        peers[-1].send(sent)
         await asyncio.sleep(0)
     return peers
 
 
 @pytest.mark.parametrize(
-    "said", [b"", encode_command("PING"), encode_call(1)[:50], encode_command("NONSENSE")]
+    "sent", [b"", encode_command("PING"), encode_call(1)[:50], encode_command("NONSENSE")]
 )
-async def test_connections_without_requests_do_not_keep_others_out(said, monkeypatch):
+async def test_connections_without_requests_do_not_block_new_ones(sent, monkeypatch):
     monkeypatch.setattr(idle_connections, "COMMAND_READ_TIMEOUT_S", 50.0)  # no command times out
     monkeypatch.setattr(idle_connections, "IDLE_GRACE_S", 50.0)
     async with run_gateway(FakeUpstream(), max_connections=MAX_CONNECTIONS) as gateway:
-        peers = await connect_many(gateway, said)
+        peers = await connect_many(gateway, sent)
         for number in range(10, 14):
             peer = await gateway.connect_client()
             assert await peer.request(encode_call(number)) == b"%016x" % number
@@ -46,8 +46,8 @@
     async with run_gateway(FakeUpstream(), max_connections=MAX_CONNECTIONS) as gateway:
         slow, command = await gateway.connect_client(), encode_call(7)
         peers = []
-        for at in range(0, len(command), 4):
-            slow.send(command[at : at + 4])
+        for start in range(0, len(command), 4):
+            slow.send(command[start : start + 4])
             peers.append(await gateway.connect_client())
             peers[-1].send(encode_call(1)[:50])
             await asyncio.sleep(idle_connections.PARTIAL_COMMAND_GRACE_S / 8.0)
@@ -62,8 +62,8 @@
     async with run_gateway(server) as gateway:
         peer, body = await gateway.connect_client(), b"x" * 3000
         command = encode_call(1, "post", body=body)
-        for at in range(0, len(command), 200):
-            peer.send(command[at : at + 200])
+        for start in range(0, len(command), 200):
+            peer.send(command[start : start + 200])
             await asyncio.sleep(0.05)
         assert await peer.read_reply() == body
         stopped = await gateway.connect_client()
@@ -114,7 +114,7 @@
     return closed
 
 
-async def test_room_is_made_by_closing_silent_connections_then_idle_ones_by_request_count(monkeypatch):
+async def test_eviction_closes_silent_connections_then_idle_ones_by_request_count(monkeypatch):
     monkeypatch.setattr(idle_connections, "IDLE_GRACE_S", -1.0)
     now_s = asyncio.get_running_loop().time()
     tracked = IdleConnections()
@@ -134,7 +134,7 @@
     assert closed == ["silent", "stopped", "closing", "once", "usual"]
 
 
-async def test_no_more_connections_are_closed_at_once_than_the_limit(monkeypatch):
+async def test_one_call_evicts_no_more_connections_than_the_limit(monkeypatch):
     monkeypatch.setattr(idle_connections, "IDLE_GRACE_S", -1.0)
     monkeypatch.setattr(idle_connections, "MAX_EVICTIONS_PER_CALL", 3)
     tracked = IdleConnections()
@@ -149,7 +149,7 @@
     assert closed == ["once 0", "once 1", "usual 0", "usual 1"]
 
 
-async def test_connections_that_have_waited_elsewhere_time_out_each_after_its_own_wait(monkeypatch):
+async def test_connections_that_waited_in_another_process_time_out_after_their_total_wait(monkeypatch):
     clock_s, timed_out = [100.0], []
     monkeypatch.setattr(idle_connections, "COMMAND_READ_TIMEOUT_S", 1.0)
     monkeypatch.setattr(FakeConnection, "time_out", lambda self: timed_out.append(self.name), raising=False)
