--- a/tests/net/clients/test_large_replies.py
+++ b/tests/net/clients/test_large_replies.py
@@ -23,29 +23,29 @@
     return server.writers[server.connection_numbers[number]]
 
 
-def read_in_pieces(answer: bytes, size: int) -> tuple[bytes, list]:
+def read_in_pieces(data: bytes, size: int) -> tuple[bytes, list]:
     """Parse bytes that arrive in pieces; return the streamed value and all replies."""
-    reader, value, answers = ReplyReader(), b"", []
-    for at in range(0, len(answer), size):
-        reader.receive_data(answer[at : at + size])
-        got = reader.next_reply()
-        if got is None and reader.streamed_bytes_left is not None:
+    reader, value, replies = ReplyReader(), b"", []
+    for start in range(0, len(data), size):
+        reader.receive_data(data[start : start + size])
+        reply = reader.next_reply()
+        if reply is None and reader.streamed_bytes_left is not None:
             value += reader.take_piece()
-            got = reader.next_reply()
-        if got is not None:
-            answers.append(got)
+            reply = reader.next_reply()
+        if reply is not None:
+            replies.append(reply)
         assert len(reader.buffer) <= size + 64
-    return value, answers
+    return value, replies
 
 
 @pytest.mark.parametrize("size", [1, 7, 65_536, 10_000_000])
 def test_reader_gathers_short_values_and_streams_large_ones(size):
     large = LARGE_VALUE[:70_000]
-    value, answers = read_in_pieces(
+    value, replies = read_in_pieces(
         b"*3\r\n$70000\r\n" + large + VALUE_END + encode_reply(b"short") * 2, size
     )
     assert value == large
-    first, *rest = answers
+    first, *rest = replies
     assert first == [b"", b"used=1", None]
     if size < 30:
         assert rest == [[b"short", None, None]] * 2
@@ -129,7 +129,7 @@
 @pytest.mark.parametrize(
     "rest", [None, LARGE_VALUE[10:] + b"xx$-1\r\n$-1\r\n", LARGE_VALUE[10:] + b"\r\n$9999\r\n"]
 )
-async def test_large_value_that_breaks_off_closes_the_client_connection(rest):
+async def test_truncated_large_value_closes_the_client_connection(rest):
     server = FakeUpstream(lambda _words: None)
     async with run_gateway(server) as gateway:
         peer = await gateway.connect_client()
@@ -147,7 +147,7 @@
         assert gateway.client_listener.budget.buffered_bytes == gateway.upstream_pool.buffered_bytes == 0
 
 
-async def test_large_value_that_breaks_off_before_its_turn_spares_the_replies_before_it():
+async def test_large_value_truncated_before_its_turn_does_not_affect_earlier_replies():
     server = FakeUpstream(lambda _words: None)
     async with run_gateway(server) as gateway:
         peer = await gateway.connect_client()
@@ -212,18 +212,20 @@
         peer = await gateway.connect_client()
         peer.send(encode_call(1))
         await wait_until(lambda: gateway.driver.active_requests)
-        (held,) = gateway.driver.active_requests.values()
-        (first,) = held.attempts.values()
-        pending = gateway.driver.engine.requests[held.request_id]
-        at = next(number for number in (1, 2) if number not in pending.tried_endpoints)
+        (active,) = gateway.driver.active_requests.values()
+        (first,) = active.attempts.values()
+        pending = gateway.driver.engine.requests[active.request_id]
+        server_id = next(number for number in (1, 2) if number not in pending.tried_endpoints)
         gateway.driver.engine.output.clear()
-        gateway.driver.engine.lifecycle.start_attempt(pending, gateway.driver.engine.endpoints.by_id[at])
+        gateway.driver.engine.lifecycle.start_attempt(
+            pending, gateway.driver.engine.endpoints.by_id[server_id]
+        )
         for action in gateway.driver.engine.output:
             gateway.driver._perform(action)
         for fake in (server, other):
             await fake.wait_until(lambda fake=fake: fake.commands)
         fakes = {1: server, 2: other}
-        quick = fakes.pop(at)
+        quick = fakes.pop(server_id)
         (slow,) = fakes.values()
         quick.writers[0].write(VALUE_HEADER + LARGE_VALUE + VALUE_END)
         assert await peer.read_reply() == LARGE_VALUE
@@ -231,7 +233,7 @@
         assert first.on_done is None
 
 
-async def test_value_that_breaks_off_before_others_are_answered_fails_alone():
+async def test_value_truncated_before_others_are_answered_fails_alone():
     server = FakeUpstream(lambda words: None if words[2].endswith(b"1") else encode_reply(words[2]))
     async with run_gateway(server) as gateway:
         client = await gateway.connect_client()
@@ -303,7 +305,7 @@
         assert await client.read_reply() == b"0000000000000002"
 
 
-async def test_value_that_breaks_off_before_its_turn_is_an_error_and_nothing_of_it_is_written():
+async def test_value_truncated_before_its_turn_is_an_error_and_nothing_of_it_is_written():
     server = FakeUpstream(lambda words: encode_reply(words[2]) if words[2].endswith(b"3") else None)
     async with run_gateway(server) as gateway:
         client = await gateway.connect_client()
