--- a/tests/net/clients/test_client_listener.py
+++ b/tests/net/clients/test_client_listener.py
@@ -27,8 +27,8 @@
 async def test_request_is_forwarded_unchanged_but_for_the_timeout():
     server = FakeUpstream(lambda _words: encode_reply(b"val\r\nue"))
     async with run_gateway(server) as gateway:
-        peer = await gateway.connect_client()
-        assert await peer.request(encode_call(1, "post", body=b"\x00\r\nx")) == b"val\r\nue"
+        client = await gateway.connect_client()
+        assert await client.request(encode_call(1, "post", body=b"\x00\r\nx")) == b"val\r\nue"
         name, customer, request_id, fields, body = server.commands[0]
         assert (name, customer, request_id, body) == (
             b"CALL.POST",
@@ -51,20 +51,20 @@
 async def test_command_in_single_bytes_and_one_with_a_large_body_are_forwarded():
     server = FakeUpstream(lambda words: encode_reply(words[4]))
     async with run_gateway(server) as gateway:
-        peer, body = await gateway.connect_client(), bytes(range(256)) * 1600
+        client, body = await gateway.connect_client(), bytes(range(256)) * 1600
         for byte in encode_call(1, "buy", body=b"small"):
-            peer.send(bytes([byte]))
-            await peer.writer.drain()
+            client.send(bytes([byte]))
+            await client.writer.drain()
             await asyncio.sleep(0)
-        assert await peer.read_reply() == b"small"
-        assert await peer.request(encode_call(2, "buy", body=body)) == body
+        assert await client.read_reply() == b"small"
+        assert await client.request(encode_call(2, "buy", body=body)) == body
 
 
 async def test_pipelined_replies_come_in_the_order_of_their_commands():
     server = FakeUpstream(lambda words: None if words[2].endswith(b"1") else encode_reply(words[2]))
     async with run_gateway(server) as gateway:
-        peer = await gateway.connect_client()
-        peer.send(encode_call(1), encode_call(2), encode_command("PING"))
+        client = await gateway.connect_client()
+        client.send(encode_call(1), encode_call(2), encode_command("PING"))
         await server.wait_until(lambda: len(server.commands) == 2)
         first = next(
             n
@@ -74,9 +74,9 @@
         # The second request is answered first, and its reply waits for that of the first.
         await wait_until(lambda: len(gateway.driver.active_requests) == 1)
         server.writers[first].write(encode_reply(b"late"))
-        assert await peer.read_reply() == b"late"
-        assert await peer.read_reply() == b"0000000000000002"
-        assert await peer.read_reply() == b"PONG"
+        assert await client.read_reply() == b"late"
+        assert await client.read_reply() == b"0000000000000002"
+        assert await client.read_reply() == b"PONG"
 
 
 @pytest.mark.parametrize(
@@ -113,10 +113,10 @@
 async def test_malformed_command_gets_an_error_and_the_connection_stays_open(words):
     server = FakeUpstream()
     async with run_gateway(server) as gateway:
-        peer = await gateway.connect_client()
-        peer.send(encode_command(*words), encode_call(7))
-        assert (await peer.read_reply()).startswith("-ERR ")
-        assert await peer.read_reply() == b"0000000000000007"
+        client = await gateway.connect_client()
+        client.send(encode_command(*words), encode_call(7))
+        assert (await client.read_reply()).startswith("-ERR ")
+        assert await client.read_reply() == b"0000000000000007"
         assert len(server.commands) == 1
 
 
@@ -138,46 +138,46 @@
 async def test_protocol_error_is_answered_after_the_pending_replies_and_closes_the_connection(junk):
     server = FakeUpstream(lambda _words: None)
     async with run_gateway(server) as gateway:
-        peer, other = await gateway.connect_client(), await gateway.connect_client()
-        peer.send(encode_call(1), junk)
+        client, other = await gateway.connect_client(), await gateway.connect_client()
+        client.send(encode_call(1), junk)
         await server.wait_until(lambda: len(server.commands) == 1)
         server.writers[0].write(encode_reply(b"value"))
-        assert await peer.read_reply() == b"value"
-        assert (await peer.read_reply()).startswith("-ERR ")
-        assert await peer.read_reply() is None
+        assert await client.read_reply() == b"value"
+        assert (await client.read_reply()).startswith("-ERR ")
+        assert await client.read_reply() is None
         assert await other.request(encode_command("PING")) == b"PONG"
 
 
 async def test_second_request_with_the_id_of_a_pending_one_is_an_error_and_the_first_is_served():
     server = FakeUpstream(lambda _words: None)
     async with run_gateway(server) as gateway:
-        peer, other = await gateway.connect_client(), await gateway.connect_client()
-        peer.send(encode_call(1))
+        client, other = await gateway.connect_client(), await gateway.connect_client()
+        client.send(encode_call(1))
         await server.wait_until(lambda: len(server.commands) == 1)
         assert (await other.request(encode_call(1))).startswith("-ERR ")
         server.writers[0].write(encode_reply(b"value"))
-        assert await peer.read_reply() == b"value"
+        assert await client.read_reply() == b"value"
 
 
 async def test_client_that_disconnects_ends_its_attempts_and_leaves_no_state():
     server = FakeUpstream(lambda _words: None)
     async with run_gateway(server) as gateway:
-        peer = await gateway.connect_client()
-        peer.send(encode_call(1), encode_call(2))
+        client = await gateway.connect_client()
+        client.send(encode_call(1), encode_call(2))
         await server.wait_until(lambda: len(server.commands) == 2)
-        peer.writer.close()
+        client.writer.close()
         await wait_until(lambda: not gateway.client_listener.connections)
         assert not gateway.driver.active_requests
         assert not gateway.upstream_pool.connections
         await server.wait_until(lambda: server.closed_connections == 2)
 
 
-def disconnect(peer, how: str) -> None:
+def disconnect(client, how: str) -> None:
     """Close the client's connection in order, or by a reset."""
     if how == "reset":
-        sock = peer.writer.get_extra_info("socket")
+        sock = client.writer.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-    peer.writer.transport.abort()
+    client.writer.transport.abort()
 
 
 PLANS_WITH_DELAY = (Plan("free"), Plan("tiny", rate=0.001, burst=2.0), Plan("held", rate=2.0, burst=2.0))
@@ -197,22 +197,22 @@
     server = FakeUpstream()
     async with run_gateway(plans=PLANS_WITH_DELAY) as gateway:
         await server.start()
-        peer, request_number = await gateway.connect_client(), 1
+        client, request_number = await gateway.connect_client(), 1
         if wait != "queued":
             gateway.update_endpoints(server.endpoint(1))
         if wait == "delayed by the bucket":
             may_open.set()
-            assert await peer.request(encode_call(0, plan="held")) == b"0000000000000000"
+            assert await client.request(encode_call(0, plan="held")) == b"0000000000000000"
         elif wait == "for a connection":
             monkeypatch.setattr(UpstreamConnection, "open", open_late)
-        peer.send(encode_call(request_number, plan="held"))
+        client.send(encode_call(request_number, plan="held"))
         await wait_until(lambda: len(gateway.driver.active_requests) == 1)
         (pending,) = gateway.driver.engine.requests.values()
         customer = pending.customer
         assert (pending.state is RequestState.DELAYED) == (wait == "delayed by the bucket")
         assert customer.excess >= 1000.0
         before = customer.excess
-        disconnect(peer, how)
+        disconnect(client, how)
         await wait_until(lambda: not gateway.driver.active_requests)
         assert customer.excess == before - 1000.0
         gateway.update_endpoints(server.endpoint(1))
@@ -231,13 +231,15 @@
     )
     server = FakeUpstream()
     async with run_gateway() as gateway:
-        peer = await gateway.connect_client()
-        peer.send(*(encode_call(number, "post", body=body) for number in range(many)))
+        client = await gateway.connect_client()
+        client.send(*(encode_call(number, "post", body=body) for number in range(many)))
         await wait_until(
-            lambda: any(client.intake.is_read_paused for client in gateway.client_listener.connections)
+            lambda: any(
+                connection.intake.is_read_paused for connection in gateway.client_listener.connections
+            )
         )
-        await peer.writer.drain()
-        disconnect(peer, how)
+        await client.writer.drain()
+        disconnect(client, how)
         await wait_until(lambda: not gateway.driver.active_requests or bool(answered))
         assert not answered  # the requests have ended before their timeout
         await server.start()
@@ -260,13 +262,13 @@
     )
     server = FakeUpstream(lambda words: encode_reply(b"v" * 65_000) if words[2].endswith(b"0") else None)
     async with run_gateway(server) as gateway:
-        peer, client = await connect_slow_reader(gateway)
-        peer.send(
+        client, connection = await connect_slow_reader(gateway)
+        client.send(
             *(encode_call(16 * number, timeout_ms=60_000) for number in range(MAX_PIPELINED_COMMANDS - 1)),
             encode_call(1),
         )
-        await wait_until(lambda: client.is_write_blocked)
-        peer.writer.write_eof()
+        await wait_until(lambda: connection.is_write_blocked)
+        client.writer.write_eof()
         await wait_until(lambda: not gateway.driver.active_requests)
         assert "0000000000000001" not in answered
 
@@ -295,23 +297,25 @@
     value = b"v" * 65000
     server = FakeUpstream(lambda words: encode_reply(words[2] + value))
     async with run_gateway(server) as gateway:
-        peer, many = await gateway.connect_client(), 300
-        peer.reader._limit = 1  # the client's stream stops reading at once
-        peer.send(*(encode_call(number, timeout_ms=60_000) for number in range(many)))
-        (client,) = gateway.client_listener.connections
-        await wait_until(lambda: client.is_write_blocked)
-        assert client.intake.is_read_paused
-        assert len(client.pending_replies) <= MAX_PIPELINED_COMMANDS
-        assert client.transport.get_write_buffer_size() <= (MAX_PIPELINED_COMMANDS + 2) * (len(value) + 100)
+        client, many = await gateway.connect_client(), 300
+        client.reader._limit = 1  # the client's stream stops reading at once
+        client.send(*(encode_call(number, timeout_ms=60_000) for number in range(many)))
+        (connection,) = gateway.client_listener.connections
+        await wait_until(lambda: connection.is_write_blocked)
+        assert connection.intake.is_read_paused
+        assert len(connection.pending_replies) <= MAX_PIPELINED_COMMANDS
+        assert connection.transport.get_write_buffer_size() <= (MAX_PIPELINED_COMMANDS + 2) * (
+            len(value) + 100
+        )
         for number in range(many):
-            assert await peer.read_reply() == b"%016x" % number + value
+            assert await client.read_reply() == b"%016x" % number + value
 
 
 async def test_request_beyond_the_quota_is_rejected_at_once_and_not_forwarded():
     server = FakeUpstream()
     async with run_gateway(server) as gateway:
-        peer = await gateway.connect_client()
-        answers = [await peer.request(encode_call(number, plan="tiny")) for number in range(4)]
+        client = await gateway.connect_client()
+        answers = [await client.request(encode_call(number, plan="tiny")) for number in range(4)]
         assert answers[0] == b"0000000000000000"
         assert set(answers[1:]) == {"-BUSY"}
         assert len(server.commands) == 1
@@ -352,7 +356,9 @@
         assert await idle.request(encode_command("PING")) == b"PONG"
         within.send(encode_call(1)[:-3])
         await wait_until(
-            lambda: any(client.buffers.buffered_bytes for client in gateway.client_listener.connections)
+            lambda: any(
+                connection.buffers.buffered_bytes for connection in gateway.client_listener.connections
+            )
         )
         assert await (await gateway.connect_client()).request(encode_command("PING")) == b"PONG"
         assert await silent.read_reply() is None
@@ -379,16 +385,16 @@
 
 async def test_idle_connection_with_an_unread_command_is_not_evicted():
     async with run_gateway(FakeUpstream()) as gateway:
-        peer = await gateway.connect_client()
-        assert await peer.request(encode_command("PING")) == b"PONG"
-        (client,) = gateway.client_listener.connections
+        client = await gateway.connect_client()
+        assert await client.request(encode_command("PING")) == b"PONG"
+        (connection,) = gateway.client_listener.connections
         os.write(
-            peer.writer.get_extra_info("socket").fileno(), encode_call(1)
+            client.writer.get_extra_info("socket").fileno(), encode_call(1)
         )  # the event loop has had no chance to read it
-        assert not client.evict()
-        assert await peer.read_reply() == b"0000000000000001"
-        assert client.evict()
-        assert await peer.read_reply() is None
+        assert not connection.evict()
+        assert await client.read_reply() == b"0000000000000001"
+        assert connection.evict()
+        assert await client.read_reply() is None
 
 
 @pytest.mark.parametrize(
@@ -405,12 +411,12 @@
     monkeypatch.setattr(idle_connections, "COMMAND_READ_TIMEOUT_S", 0.05)
     server = FakeUpstream(lambda _words: None)
     async with run_gateway(server) as gateway:
-        peer = await gateway.connect_client()
-        peer.send(sent)
+        client = await gateway.connect_client()
+        client.send(sent)
         if first:
-            assert await peer.read_reply() == first
-        assert await peer.read_reply() == "-ERR timeout"
-        assert await peer.read_reply() is None
+            assert await client.read_reply() == first
+        assert await client.read_reply() == "-ERR timeout"
+        assert await client.read_reply() is None
         await wait_until(lambda: not gateway.client_listener.connections)
         assert not gateway.driver.active_requests
         assert not gateway.client_listener.budget.buffered_bytes
@@ -420,14 +426,14 @@
 async def test_commands_that_keep_arriving_in_parts_do_not_time_out(monkeypatch):
     monkeypatch.setattr(idle_connections, "COMMAND_READ_TIMEOUT_S", 2.0)
     async with run_gateway(FakeUpstream()) as gateway:
-        peer, rest = await gateway.connect_client(), b""
+        client, rest = await gateway.connect_client(), b""
         for number in range(25):
             whole = rest + encode_call(number)
-            peer.send(whole[:-3])
+            client.send(whole[:-3])
             rest = whole[-3:]
             await asyncio.sleep(0.1)
             if number:
-                assert await peer.read_reply() == b"%016x" % (number - 1)
+                assert await client.read_reply() == b"%016x" % (number - 1)
 
 
 @pytest.mark.parametrize(
@@ -448,30 +454,30 @@
 async def test_header_beyond_the_bounds_is_a_protocol_error_at_once(head, monkeypatch):
     monkeypatch.setattr(idle_connections, "COMMAND_READ_TIMEOUT_S", 3600.0)
     async with run_gateway(FakeUpstream()) as gateway:
-        peer = await gateway.connect_client()
-        peer.send(head)
-        assert (await peer.read_reply()).startswith("-ERR Protocol error")
-        assert await peer.read_reply() is None
+        client = await gateway.connect_client()
+        client.send(head)
+        assert (await client.read_reply()).startswith("-ERR Protocol error")
+        assert await client.read_reply() is None
 
 
 async def test_client_that_goes_on_sending_still_reads_its_error():
     async with run_gateway(FakeUpstream()) as gateway:
-        peer = await gateway.connect_client()
-        peer.send(b"*5\r\n$60000000\r\n", b"x" * 4_000_000)
-        assert (await peer.read_reply()).startswith("-ERR ")
+        client = await gateway.connect_client()
+        client.send(b"*5\r\n$60000000\r\n", b"x" * 4_000_000)
+        assert (await client.read_reply()).startswith("-ERR ")
 
 
 async def test_consecutive_errors_close_the_connection_and_a_good_command_resets_their_count():
     async with run_gateway(FakeUpstream()) as gateway:
-        peer = await gateway.connect_client()
+        client = await gateway.connect_client()
         for number in range(3 * command_intake.MAX_CONSECUTIVE_ERRORS):
-            assert (await peer.request(encode_command("NONSENSE"))).startswith("-ERR ")
+            assert (await client.request(encode_command("NONSENSE"))).startswith("-ERR ")
             if number % 8 == 7:
-                assert await peer.request(encode_call(number)) == b"%016x" % number
-        peer.send(encode_command("NONSENSE") * 10 * command_intake.MAX_CONSECUTIVE_ERRORS)
+                assert await client.request(encode_call(number)) == b"%016x" % number
+        client.send(encode_command("NONSENSE") * 10 * command_intake.MAX_CONSECUTIVE_ERRORS)
         for _ in range(command_intake.MAX_CONSECUTIVE_ERRORS):
-            assert (await peer.read_reply()).startswith("-ERR ")
-        assert await peer.read_reply() is None
+            assert (await client.read_reply()).startswith("-ERR ")
+        assert await client.read_reply() is None
 
 
 async def test_bytes_buffered_for_all_clients_are_bounded():
@@ -479,8 +485,8 @@
     async with run_gateway(server) as gateway:
         gateway.client_listener.max_buffered_bytes = 150_000
         first, second, third = [await gateway.connect_client() for _ in range(3)]
-        for number, peer in enumerate((first, second)):
-            peer.send(encode_call(number, "buy", body=b"x" * 60_000))
+        for number, client in enumerate((first, second)):
+            client.send(encode_call(number, "buy", body=b"x" * 60_000))
         await server.wait_until(lambda: len(server.commands) == 2)
         third.send(encode_call(3, "buy", body=b"x" * 60_000)[:50_000])
         assert await third.read_reply() == "-ERR out of memory"
@@ -515,10 +521,10 @@
 async def test_field_out_of_range_is_an_error_and_charges_no_customer(old, new):
     server = FakeUpstream()
     async with run_gateway(server) as gateway:
-        peer = await gateway.connect_client()
+        client = await gateway.connect_client()
         fields = VALID_FIELDS.replace("free", "tiny")
         assert (
-            await peer.request(encode_command("CALL.GET", CUSTOMER, REQUEST_ID, fields.replace(old, new)))
+            await client.request(encode_command("CALL.GET", CUSTOMER, REQUEST_ID, fields.replace(old, new)))
         ).startswith("-ERR ")
         assert not gateway.driver.engine.customers
         assert not server.commands
@@ -527,8 +533,8 @@
 async def test_timeout_is_bounded_by_the_deadline_of_the_class():
     server = FakeUpstream()
     async with run_gateway(server) as gateway:
-        peer = await gateway.connect_client()
-        assert await peer.request(encode_call(1, timeout_ms=999_999_999)) == b"0000000000000001"
+        client = await gateway.connect_client()
+        assert await client.request(encode_call(1, timeout_ms=999_999_999)) == b"0000000000000001"
         (fields,) = [part for part in server.commands[0][3].split(b",") if part.startswith(b"d=")]
         assert 0 < int(fields[2:]) <= 4000
         assert all(due <= gateway.driver.clock() + 4000.0 for due, *_ in gateway.driver.timers.entries)
@@ -537,17 +543,17 @@
 async def test_ping_is_answered_with_loading_until_the_listener_is_ready():
     async with run_gateway() as gateway:
         gateway.client_listener.is_ready = False
-        peer = await gateway.connect_client()
-        assert (await peer.request(encode_command("PING"))).startswith("-LOADING")
+        client = await gateway.connect_client()
+        assert (await client.request(encode_command("PING"))).startswith("-LOADING")
         gateway.client_listener.is_ready = True
-        assert await peer.request(encode_command("PING")) == b"PONG"
+        assert await client.request(encode_command("PING")) == b"PONG"
 
 
 async def test_command_beyond_the_bounds_closes_its_own_connection_alone():
     async with run_gateway(FakeUpstream()) as gateway:
-        peer = await gateway.connect_client()
-        peer.send(b"*4\r\n$500000000\r\n", b"x" * 2_000_000)
-        assert (await peer.read_reply()).startswith("-ERR ")
+        client = await gateway.connect_client()
+        client.send(b"*4\r\n$500000000\r\n", b"x" * 2_000_000)
+        assert (await client.read_reply()).startswith("-ERR ")
         assert await (await gateway.connect_client()).request(encode_command("PING")) == b"PONG"
 
 
@@ -559,8 +565,8 @@
         )
     )
     async with run_gateway(server) as gateway:
-        peer, more = await gateway.connect_client(), 6
-        peer.send(*(encode_call(number) for number in range(MAX_PIPELINED_COMMANDS + more)))
+        client, more = await gateway.connect_client(), 6
+        client.send(*(encode_call(number) for number in range(MAX_PIPELINED_COMMANDS + more)))
         await server.wait_until(lambda: len(unanswered) == MAX_PIPELINED_COMMANDS)
         gateway.client_listener.stop_listening()
         first = next(
@@ -574,8 +580,8 @@
         await wait_until(lambda: len(gateway.driver.active_requests) == 1)
         server.writers[first].write(encode_reply(b"v"))  # all pending replies are written at once
         for _ in range(MAX_PIPELINED_COMMANDS + more):
-            assert await peer.read_reply() == b"v"
-        assert await peer.read_reply() is None
+            assert await client.read_reply() == b"v"
+        assert await client.read_reply() is None
 
 
 async def test_closed_connection_is_freed_without_the_garbage_collector():
--- a/tests/net/clients/test_idle_connections.py
+++ b/tests/net/clients/test_idle_connections.py
@@ -17,12 +17,12 @@
 
 async def connect_many(gateway, sent: bytes) -> list:
     """Open three times as many connections as allowed; each sends the given bytes and no more."""
-    peers = []
+    clients = []
     for _ in range(3 * MAX_CONNECTIONS):
-        peers.append(await gateway.connect_client())
-        peers[-1].send(sent)
+        clients.append(await gateway.connect_client())
+        clients[-1].send(sent)
         await asyncio.sleep(0)
-    return peers
+    return clients
 
 
 @pytest.mark.parametrize(
@@ -32,12 +32,12 @@
     monkeypatch.setattr(idle_connections, "COMMAND_READ_TIMEOUT_S", 50.0)  # no command times out
     monkeypatch.setattr(idle_connections, "IDLE_GRACE_S", 50.0)
     async with run_gateway(FakeUpstream(), max_connections=MAX_CONNECTIONS) as gateway:
-        peers = await connect_many(gateway, sent)
+        clients = await connect_many(gateway, sent)
         for number in range(10, 14):
-            peer = await gateway.connect_client()
-            assert await peer.request(encode_call(number)) == b"%016x" % number
+            client = await gateway.connect_client()
+            assert await client.request(encode_call(number)) == b"%016x" % number
         assert gateway.client_listener.descriptors_in_use <= MAX_CONNECTIONS
-        del peers
+        del clients
 
 
 async def test_slowly_arriving_command_is_not_evicted_among_many_connections(monkeypatch):
@@ -45,14 +45,14 @@
     monkeypatch.setattr(idle_connections, "IDLE_GRACE_S", 50.0)
     async with run_gateway(FakeUpstream(), max_connections=MAX_CONNECTIONS) as gateway:
         slow, command = await gateway.connect_client(), encode_call(7)
-        peers = []
+        clients = []
         for start in range(0, len(command), 4):
             slow.send(command[start : start + 4])
-            peers.append(await gateway.connect_client())
-            peers[-1].send(encode_call(1)[:50])
+            clients.append(await gateway.connect_client())
+            clients[-1].send(encode_call(1)[:50])
             await asyncio.sleep(idle_connections.PARTIAL_COMMAND_GRACE_S / 8.0)
         assert await slow.read_reply() == b"0000000000000007"
-        assert len(peers) > 2 * MAX_CONNECTIONS
+        assert len(clients) > 2 * MAX_CONNECTIONS
 
 
 async def test_body_may_exceed_the_command_timeout_while_it_keeps_arriving(monkeypatch):
@@ -60,12 +60,12 @@
     monkeypatch.setattr(command_intake, "BODY_GAP_TIMEOUT_S", 2.0)
     server = FakeUpstream(lambda words: encode_reply(words[4]))
     async with run_gateway(server) as gateway:
-        peer, body = await gateway.connect_client(), b"x" * 3000
+        client, body = await gateway.connect_client(), b"x" * 3000
         command = encode_call(1, "post", body=body)
         for start in range(0, len(command), 200):
-            peer.send(command[start : start + 200])
+            client.send(command[start : start + 200])
             await asyncio.sleep(0.05)
-        assert await peer.read_reply() == body
+        assert await client.read_reply() == body
         stopped = await gateway.connect_client()
         stopped.send(command[:1000])
         assert await stopped.read_reply() == "-ERR timeout"
--- a/tests/net/clients/test_large_replies.py
+++ b/tests/net/clients/test_large_replies.py
@@ -59,15 +59,15 @@
 async def test_large_value_is_streamed_to_the_client_and_the_connection_is_reused():
     server = FakeUpstream(lambda words: None if words[2].endswith(b"1") else encode_reply(words[2]))
     async with run_gateway(server) as gateway:
-        peer = await gateway.connect_client()
-        peer.send(encode_call(1))
+        client = await gateway.connect_client()
+        client.send(encode_call(1))
         await server.wait_until(lambda: server.commands)
         server.writers[0].write(VALUE_HEADER + LARGE_VALUE[:10])
         head = b"$%d\r\n" % len(LARGE_VALUE)
-        assert await peer.reader.readexactly(len(head) + 10) == head + LARGE_VALUE[:10]
+        assert await client.reader.readexactly(len(head) + 10) == head + LARGE_VALUE[:10]
         server.writers[0].write(LARGE_VALUE[10:] + VALUE_END)
-        assert await peer.reader.readexactly(len(LARGE_VALUE) - 8) == LARGE_VALUE[10:] + b"\r\n"
-        assert await peer.request(encode_call(2)) == b"0000000000000002"
+        assert await client.reader.readexactly(len(LARGE_VALUE) - 8) == LARGE_VALUE[10:] + b"\r\n"
+        assert await client.request(encode_call(2)) == b"0000000000000002"
         await wait_until(lambda: not gateway.driver.active_requests)
         assert gateway.client_listener.budget.buffered_bytes == gateway.upstream_pool.buffered_bytes == 0
 
@@ -75,17 +75,17 @@
 async def test_large_value_is_read_ahead_of_a_slow_client_and_ends_its_request():
     server = FakeUpstream(lambda _words: None)
     async with run_gateway(server) as gateway:
-        peer = await gateway.connect_client()
-        peer.writer.transport.pause_reading()
-        peer.send(encode_call(1))
+        client = await gateway.connect_client()
+        client.writer.transport.pause_reading()
+        client.send(encode_call(1))
         await server.wait_until(lambda: server.commands)
         server.writers[0].write(
             b"*3\r\n$%d\r\n" % (2 * len(LARGE_VALUE)) + LARGE_VALUE + LARGE_VALUE + VALUE_END
         )
         await wait_until(lambda: not gateway.driver.active_requests)
         assert gateway.client_listener.budget.buffered_bytes > 100_000
-        peer.writer.transport.resume_reading()
-        assert await peer.read_reply() == LARGE_VALUE + LARGE_VALUE
+        client.writer.transport.resume_reading()
+        assert await client.read_reply() == LARGE_VALUE + LARGE_VALUE
         await wait_until(lambda: not gateway.client_listener.budget.buffered_bytes)
 
 
@@ -93,26 +93,26 @@
     server = FakeUpstream(lambda _words: None)
     async with run_gateway(server) as gateway:
         gateway.client_listener.max_buffered_bytes = 200_000
-        peer = await gateway.connect_client()
-        peer.writer.transport.pause_reading()
+        client = await gateway.connect_client()
+        client.writer.transport.pause_reading()
         many = 4 * LARGE_VALUE
-        peer.send(encode_call(1))
+        client.send(encode_call(1))
         await server.wait_until(lambda: server.commands)
         server.writers[0].write(b"*3\r\n$%d\r\n" % (len(many) // 2) + many[: len(many) // 2] + VALUE_END)
         (connection,) = gateway.upstream_pool.connections
         await wait_until(lambda: connection.paused)
         assert gateway.client_listener.budget.buffered_bytes < 300_000
         assert gateway.upstream_pool.buffered_bytes < 100_000
-        peer.writer.transport.resume_reading()
-        assert await peer.read_reply() == many[: len(many) // 2]
+        client.writer.transport.resume_reading()
+        assert await client.read_reply() == many[: len(many) // 2]
 
 
 async def test_large_value_after_another_reply_is_written_in_order():
     server = FakeUpstream(lambda _words: None)
     async with run_gateway(server) as gateway:
         gateway.client_listener.max_buffered_bytes = 200_000
-        peer = await gateway.connect_client()
-        peer.send(encode_call(1), encode_call(2))
+        client = await gateway.connect_client()
+        client.send(encode_call(1), encode_call(2))
         await server.wait_until(lambda: len(server.commands) == 2)
         first, second = (
             server.writers[server.connection_numbers[server.commands.index(words)]]
@@ -122,8 +122,8 @@
         await wait_until(lambda: any(connection.paused for connection in gateway.upstream_pool.connections))
         assert gateway.client_listener.budget.buffered_bytes < 300_000
         first.write(encode_reply(b"first"))
-        assert await peer.read_reply() == b"first"
-        assert await peer.read_reply() == LARGE_VALUE
+        assert await client.read_reply() == b"first"
+        assert await client.read_reply() == LARGE_VALUE
 
 
 @pytest.mark.parametrize(
@@ -132,15 +132,15 @@
 async def test_truncated_large_value_closes_the_client_connection(rest):
     server = FakeUpstream(lambda _words: None)
     async with run_gateway(server) as gateway:
-        peer = await gateway.connect_client()
-        peer.send(encode_call(1))
+        client = await gateway.connect_client()
+        client.send(encode_call(1))
         await server.wait_until(lambda: server.commands)
         server.writers[0].write(VALUE_HEADER + LARGE_VALUE[:10])
         await wait_until(
             lambda: any(request.body_writer for request in gateway.driver.active_requests.values())
         )
         server.writers[0].write(rest) if rest else server.writers[0].close()
-        assert await peer.read_reply() is None
+        assert await client.read_reply() is None
         await wait_until(
             lambda: not gateway.driver.active_requests and not gateway.client_listener.connections
         )
@@ -150,8 +150,8 @@
 async def test_large_value_truncated_before_its_turn_does_not_affect_earlier_replies():
     server = FakeUpstream(lambda _words: None)
     async with run_gateway(server) as gateway:
-        peer = await gateway.connect_client()
-        peer.send(encode_call(1), encode_call(2))
+        client = await gateway.connect_client()
+        client.send(encode_call(1), encode_call(2))
         await server.wait_until(lambda: len(server.commands) == 2)
         first, second = (
             server.writers[server.connection_numbers[server.commands.index(words)]]
@@ -163,7 +163,7 @@
         )
         second.close()
         first.write(encode_reply(b"first"))
-        assert [await peer.read_reply(), await peer.read_reply()] == [b"first", None]
+        assert [await client.read_reply(), await client.read_reply()] == [b"first", None]
 
 
 async def test_server_that_stalls_within_a_large_value_times_out(monkeypatch):
@@ -171,37 +171,37 @@
     monkeypatch.setattr(upstream_pool, "SWEEP_INTERVAL_S", 0.05)
     server = FakeUpstream(lambda _words: None)
     async with run_gateway(server) as gateway:
-        peer = await gateway.connect_client()
-        peer.send(encode_call(1))
+        client = await gateway.connect_client()
+        client.send(encode_call(1))
         await server.wait_until(lambda: server.commands)
         server.writers[0].write(VALUE_HEADER + LARGE_VALUE[:10])
-        assert await peer.read_reply() is None
+        assert await client.read_reply() is None
         await server.wait_until(lambda: server.closed_connections)
 
 
 async def test_large_value_that_has_begun_may_exceed_the_request_timeout():
     server = FakeUpstream(lambda _words: None)
     async with run_gateway(server) as gateway:
-        peer = await gateway.connect_client()
-        peer.send(encode_call(1, timeout_ms=300))
+        client = await gateway.connect_client()
+        client.send(encode_call(1, timeout_ms=300))
         await server.wait_until(lambda: server.commands)
         server.writers[0].write(VALUE_HEADER + LARGE_VALUE[:10])
         await asyncio.sleep(0.5)
         server.writers[0].write(LARGE_VALUE[10:] + VALUE_END)
-        assert await peer.read_reply() == LARGE_VALUE
+        assert await client.read_reply() == LARGE_VALUE
 
 
 async def test_client_that_disconnects_within_a_large_value_ends_the_attempt():
     server = FakeUpstream(lambda _words: None)
     async with run_gateway(server) as gateway:
-        peer = await gateway.connect_client()
-        peer.send(encode_call(1))
+        client = await gateway.connect_client()
+        client.send(encode_call(1))
         await server.wait_until(lambda: server.commands)
         server.writers[0].write(VALUE_HEADER + LARGE_VALUE[:10])
         await wait_until(
             lambda: any(request.body_writer for request in gateway.driver.active_requests.values())
         )
-        peer.writer.transport.abort()
+        client.writer.transport.abort()
         await server.wait_until(lambda: server.closed_connections)
         await wait_until(lambda: not gateway.driver.active_requests)
 
@@ -209,8 +209,8 @@
 async def test_hedged_request_is_answered_by_the_attempt_whose_large_value_begins_first():
     server, other = FakeUpstream(lambda _words: None), FakeUpstream(lambda _words: None)
     async with run_gateway(server, other, limits=HEDGING_LIMITS) as gateway:
-        peer = await gateway.connect_client()
-        peer.send(encode_call(1))
+        client = await gateway.connect_client()
+        client.send(encode_call(1))
         await wait_until(lambda: gateway.driver.active_requests)
         (active,) = gateway.driver.active_requests.values()
         (first,) = active.attempts.values()
@@ -228,7 +228,7 @@
         quick = fakes.pop(server_id)
         (slow,) = fakes.values()
         quick.writers[0].write(VALUE_HEADER + LARGE_VALUE + VALUE_END)
-        assert await peer.read_reply() == LARGE_VALUE
+        assert await client.read_reply() == LARGE_VALUE
         await slow.wait_until(lambda: slow.closed_connections)
         assert first.on_done is None
 
