--- a/quota_gateway/net/clients/arrival.py
+++ b/quota_gateway/net/clients/arrival.py
@@ -117,7 +117,7 @@
             asyncio.get_running_loop().call_later(MIN_POLL_DELAY_S, self._on_input_read)
         self._last_tick_s = now_s
 
-    def earliest_s(self) -> float:
+    def earliest_arrival_s(self) -> float:
         """Return the earliest possible arrival time of bytes that are read now."""
         if self._stalled_since_s is not None:
             return self._stalled_since_s
--- a/quota_gateway/net/clients/command_intake.py
+++ b/quota_gateway/net/clients/command_intake.py
@@ -78,7 +78,7 @@
         """Buffer received bytes and read the commands that they complete."""
         self.reader.receive_data(data)
         self.last_received_s = self._services.loop.time()
-        self.arrivals.on_read(connection.socket, self._services.stalls.earliest_s())
+        self.arrivals.on_read(connection.socket, self._services.stall_detector.earliest_arrival_s())
         connection.buffers.count(len(data), is_pending=False)
         self.read_commands(connection)
 
--- a/quota_gateway/net/clients/connection_sweeper.py
+++ b/quota_gateway/net/clients/connection_sweeper.py
@@ -33,7 +33,7 @@
 
     def _sweep(self) -> None:
         self._timer = self._loop.call_later(self._interval_s, self._sweep)
-        self._listener.stalls.tick()
+        self._listener.stall_detector.tick()
         self._listener.idle_connections.time_out_late_commands()
         unread = [item for item in self._listener.connections if item.is_unread_with_pending_replies()]
         for connection in unread:
--- a/quota_gateway/net/clients/listener.py
+++ b/quota_gateway/net/clients/listener.py
@@ -54,7 +54,7 @@
         self.loop = asyncio.get_running_loop()
         self._admission = ConnectionAdmission(self, max_connections)
         self.acceptor = self._admission.acceptor
-        self.stalls = StallDetector(SWEEP_INTERVAL_S)
+        self.stall_detector = StallDetector(SWEEP_INTERVAL_S)
         self._sweeper = ConnectionSweeper(self, self._admission, SWEEP_INTERVAL_S)
 
     @property
--- a/quota_gateway/net/clients/protocols.py
+++ b/quota_gateway/net/clients/protocols.py
@@ -128,7 +128,7 @@
     request_parser: RequestParser
     idle_connections: IdleConnections
     loop: asyncio.AbstractEventLoop
-    stalls: StallDetector
+    stall_detector: StallDetector
 
     @property
     def is_suspended(self) -> bool:
@@ -202,7 +202,7 @@
     """What the sweeper needs from the listener."""
 
     idle_connections: IdleConnections
-    stalls: StallDetector
+    stall_detector: StallDetector
 
     @property
     def connections(self) -> Iterable[ClientConnection]:
--- a/tests/net/clients/test_arrival.py
+++ b/tests/net/clients/test_arrival.py
@@ -75,14 +75,18 @@
 
 
 async def test_stall_is_detected_while_it_lasts_and_until_the_loop_has_polled_for_input(clock):
-    stalls = StallDetector(TICK_S)
+    stall_detector = StallDetector(TICK_S)
     start_s = clock.monotonic()
-    assert stalls.earliest_s() >= start_s
+    assert stall_detector.earliest_arrival_s() >= start_s
     clock.offset_s = WAIT_S
-    assert start_s - 0.01 <= stalls.earliest_s() <= start_s + 0.01  # stalled: input is handled before timers
-    stalls.tick()
-    assert stalls.earliest_s() <= start_s + 0.01  # input read after the tick may have arrived as early
-    await wait_until(lambda: stalls.earliest_s() > start_s + WAIT_S)
+    assert (
+        start_s - 0.01 <= stall_detector.earliest_arrival_s() <= start_s + 0.01
+    )  # stalled: input is handled before timers
+    stall_detector.tick()
+    assert (
+        stall_detector.earliest_arrival_s() <= start_s + 0.01
+    )  # input read after the tick may have arrived as early
+    await wait_until(lambda: stall_detector.earliest_arrival_s() > start_s + WAIT_S)
 
 
 async def test_command_that_waited_for_pending_ones_is_forwarded_with_its_remaining_timeout(clock):
@@ -123,7 +127,9 @@
         assert await client.read_reply() == b"%016x" % 1
         assert forwarded_timeout_ms(upstream.commands[0]) <= TIMEOUT_MS - 1000.0 * WAIT_S
         clock.offset_s = 2.0 * WAIT_S + 1.0  # commands that arrive later have not waited
-        await wait_until(lambda: gateway.client_listener.stalls.earliest_s() >= clock.monotonic() - 0.05)
+        await wait_until(
+            lambda: gateway.client_listener.stall_detector.earliest_arrival_s() >= clock.monotonic() - 0.05
+        )
         assert await client.request(encode_call(2, timeout_ms=TIMEOUT_MS)) == b"%016x" % 2
         assert forwarded_timeout_ms(upstream.commands[1]) > TIMEOUT_MS - 1000.0 * WAIT_S
 
@@ -150,7 +156,9 @@
         gateway.client_listener.acceptor.resume()
         await wait_until(lambda: gateway.client_listener.acceptor._waiting_since_s is None)
         clock.offset_s = WAIT_S
-        await wait_until(lambda: gateway.client_listener.stalls.earliest_s() >= clock.monotonic() - 0.05)
+        await wait_until(
+            lambda: gateway.client_listener.stall_detector.earliest_arrival_s() >= clock.monotonic() - 0.05
+        )
         client = await gateway.connect_client()
         assert await client.request(encode_call(1, timeout_ms=TIMEOUT_MS)) == b"%016x" % 1
         assert forwarded_timeout_ms(upstream.commands[0]) > TIMEOUT_MS - 1000.0 * WAIT_S
