--- a/quota_gateway/net/acceptor.py
+++ b/quota_gateway/net/acceptor.py
@@ -78,9 +78,9 @@
             self.is_accepting = True
             self._loop.add_reader(self.socket, self._accept)
         if self._closes_when_empty or self._waiting_since_s is not None:
-            self._loop.call_soon(self._probe)
+            self._loop.call_soon(self._accept_without_event)
 
-    def _probe(self) -> None:
+    def _accept_without_event(self) -> None:
         """Accept without an event of the loop, because no event reports that the queue is empty."""
         if self.is_accepting and self._owner.available_capacity() > 0:
             self._accept()
