--- a/quota_gateway/net/graceful_shutdown.py
+++ b/quota_gateway/net/graceful_shutdown.py
@@ -17,7 +17,7 @@
 
 log = logging.getLogger("quota_gateway")
 
-ACCEPT_PERIOD_S = 0.45  # time of accepting after SIGTERM; clients go on connecting for 0.4 s
+ACCEPT_PERIOD_S = 0.45  # time to go on accepting after SIGTERM; clients go on connecting for 0.4 s
 # SIGKILL follows SIGTERM after the longest deadline of a class (at most MAX_DEADLINE_S) plus KILL_GRACE_S.
 MAX_DEADLINE_S = 3.0
 KILL_GRACE_S = 0.7
@@ -30,7 +30,7 @@
 async def shut_down_gracefully(
     settings: Settings, driver: Driver, clients: ClientListener, handover: Handover
 ) -> None:
-    """Accept for ``ACCEPT_PERIOD_S`` more, answer all accepted requests and close before SIGKILL arrives.
+    """Accept for another ``ACCEPT_PERIOD_S``, answer all accepted requests and close before SIGKILL arrives.
 
     If the next process has taken over, connections are handed over to it instead of being closed.
     """
--- a/tests/net/clients/test_arrival.py
+++ b/tests/net/clients/test_arrival.py
@@ -53,7 +53,7 @@
         pytest.param(1.0, None, 1.0, id="the kernel reports no age"),
     ],
 )
-def test_arrival_time_is_the_kernels_within_the_possible_wait(monkeypatch, waited_s, kernel_age_s, age_s):
+def test_arrival_time_is_limited_to_the_possible_wait(monkeypatch, waited_s, kernel_age_s, age_s):
     monkeypatch.setattr(arrival, "seconds_since_data", lambda _: kernel_age_s)
     now_s = time.monotonic()
     assert arrival_s(None, now_s - waited_s) == pytest.approx(now_s - age_s, abs=0.02)
@@ -79,13 +79,11 @@
     start_s = clock.monotonic()
     assert stall_detector.earliest_arrival_s() >= start_s
     clock.offset_s = WAIT_S
-    assert (
-        start_s - 0.01 <= stall_detector.earliest_arrival_s() <= start_s + 0.01
-    )  # stalled: input is handled before timers
+    # During the stall, input is handled before timers.
+    assert start_s - 0.01 <= stall_detector.earliest_arrival_s() <= start_s + 0.01
     stall_detector.tick()
-    assert (
-        stall_detector.earliest_arrival_s() <= start_s + 0.01
-    )  # input read after the tick may have arrived as early
+    # Input that is read after the tick may have arrived as early.
+    assert stall_detector.earliest_arrival_s() <= start_s + 0.01
     await wait_until(lambda: stall_detector.earliest_arrival_s() > start_s + WAIT_S)
 
 
--- a/tests/net/clients/test_client_disconnect.py
+++ b/tests/net/clients/test_client_disconnect.py
@@ -161,7 +161,7 @@
 
 async def slow_and_not_read(gateway, client):
     trigger = await slow(gateway, client)
-    client.connection.pause_writing()  # as the event loop does when the client reads no replies
+    client.connection.pause_writing()  # the event loop calls this when the client reads no replies
     return trigger
 
 
--- a/tests/net/clients/test_client_listener.py
+++ b/tests/net/clients/test_client_listener.py
@@ -185,7 +185,7 @@
 
 @pytest.mark.parametrize("how", ["end", "reset"])
 @pytest.mark.parametrize("wait", ["delayed by the bucket", "queued", "for a connection"])
-async def test_request_that_waits_when_its_client_disconnects_is_not_forwarded_and_its_units_return(
+async def test_request_that_waits_when_its_client_disconnects_is_not_forwarded_and_its_units_are_returned(
     wait, how, monkeypatch
 ):
     may_open, original_open = asyncio.Event(), UpstreamConnection.open
@@ -342,7 +342,7 @@
         assert gateway.client_listener.descriptors_in_use == 2 == len(gateway.client_listener.connections)
 
 
-async def test_silent_connection_is_evicted_before_an_idle_one_and_none_within_a_command(monkeypatch):
+async def test_silent_connection_is_evicted_before_an_idle_one_and_one_within_a_command_is_kept(monkeypatch):
     monkeypatch.setattr(idle_connections, "SILENT_GRACE_S", 0.0)
     monkeypatch.setattr(idle_connections, "IDLE_GRACE_S", 0.0)
     monkeypatch.setattr(idle_connections, "MAX_EVICTIONS_PER_CALL", 1)
@@ -390,7 +390,7 @@
         (connection,) = gateway.client_listener.connections
         os.write(
             client.writer.get_extra_info("socket").fileno(), encode_call(1)
-        )  # the event loop has had no chance to read it
+        )  # the event loop has had no chance to read the command
         assert not connection.evict()
         assert await client.read_reply() == b"0000000000000001"
         assert connection.evict()
@@ -549,7 +549,7 @@
         assert await client.request(encode_command("PING")) == b"PONG"
 
 
-async def test_command_beyond_the_bounds_closes_its_own_connection_alone():
+async def test_command_beyond_the_bounds_closes_only_its_own_connection():
     async with run_gateway(FakeUpstream()) as gateway:
         client = await gateway.connect_client()
         client.send(b"*4\r\n$500000000\r\n", b"x" * 2_000_000)
