--- a/tests/net/clients/test_large_replies.py
+++ b/tests/net/clients/test_large_replies.py
@@ -1,4 +1,4 @@
-"""Large values that are streamed: pieces, backpressure both ways, values that break off."""
+"""Streamed large values: pieces, backpressure in both directions, truncated values."""
 
 import asyncio
 
@@ -18,34 +18,34 @@
 
 
 def writer_for(server: FakeUpstream, ending: bytes) -> asyncio.StreamWriter:
-    """The connection on which the one command has come whose request id ends so."""
+    """Return the writer of the connection with the one command whose request id has this ending."""
     (number,) = [n for n, words in enumerate(server.commands) if words[2].endswith(ending)]
     return server.writers[server.connection_numbers[number]]
 
 
-def read_in_pieces(answer: bytes, size: int) -> tuple[bytes, list]:
-    """What a reader of answers makes of bytes that come in pieces: the large value, and all answers."""
-    reader, value, answers = ReplyReader(), b"", []
-    for at in range(0, len(answer), size):
-        reader.receive_data(answer[at : at + size])
-        got = reader.next_reply()
-        if got is None and reader.streamed_bytes_left is not None:
+def read_in_pieces(data: bytes, size: int) -> tuple[bytes, list]:
+    """Parse bytes that arrive in pieces; return the streamed value and all replies."""
+    reader, value, replies = ReplyReader(), b"", []
+    for start in range(0, len(data), size):
+        reader.receive_data(data[start : start + size])
+        reply = reader.next_reply()
+        if reply is None and reader.streamed_bytes_left is not None:
             value += reader.take_piece()
-            got = reader.next_reply()
-        if got is not None:
-            answers.append(got)
+            reply = reader.next_reply()
+        if reply is not None:
+            replies.append(reply)
         assert len(reader.buffer) <= size + 64
-    return value, answers
+    return value, replies
 
 
 @pytest.mark.parametrize("size", [1, 7, 65_536, 10_000_000])
 def test_reader_gathers_short_values_and_streams_large_ones(size):
     large = LARGE_VALUE[:70_000]
-    value, answers = read_in_pieces(
+    value, replies = read_in_pieces(
         b"*3\r\n$70000\r\n" + large + VALUE_END + encode_reply(b"short") * 2, size
     )
     assert value == large
-    first, *rest = answers
+    first, *rest = replies
     assert first == [b"", b"used=1", None]
     if size < 30:
         assert rest == [[b"short", None, None]] * 2
@@ -59,15 +59,15 @@
 async def test_large_value_is_streamed_to_the_client_and_the_connection_is_reused():
     server = FakeUpstream(lambda words: None if words[2].endswith(b"1") else encode_reply(words[2]))
     async with run_gateway(server) as gateway:
-        peer = await gateway.connect_client()
-        peer.send(encode_call(1))
+        client = await gateway.connect_client()
+        client.send(encode_call(1))
         await server.wait_until(lambda: server.commands)
         server.writers[0].write(VALUE_HEADER + LARGE_VALUE[:10])
         head = b"$%d\r\n" % len(LARGE_VALUE)
-        assert await peer.reader.readexactly(len(head) + 10) == head + LARGE_VALUE[:10]
+        assert await client.reader.readexactly(len(head) + 10) == head + LARGE_VALUE[:10]
         server.writers[0].write(LARGE_VALUE[10:] + VALUE_END)
-        assert await peer.reader.readexactly(len(LARGE_VALUE) - 8) == LARGE_VALUE[10:] + b"\r\n"
-        assert await peer.request(encode_call(2)) == b"0000000000000002"
+        assert await client.reader.readexactly(len(LARGE_VALUE) - 8) == LARGE_VALUE[10:] + b"\r\n"
+        assert await client.request(encode_call(2)) == b"0000000000000002"
         await wait_until(lambda: not gateway.driver.active_requests)
         assert gateway.client_listener.budget.buffered_bytes == gateway.upstream_pool.buffered_bytes == 0
 
@@ -75,17 +75,17 @@
 async def test_large_value_is_read_ahead_of_a_slow_client_and_ends_its_request():
     server = FakeUpstream(lambda _words: None)
     async with run_gateway(server) as gateway:
-        peer = await gateway.connect_client()
-        peer.writer.transport.pause_reading()
-        peer.send(encode_call(1))
+        client = await gateway.connect_client()
+        client.writer.transport.pause_reading()
+        client.send(encode_call(1))
         await server.wait_until(lambda: server.commands)
         server.writers[0].write(
             b"*3\r\n$%d\r\n" % (2 * len(LARGE_VALUE)) + LARGE_VALUE + LARGE_VALUE + VALUE_END
         )
         await wait_until(lambda: not gateway.driver.active_requests)
         assert gateway.client_listener.budget.buffered_bytes > 100_000
-        peer.writer.transport.resume_reading()
-        assert await peer.read_reply() == LARGE_VALUE + LARGE_VALUE
+        client.writer.transport.resume_reading()
+        assert await client.read_reply() == LARGE_VALUE + LARGE_VALUE
         await wait_until(lambda: not gateway.client_listener.budget.buffered_bytes)
 
 
@@ -93,26 +93,26 @@
     server = FakeUpstream(lambda _words: None)
     async with run_gateway(server) as gateway:
         gateway.client_listener.max_buffered_bytes = 200_000
-        peer = await gateway.connect_client()
-        peer.writer.transport.pause_reading()
+        client = await gateway.connect_client()
+        client.writer.transport.pause_reading()
         many = 4 * LARGE_VALUE
-        peer.send(encode_call(1))
+        client.send(encode_call(1))
         await server.wait_until(lambda: server.commands)
         server.writers[0].write(b"*3\r\n$%d\r\n" % (len(many) // 2) + many[: len(many) // 2] + VALUE_END)
         (connection,) = gateway.upstream_pool.connections
         await wait_until(lambda: connection.paused)
         assert gateway.client_listener.budget.buffered_bytes < 300_000
         assert gateway.upstream_pool.buffered_bytes < 100_000
-        peer.writer.transport.resume_reading()
-        assert await peer.read_reply() == many[: len(many) // 2]
+        client.writer.transport.resume_reading()
+        assert await client.read_reply() == many[: len(many) // 2]
 
 
 async def test_large_value_after_another_reply_is_written_in_order():
     server = FakeUpstream(lambda _words: None)
     async with run_gateway(server) as gateway:
         gateway.client_listener.max_buffered_bytes = 200_000
-        peer = await gateway.connect_client()
-        peer.send(encode_call(1), encode_call(2))
+        client = await gateway.connect_client()
+        client.send(encode_call(1), encode_call(2))
         await server.wait_until(lambda: len(server.commands) == 2)
         first, second = (
             server.writers[server.connection_numbers[server.commands.index(words)]]
@@ -122,36 +122,36 @@
         await wait_until(lambda: any(connection.paused for connection in gateway.upstream_pool.connections))
         assert gateway.client_listener.budget.buffered_bytes < 300_000
         first.write(encode_reply(b"first"))
-        assert await peer.read_reply() == b"first"
-        assert await peer.read_reply() == LARGE_VALUE
+        assert await client.read_reply() == b"first"
+        assert await client.read_reply() == LARGE_VALUE
 
 
 @pytest.mark.parametrize(
     "rest", [None, LARGE_VALUE[10:] + b"xx$-1\r\n$-1\r\n", LARGE_VALUE[10:] + b"\r\n$9999\r\n"]
 )
-async def test_large_value_that_breaks_off_closes_the_client_connection(rest):
+async def test_truncated_large_value_closes_the_client_connection(rest):
     server = FakeUpstream(lambda _words: None)
     async with run_gateway(server) as gateway:
-        peer = await gateway.connect_client()
-        peer.send(encode_call(1))
+        client = await gateway.connect_client()
+        client.send(encode_call(1))
         await server.wait_until(lambda: server.commands)
         server.writers[0].write(VALUE_HEADER + LARGE_VALUE[:10])
         await wait_until(
             lambda: any(request.body_writer for request in gateway.driver.active_requests.values())
         )
         server.writers[0].write(rest) if rest else server.writers[0].close()
-        assert await peer.read_reply() is None
+        assert await client.read_reply() is None
         await wait_until(
             lambda: not gateway.driver.active_requests and not gateway.client_listener.connections
         )
         assert gateway.client_listener.budget.buffered_bytes == gateway.upstream_pool.buffered_bytes == 0
 
 
-async def test_large_value_that_breaks_off_before_its_turn_spares_the_replies_before_it():
+async def test_large_value_truncated_before_its_turn_does_not_affect_earlier_replies():
     server = FakeUpstream(lambda _words: None)
     async with run_gateway(server) as gateway:
-        peer = await gateway.connect_client()
-        peer.send(encode_call(1), encode_call(2))
+        client = await gateway.connect_client()
+        client.send(encode_call(1), encode_call(2))
         await server.wait_until(lambda: len(server.commands) == 2)
         first, second = (
             server.writers[server.connection_numbers[server.commands.index(words)]]
@@ -163,7 +163,7 @@
         )
         second.close()
         first.write(encode_reply(b"first"))
-        assert [await peer.read_reply(), await peer.read_reply()] == [b"first", None]
+        assert [await client.read_reply(), await client.read_reply()] == [b"first", None]
 
 
 async def test_server_that_stalls_within_a_large_value_times_out(monkeypatch):
@@ -171,37 +171,37 @@
     monkeypatch.setattr(upstream_pool, "SWEEP_INTERVAL_S", 0.05)
     server = FakeUpstream(lambda _words: None)
     async with run_gateway(server) as gateway:
-        peer = await gateway.connect_client()
-        peer.send(encode_call(1))
+        client = await gateway.connect_client()
+        client.send(encode_call(1))
         await server.wait_until(lambda: server.commands)
         server.writers[0].write(VALUE_HEADER + LARGE_VALUE[:10])
-        assert await peer.read_reply() is None
+        assert await client.read_reply() is None
         await server.wait_until(lambda: server.closed_connections)
 
 
 async def test_large_value_that_has_begun_may_exceed_the_request_timeout():
     server = FakeUpstream(lambda _words: None)
     async with run_gateway(server) as gateway:
-        peer = await gateway.connect_client()
-        peer.send(encode_call(1, timeout_ms=300))
+        client = await gateway.connect_client()
+        client.send(encode_call(1, timeout_ms=300))
         await server.wait_until(lambda: server.commands)
         server.writers[0].write(VALUE_HEADER + LARGE_VALUE[:10])
         await asyncio.sleep(0.5)
         server.writers[0].write(LARGE_VALUE[10:] + VALUE_END)
-        assert await peer.read_reply() == LARGE_VALUE
+        assert await client.read_reply() == LARGE_VALUE
 
 
 async def test_client_that_disconnects_within_a_large_value_ends_the_attempt():
     server = FakeUpstream(lambda _words: None)
     async with run_gateway(server) as gateway:
-        peer = await gateway.connect_client()
-        peer.send(encode_call(1))
+        client = await gateway.connect_client()
+        client.send(encode_call(1))
         await server.wait_until(lambda: server.commands)
         server.writers[0].write(VALUE_HEADER + LARGE_VALUE[:10])
         await wait_until(
             lambda: any(request.body_writer for request in gateway.driver.active_requests.values())
         )
-        peer.writer.transport.abort()
+        client.writer.transport.abort()
         await server.wait_until(lambda: server.closed_connections)
         await wait_until(lambda: not gateway.driver.active_requests)
 
@@ -209,29 +209,31 @@
 async def test_hedged_request_is_answered_by_the_attempt_whose_large_value_begins_first():
     server, other = FakeUpstream(lambda _words: None), FakeUpstream(lambda _words: None)
     async with run_gateway(server, other, limits=HEDGING_LIMITS) as gateway:
-        peer = await gateway.connect_client()
-        peer.send(encode_call(1))
+        client = await gateway.connect_client()
+        client.send(encode_call(1))
         await wait_until(lambda: gateway.driver.active_requests)
-        (held,) = gateway.driver.active_requests.values()
-        (first,) = held.attempts.values()
-        pending = gateway.driver.engine.requests[held.request_id]
-        at = next(number for number in (1, 2) if number not in pending.tried_endpoints)
+        (active,) = gateway.driver.active_requests.values()
+        (first,) = active.attempts.values()
+        pending = gateway.driver.engine.requests[active.request_id]
+        server_id = next(number for number in (1, 2) if number not in pending.tried_endpoints)
         gateway.driver.engine.output.clear()
-        gateway.driver.engine.lifecycle.start_attempt(pending, gateway.driver.engine.endpoints.by_id[at])
+        gateway.driver.engine.lifecycle.start_attempt(
+            pending, gateway.driver.engine.endpoints.by_id[server_id]
+        )
         for action in gateway.driver.engine.output:
             gateway.driver._perform(action)
         for fake in (server, other):
             await fake.wait_until(lambda fake=fake: fake.commands)
         fakes = {1: server, 2: other}
-        quick = fakes.pop(at)
+        quick = fakes.pop(server_id)
         (slow,) = fakes.values()
         quick.writers[0].write(VALUE_HEADER + LARGE_VALUE + VALUE_END)
-        assert await peer.read_reply() == LARGE_VALUE
+        assert await client.read_reply() == LARGE_VALUE
         await slow.wait_until(lambda: slow.closed_connections)
         assert first.on_done is None
 
 
-async def test_value_that_breaks_off_before_others_are_answered_fails_alone():
+async def test_value_truncated_before_others_are_answered_fails_alone():
     server = FakeUpstream(lambda words: None if words[2].endswith(b"1") else encode_reply(words[2]))
     async with run_gateway(server) as gateway:
         client = await gateway.connect_client()
@@ -261,7 +263,7 @@
         (connection,) = gateway.client_listener.connections
         assert connection.intake.is_read_paused
         assert len(connection.pending_replies) == 1
-        server.writers[0].close()  # the client sees its value break off, and sends the second again elsewhere
+        server.writers[0].close()  # the client sees a truncated value, and sends its second command elsewhere
         await wait_until(lambda: not gateway.client_listener.connections)
         assert len(server.commands) == 1
 
@@ -303,7 +305,7 @@
         assert await client.read_reply() == b"0000000000000002"
 
 
-async def test_value_that_breaks_off_before_its_turn_is_an_error_and_nothing_of_it_is_written():
+async def test_value_truncated_before_its_turn_is_an_error_and_nothing_of_it_is_written():
     server = FakeUpstream(lambda words: encode_reply(words[2]) if words[2].endswith(b"3") else None)
     async with run_gateway(server) as gateway:
         client = await gateway.connect_client()
