--- a/soak/fault_kinds.py
+++ b/soak/fault_kinds.py
@@ -1,4 +1,4 @@
-"""The faults that a soak can inject, by the names under which plans and records keep them."""
+"""The kinds of faults that a soak can inject, with the names that plans and records use for them."""
 
 from __future__ import annotations
 
@@ -6,9 +6,12 @@
 
 
 class FaultKind(StrEnum):
-    """An injected fault. The order decides what a seed draws: append new kinds to their group only."""
+    """A kind of injected fault.
 
-    # at a server
+    The order decides what a seed draws: append new kinds to their group only.
+    """
+
+    # Faults at a server
     HANG = "hang"
     NOT_READING = "not_reading"
     SLOW = "slow"
@@ -18,20 +21,20 @@
     DUPLICATE_REPLY = "twice"
     RESET_DURING_REQUEST = "reset_under"
     DOWN = "down"
-    # at a server, over at once
+    # Momentary faults at a server
     RESET_IDLE_CONNECTIONS = "reset_idle"
     RESET_ALL_CONNECTIONS = "reset_all"
-    # on the link between the gateways and a server
+    # Faults on the link between the gateways and a server
     LINK_CUT = "cut"
     BLACKHOLE = "blackhole"
     DELAYED_REPLY = "delay"
     TRUNCATED_REPLY = "break"
     FRAGMENTED_REPLY = "fragment"
-    # of discovery
+    # Faults of discovery
     DISCOVERY_SILENT = "silent"
     DISCOVERY_REFUSING = "refuse"
     WATCHES_DROPPED = "drop_watches"
-    # of a gateway's processes
+    # Faults of a gateway's processes
     GATEWAY_RESTART = "restart"
     GATEWAY_CRASH = "crash"
     UPGRADE = "upgrade"
@@ -40,12 +43,12 @@
     UPGRADE_OLD_VERSION_KILLED = "upgrade_old_dies"
     DISCOVERY_MOVE = "reload"
     PROCESS_PAUSE = "pause"
-    # of a gateway's operating system
+    # Faults of a gateway's operating system
     TCP_CALLS_FAIL = "tcp_calls"
     UNIX_CALLS_FAIL = "unix_calls"
     FILE_CALLS_FAIL = "file_calls"
     WALL_CLOCK_STEP = "wall_step"
-    # of the endpoint list
+    # Changes of the endpoint list
     SERVER_DRAIN = "drain"
     SERVER_REPLACEMENT = "replace"
     SERVER_DETACHMENT = "detach"
--- a/soak/faults/__init__.py
+++ b/soak/faults/__init__.py
@@ -1,4 +1,4 @@
-"""The faults that a soak injects, one class for each way to inject one."""
+"""Injectors for the faults of a soak, with one class per way of injecting a fault."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def make_faults(deployment: Deployment) -> dict[FaultKind, Fault]:
-    """Make the injector of every kind of fault."""
+    """Return an injector for every kind of fault."""
     return {
         **_make_server_faults(deployment),
         **_make_discovery_faults(deployment),
@@ -34,7 +34,7 @@
 
 
 def _make_server_faults(deployment: Deployment) -> dict[FaultKind, Fault]:
-    """Make the faults of servers, and of the links to them, which share the servers' reservations."""
+    """Return the injectors for servers and the links to them, which share the reservations of servers."""
     reservations = ServerReservations(deployment.server_roles)
     links = dict.fromkeys(deployment.server_roles, deployment.proxy)
     restarter = ServerRestarter(deployment)
--- a/soak/faults/discovery.py
+++ b/soak/faults/discovery.py
@@ -1,4 +1,4 @@
-"""Faults of discovery."""
+"""Faults of the discovery service."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from soak.plan import PlannedFault
 
 PARTIAL_CONFIG_MAX_STRENGTH = 0.4
-"""Up to this strength a move of discovery first finds the configurations half written."""
+"""Strength below which gateways first reload half-written configuration files when discovery moves."""
 
 PARTIAL_CONFIG_S = 0.12
 
@@ -22,7 +22,7 @@
         self._discovery = discovery
 
     async def inject(self, planned: PlannedFault) -> None:
-        """Inject the fault for the duration planned."""
+        """Inject the fault for its planned duration."""
         await self._discovery.command("set_silent", silent=True)
         await asyncio.sleep(planned.duration_s)
         await self._discovery.command("set_silent", silent=False)
@@ -35,7 +35,7 @@
         self._discovery = discovery
 
     async def inject(self, planned: PlannedFault) -> None:
-        """Inject the fault for the duration planned."""
+        """Inject the fault for its planned duration."""
         await self._discovery.command("set_refusing", refusing=True)
         await asyncio.sleep(planned.duration_s)
         await self._discovery.command("set_refusing", refusing=False)
@@ -47,20 +47,20 @@
     def __init__(self, discovery: RoleProcess) -> None:
         self._discovery = discovery
 
-    async def inject(self, planned: PlannedFault) -> None:  # noqa: ARG002 - as all faults
+    async def inject(self, planned: PlannedFault) -> None:  # noqa: ARG002 - signature of Fault.inject
         """Inject the fault."""
         await self._discovery.command("drop_watches")
 
 
 class DiscoveryMove:
-    """Discovery moves to another port and all gateways reload, some plays from a partial configuration."""
+    """Discovery moves to another port, and all gateways reload, sometimes from a partial configuration."""
 
     def __init__(self, discovery: RoleProcess, gateways: Sequence[SoakGateway]) -> None:
         self._discovery = discovery
         self._gateways = gateways
 
     async def inject(self, planned: PlannedFault) -> None:
-        """Inject the fault; a small strength leaves the configurations half written for a moment."""
+        """Inject the fault; at a low strength the configuration files are half written for a moment."""
         is_partial = planned.strength < PARTIAL_CONFIG_MAX_STRENGTH
         port = await self._discovery.call("move", int)
         for gateway in self._gateways:
--- a/soak/faults/endpoints.py
+++ b/soak/faults/endpoints.py
@@ -21,7 +21,7 @@
 
 
 class ServerRestarter:
-    """Takes servers off the list and starts them again, to warm up."""
+    """Removes servers from the endpoint list and restarts them, so that they warm up again."""
 
     def __init__(self, deployment: Deployment) -> None:
         self._deployment = deployment
@@ -42,7 +42,7 @@
 
 
 class ServerDrain:
-    """A server drains for long, is gone, and comes back cold."""
+    """A server drains for a long time, is gone, and restarts cold."""
 
     def __init__(
         self, reservations: ServerReservations, restarter: ServerRestarter, discovery: RoleProcess
@@ -52,7 +52,7 @@
         self._discovery = discovery
 
     async def inject(self, planned: PlannedFault) -> None:
-        """Inject the fault, where the server is free."""
+        """Inject the fault if the server can be reserved."""
         with self._reservations.reserve(planned.server) as is_reserved:
             if is_reserved:
                 await self._discovery.command(
@@ -63,27 +63,27 @@
 
 
 class ServerReplacement:
-    """A server is gone at once, and comes back cold."""
+    """A server is gone without draining first, and restarts cold."""
 
     def __init__(self, reservations: ServerReservations, restarter: ServerRestarter) -> None:
         self._reservations = reservations
         self._restarter = restarter
 
     async def inject(self, planned: PlannedFault) -> None:
-        """Inject the fault, where the server is free."""
+        """Inject the fault if the server can be reserved."""
         with self._reservations.reserve(planned.server) as is_reserved:
             if is_reserved:
                 await self._restarter.restart(planned.server)
 
 
 class ServerDetachment:
-    """An operator detaches a server and attaches it again, whatever the gateway's processes do meanwhile."""
+    """An operator detaches a server and attaches it again; the gateway's processes may change meanwhile."""
 
     def __init__(self, gateways: Sequence[SoakGateway]) -> None:
         self._gateways = gateways
 
     async def inject(self, planned: PlannedFault) -> None:
-        """Inject the fault, for twice the duration planned."""
+        """Inject the fault for twice its planned duration."""
         gateway = self._gateways[planned.gateway]
         await gateway.detach(planned.server)
         await asyncio.sleep(DETACHED_DURATION_FACTOR * planned.duration_s)
--- a/soak/faults/fault.py
+++ b/soak/faults/fault.py
@@ -1,4 +1,4 @@
-"""What all injected faults have in common."""
+"""The interface of all fault injectors."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class Fault(Protocol):
-    """A way to inject faults."""
+    """Injects faults of one or more kinds."""
 
     async def inject(self, planned: PlannedFault) -> None:
         """Inject a fault, and return once it is over.
 
         Raises:
-            ChildError: A role's process has ended, or did not reply.
+            ChildError: The process of a role has ended, or did not reply.
         """
--- a/soak/faults/processes.py
+++ b/soak/faults/processes.py
@@ -1,4 +1,4 @@
-"""Changes of a gateway's processes: restarts, crashes, and upgrades that fail at one step or another."""
+"""Faults of a gateway's processes: restarts, crashes, pauses, and upgrades that may fail at some step."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class GatewayProcessFault(ABC):
-    """A change of a gateway's processes; one gateway has one at a time."""
+    """A change of a gateway's processes; each gateway undergoes one change at a time."""
 
     def __init__(self, gateways: Sequence[SoakGateway]) -> None:
         self._gateways = gateways
@@ -38,9 +38,9 @@
 
 
 class GatewayRestart(GatewayProcessFault):
-    """The process ends by SIGTERM, then another starts."""
+    """The current process is ended by SIGTERM, then another one is started."""
 
-    async def change(self, gateway: SoakGateway, strength: float) -> None:  # noqa: ARG002 - always the same
+    async def change(self, gateway: SoakGateway, strength: float) -> None:  # noqa: ARG002 - nothing to scale
         """Restart the gateway."""
         gateway.forget_detachments()
         await gateway.terminate(gateway.current)
@@ -48,19 +48,19 @@
 
 
 class GatewayCrash(GatewayProcessFault):
-    """The process ends by SIGKILL, then another starts."""
+    """The current process is ended by SIGKILL, then another one is started."""
 
-    async def change(self, gateway: SoakGateway, strength: float) -> None:  # noqa: ARG002 - always the same
-        """Kill and start the gateway."""
+    async def change(self, gateway: SoakGateway, strength: float) -> None:  # noqa: ARG002 - nothing to scale
+        """Kill the gateway's current process and start another one."""
         gateway.forget_detachments()
         await gateway.kill(gateway.current, OutageKind.CRASH)
         await gateway.start_and_wait()
 
 
 class Upgrade(GatewayProcessFault):
-    """A new version starts beside the old one, which ends by SIGTERM once the new one is ready."""
+    """A new version starts beside the old one, which gets SIGTERM once the new one is ready."""
 
-    async def change(self, gateway: SoakGateway, strength: float) -> None:  # noqa: ARG002 - always the same
+    async def change(self, gateway: SoakGateway, strength: float) -> None:  # noqa: ARG002 - nothing to scale
         """Upgrade the gateway; a new version that is not ready in time is killed."""
         old, new = gateway.current, await gateway.start()
         if await gateway.wait_until_ready(new):
@@ -74,7 +74,7 @@
 
     async def change(self, gateway: SoakGateway, strength: float) -> None:
         """Upgrade the gateway; the strength scales the time until SIGTERM."""
-        gateway.forget_detachments()  # a handover that is cut short may lose them
+        gateway.forget_detachments()  # An interrupted handover may lose the detachments.
         old, new = gateway.current, await gateway.start()
         await asyncio.sleep(MAX_TERMINATION_DELAY_S * strength)
         _, is_ready = await asyncio.gather(gateway.terminate(old), gateway.wait_until_ready(new))
@@ -83,7 +83,7 @@
 
 
 class NewVersionKilled(GatewayProcessFault):
-    """The new version is killed a while after its start; the old one must serve on."""
+    """The new version is killed a while after its start; the old one must keep serving."""
 
     async def change(self, gateway: SoakGateway, strength: float) -> None:
         """Upgrade the gateway; the strength scales the time until the new version is killed."""
@@ -93,10 +93,10 @@
         await gateway.kill_new_version(old, new)
         await asyncio.sleep(RESUME_S)
         if not await self._serves_on(old, killed_s + READY_TIMEOUT_S):
-            gateway.record_start_violation(old, "does not serve on after the new version died")
+            gateway.record_start_violation(old, "not ready again after the new version was killed")
 
     async def _serves_on(self, old: GatewayProcess, until_s: float) -> bool:
-        while not await old.is_ready() and time.monotonic() < until_s:  # noqa: ASYNC110 - no event tells
+        while not await old.is_ready() and time.monotonic() < until_s:  # noqa: ASYNC110 - no event to wait for
             await asyncio.sleep(READY_CHECK_INTERVAL_S)
         return await old.is_ready()
 
@@ -104,7 +104,7 @@
 class OldVersionKilled(GatewayProcessFault):
     """The old version is killed as soon as the new one is ready."""
 
-    async def change(self, gateway: SoakGateway, strength: float) -> None:  # noqa: ARG002 - always the same
+    async def change(self, gateway: SoakGateway, strength: float) -> None:  # noqa: ARG002 - nothing to scale
         """Upgrade the gateway."""
         old = gateway.current
         if await gateway.start_and_wait():
@@ -112,7 +112,7 @@
 
 
 class ProcessPause:
-    """The current process is stopped for a moment, whatever else happens to it."""
+    """The current process is stopped for a moment, possibly during another change of the gateway."""
 
     def __init__(self, gateways: Sequence[SoakGateway]) -> None:
         self._gateways = gateways
--- a/soak/faults/reservations.py
+++ b/soak/faults/reservations.py
@@ -7,7 +7,7 @@
 
 
 class ServerReservations:
-    """One fault a server at a time, and never more than half of the servers.
+    """Allows one fault per server at a time, at no more than half of the servers (rounded up).
 
     Args:
         servers: The names of all servers.
@@ -19,7 +19,7 @@
 
     @contextmanager
     def reserve(self, server: str) -> Iterator[bool]:
-        """Reserve a server within the context; yield whether that was possible."""
+        """Reserve a server for the duration of the context; yield whether that was possible."""
         is_possible = server not in self._reserved and 2 * len(self._reserved) < len(self._servers)
         if is_possible:
             self._reserved.add(server)
--- a/soak/faults/roles.py
+++ b/soak/faults/roles.py
@@ -1,4 +1,4 @@
-"""Faults that a role's process plays itself: those of servers, and of the links to them."""
+"""Faults that the process of a role carries out itself: those of servers and of the links to them."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 class RoleFault:
-    """Lets the process of a role begin and end a fault at one server.
+    """Injects a fault at one server by commands to the process of a role.
 
     Args:
-        roles: The process that plays the fault, by server.
-        reservations: A server that is reserved for another fault gets none.
+        roles: The process that carries out the fault, by server name.
+        reservations: The reservations of servers; a server that can't be reserved gets no fault.
         is_momentary: Whether the fault ends as soon as it has begun.
     """
 
@@ -27,7 +27,7 @@
         self._is_momentary = is_momentary
 
     async def inject(self, planned: PlannedFault) -> None:
-        """Inject the fault, where the server is free."""
+        """Inject the fault if the server can be reserved."""
         role = self._roles[planned.server]
         with self._reservations.reserve(planned.server) as is_reserved:
             if not is_reserved:
--- a/soak/faults/system.py
+++ b/soak/faults/system.py
@@ -1,4 +1,4 @@
-"""Faults of the operating system under a gateway: system calls that fail, and a wall clock that is set."""
+"""Faults of the operating system under a gateway: failing system calls and steps of the wall clock."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
     Args:
         gateways: All gateways.
-        category: Which system calls.
+        category: The category of system calls that fail.
     """
 
     def __init__(self, gateways: Sequence[SoakGateway], category: CallCategory) -> None:
@@ -29,7 +29,7 @@
         self._category = category
 
     async def inject(self, planned: PlannedFault) -> None:
-        """Inject the fault for twice the duration planned; the strength scales the share that fails."""
+        """Inject the fault for twice its planned duration; the strength scales the share of failing calls."""
         control = self._gateways[planned.gateway].shim_control
         scale_percent = MAX_FAILING_PERCENT - MIN_FAILING_PERCENT
         control.set_failing(self._category, MIN_FAILING_PERCENT + scale_percent * planned.strength)
@@ -38,13 +38,13 @@
 
 
 class WallClockStep:
-    """A gateway's wall clock is set, and set back later."""
+    """A gateway's wall clock is stepped, and stepped back later."""
 
     def __init__(self, gateways: Sequence[SoakGateway]) -> None:
         self._gateways = gateways
 
     async def inject(self, planned: PlannedFault) -> None:
-        """Inject the fault for three times the duration planned; the strength chooses the step."""
+        """Inject the fault for three times its planned duration; the strength selects the step."""
         control = self._gateways[planned.gateway].shim_control
         step_s = WALL_CLOCK_STEPS_S[int(planned.strength * len(WALL_CLOCK_STEPS_S))]
         control.wall_step_s += step_s
--- a/soak/oracle/__init__.py
+++ b/soak/oracle/__init__.py
@@ -1,4 +1,4 @@
-"""Judge the records of a soak by the rules of docs/invariants.md, one module a rule."""
+"""Check the records of a soak against the rules of docs/invariants.md, with one module per rule."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 def find_violations(records: SoakRecords) -> list[Violation]:
-    """Return every violation of a rule, those at the start of processes last."""
+    """Return every rule violation; those recorded when processes started come last."""
     index = RecordIndex(records)
     found = [violation for check in _RULE_CHECKS for violation in check(index)]
     return [*found, *records.start_violations]
--- a/soak/oracle/answered.py
+++ b/soak/oracle/answered.py
@@ -1,4 +1,4 @@
-"""Check that requests are answered.
+"""Check that every request is answered.
 
 Rules of docs/invariants.md:
 
@@ -20,13 +20,13 @@
 """Idle time after which a gateway may close a connection on which no answer is owed."""
 
 ACCEPT_AFTER_SIGTERM_S = 0.4
-"""How long new connections may still come after SIGTERM."""
+"""Time after SIGTERM during which a gateway must still accept new connections."""
 
 LOST_ENDS = (RequestEnd.GATEWAY_DISCONNECTED, RequestEnd.UNANSWERED)
 
 
 def find_violations(index: RecordIndex) -> Iterator[Violation]:
-    """Yield requests that got no answer in time, and that no crash or allowed close explains."""
+    """Yield requests that got no answer in time, unless an outage or an allowed close explains it."""
     for request in index.records.requests:
         loss = _describe_loss(request)
         if loss and not _is_excused(request, index):
@@ -40,9 +40,9 @@
 
 
 def _describe_loss(request: RequestRecord) -> str:
-    """Return how an answer was lost; empty where it was not."""
+    """Return how an answer was lost or late; empty if it came in time."""
     if request.class_name is RequestClass.MALFORMED:
-        return "peer got neither an error nor a close" if request.end is RequestEnd.UNANSWERED else ""
+        return "client got neither an error nor a close" if request.end is RequestEnd.UNANSWERED else ""
     if request.end is RequestEnd.ANSWERED:
         late_s = request.ended_s - request.lag_s - request.due_s
         return f"answered {late_s:.3f} s late" if late_s > TIMING_SLACK_S else ""
@@ -50,7 +50,10 @@
 
 
 def _is_excused(request: RequestRecord, index: RecordIndex) -> bool:
-    """Return whether a crash took it, or it crossed a close between requests and was never read."""
+    """Return whether the loss of an answer is allowed.
+
+    An outage of the gateway excuses it, and so does an allowed close before the request was read.
+    """
     if _was_in_outage(request, index):
         return True
     was_read = bool(index.commands_by_request.get(request.request_id))
--- a/soak/oracle/client_gone.py
+++ b/soak/oracle/client_gone.py
@@ -24,5 +24,5 @@
         after_s = command.earliest_received_s - request.ended_s
         has_disconnected = request.end is RequestEnd.CLIENT_DISCONNECTED
         if has_disconnected and after_s > DISCONNECT_NOTICE_S + TIMING_SLACK_S:
-            detail = f"{command.server} {after_s:.3f} s after its client, n{request.gateway}"
+            detail = f"{command.server} received it {after_s:.3f} s after the client left, n{request.gateway}"
             yield Violation(Rule.CLIENT_GONE, request.request_id, detail)
--- a/soak/oracle/deadline.py
+++ b/soak/oracle/deadline.py
@@ -14,7 +14,7 @@
 from soak.violation import Rule, Violation
 
 SERVER_NOT_READING_LAG_S = 60.0
-"""Servers record a lag above this while they do not read."""
+"""Lag above which a command counts as received by a server that was not reading."""
 
 
 def find_violations(index: RecordIndex) -> Iterator[Violation]:
@@ -24,5 +24,5 @@
         excess_s = command.remaining_timeout_s - left_s
         was_reading = command.lag_s < SERVER_NOT_READING_LAG_S
         if was_reading and excess_s > DEADLINE_SLACK_S + TIMING_SLACK_S:
-            detail = f"{excess_s:.3f} s too much, n{request.gateway} {request.behaviour}"
+            detail = f"timeout {excess_s:.3f} s too long, n{request.gateway} {request.behaviour}"
             yield Violation(Rule.DEADLINE, request.request_id, detail)
--- a/soak/oracle/detached.py
+++ b/soak/oracle/detached.py
@@ -1,4 +1,4 @@
-"""Check that servers that operators have detached get no new requests.
+"""Check that servers detached by operators get no new requests.
 
 Rules of docs/invariants.md:
 
@@ -14,14 +14,14 @@
 from soak.violation import Rule, Violation
 
 IN_FLIGHT_SLACK_S = 0.08
-"""How long attempts still arrive that were on their way when the operator's call was answered."""
+"""Time after the reply to a detach call in which attempts already in flight may still arrive."""
 
 
 def find_violations(index: RecordIndex) -> Iterator[Violation]:
-    """Yield attempts that a gateway made at a server while it was detached there."""
+    """Yield attempts that a gateway sent to a server while the server was detached at that gateway."""
     for detachment in index.records.detachments:
         start_s = detachment.start_s + IN_FLIGHT_SLACK_S
         for command in index.received_by(detachment.server, start_s, detachment.end_s):
             if index.gateway_of(command) == detachment.gateway:
-                detail = f"{detachment.server} by n{detachment.gateway}"
+                detail = f"attempt at {detachment.server} by n{detachment.gateway}"
                 yield Violation(Rule.DETACHED, command.request_id, detail)
--- a/soak/oracle/drain.py
+++ b/soak/oracle/drain.py
@@ -1,4 +1,4 @@
-"""Check that servers that drain or are gone get no new requests.
+"""Check that servers that are draining or gone get no new requests.
 
 Rule of docs/invariants.md:
 
@@ -19,7 +19,7 @@
 
 
 def find_violations(index: RecordIndex) -> Iterator[Violation]:
-    """Yield attempts at a server after its gateway must have known that it is not ready."""
+    """Yield attempts that a server got after their gateway must have known that it was not ready."""
     notifications = Notifications(index.records)
     changes = sorted(index.records.endpoint_changes, key=lambda change: change.at_s)
     for position, change in enumerate(changes):
@@ -30,11 +30,14 @@
             gateway = index.gateway_of(command)
             notified_s = notifications.latest_s(change.at_s, gateway)
             if command.earliest_received_s > notified_s + DRAIN_GRACE_S + DEADLINE_SLACK_S:
-                detail = f"{change.lifecycle} {change.server} by n{'' if gateway is None else gateway}"
+                detail = (
+                    f"attempt at {change.lifecycle} {change.server} by n{'' if gateway is None else gateway}"
+                )
                 yield Violation(Rule.DRAIN, command.request_id, detail)
 
 
 def _ready_again_s(server: str, later_changes: list[EndpointChange]) -> float:
+    """Return when a server was next published as ready; infinity if it never was."""
     returns = (
         change.at_s
         for change in later_changes
--- a/soak/oracle/notification.py
+++ b/soak/oracle/notification.py
@@ -1,4 +1,4 @@
-"""By when a gateway must have been notified of a change of the endpoint list."""
+"""Compute by when a gateway must know of a change of the endpoint list."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 from soak.records import FaultRecord, GatewayTimeSpan, OutageKind, SoakRecords
 
 NOTIFICATION_S = 1.0
-"""Time after a change, where no fault delays the notification."""
+"""Time after a change within which a gateway must know of it, if no fault delays the notification."""
 
 NOTIFICATION_AFTER_FAULT_S = 6.0
-"""Time after discovery could be reached again, whatever else happens."""
+"""Time within which a gateway must know of a change once it can reach discovery again, despite any fault."""
 
 FAULTS_DELAYING_ALL_GATEWAYS = frozenset(
     (
@@ -30,26 +30,26 @@
         FaultKind.GATEWAY_CRASH,
     )
 )
-"""Faults that delay the notification of their gateway."""
+"""Faults that delay the notification of the gateway at which they are injected."""
 
 FAULTS_HIDING_DISCOVERY = frozenset(
     (FaultKind.DISCOVERY_SILENT, FaultKind.DISCOVERY_REFUSING, FaultKind.TCP_CALLS_FAIL)
 )
-"""Faults during which a gateway may not reach discovery."""
+"""Faults during which a gateway may be unable to reach discovery."""
 
 
 class Notifications:
-    """Tells when a change counts as known to a gateway, from the faults around it."""
+    """Computes when gateways must know of a change, from the faults around the time of the change."""
 
     def __init__(self, records: SoakRecords) -> None:
         self._records = records
 
     def is_undisturbed(self, changed_s: float, gateway: int | None) -> bool:
-        """Return whether no fault delays the notification of a change."""
+        """Return whether neither a fault nor a restart delays a gateway's notification of a change."""
         return not self._delaying_faults(changed_s, gateway) and not self._restarts(changed_s, gateway)
 
     def latest_s(self, changed_s: float, gateway: int | None) -> float:
-        """Return by when a gateway must know of a change."""
+        """Return the time by which a gateway must know of a change, by the monotonic clock."""
         if self.is_undisturbed(changed_s, gateway):
             return changed_s + NOTIFICATION_S
         faults = self._delaying_faults(changed_s, gateway)
@@ -68,6 +68,7 @@
         ]
 
     def _restarts(self, changed_s: float, gateway: int | None) -> list[GatewayTimeSpan]:
+        """Return the shutdowns and crashes of a gateway around the time of a change."""
         crashes = [outage for outage in self._records.outages if outage.kind is OutageKind.CRASH]
         spans: list[GatewayTimeSpan] = [*self._records.shutdowns, *crashes]
         return [span for span in spans if span.gateway == gateway and _is_near(span, changed_s)]
--- a/soak/oracle/process.py
+++ b/soak/oracle/process.py
@@ -1,4 +1,4 @@
-"""Check the gateways' processes.
+"""Check how the gateways' processes ended and what they logged.
 
 Rule of docs/invariants.md:
 
@@ -19,7 +19,7 @@
 
 
 def find_violations(index: RecordIndex) -> Iterator[Violation]:
-    """Yield processes that failed, were overdue, logged a traceback or counted violations themselves."""
+    """Yield processes that failed, ended too late, logged a traceback or counted invariant violations."""
     for process in index.records.processes:
         for detail in _describe_faults(process):
             yield Violation(Rule.PROCESS, process.name, detail)
@@ -29,10 +29,10 @@
     if process.exit_code and not process.was_killed:
         yield f"exit code {process.exit_code}"
     if process.is_overdue:
-        yield "had not ended when SIGKILL came"
+        yield "had not ended within the shutdown timeout"
     if TRACEBACK in process.log:
         start = process.log.index(TRACEBACK)
         shown_from = max(0, start - SHOWN_BEFORE_TRACEBACK_CHARACTERS)
         yield process.log[shown_from : start + SHOWN_OF_TRACEBACK_CHARACTERS]
     if process.violations:
-        yield f"{process.violations} invariants violated"
+        yield f"counted {process.violations} invariant violations"
--- a/soak/oracle/record_index.py
+++ b/soak/oracle/record_index.py
@@ -1,4 +1,4 @@
-"""The records of a play, indexed for the rules."""
+"""The records of a soak run, indexed for the rule checks."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 class RecordIndex:
-    """The records of a play, with each request's attempts.
+    """The records of a soak run, with the attempts of each request.
 
     Attributes:
-        records: The records.
-        commands_by_request: The attempts by the id of their request, in the order of receipt.
+        records: All records of the run.
+        commands_by_request: The attempts by request id, in the order in which servers received them.
     """
 
     def __init__(self, records: SoakRecords) -> None:
@@ -24,7 +24,7 @@
             self.commands_by_request[command.request_id].append(command)
 
     def request(self, request_id: str) -> RequestRecord | None:
-        """Return a request; none if no client recorded it."""
+        """Return the record of a request; None if no client recorded it."""
         return self._requests.get(request_id)
 
     def attempts(self) -> Iterator[tuple[RequestRecord, CommandRecord]]:
@@ -35,12 +35,12 @@
                 yield from ((request, command) for command in commands)
 
     def gateway_of(self, command: CommandRecord) -> int | None:
-        """Return the index of the gateway that sent an attempt; none if no client recorded its request."""
+        """Return the index of the gateway that sent an attempt; None if no client recorded its request."""
         request = self.request(command.request_id)
         return request.gateway if request else None
 
     def received_by(self, server: str, start_s: float, end_s: float) -> Iterator[CommandRecord]:
-        """Yield the attempts that a server received between two times."""
+        """Yield the attempts whose earliest time of receipt at a server lies between two times."""
         for command in self.records.commands:
             if command.server == server and start_s < command.earliest_received_s < end_s:
                 yield command
--- a/soak/oracle/reject.py
+++ b/soak/oracle/reject.py
@@ -19,4 +19,6 @@
     for request, command in index.attempts():
         is_rejected_order = request.reply == BUSY_REPLY and request.class_name is RequestClass.ORDER
         if is_rejected_order and command.was_executed:
-            yield Violation(Rule.REJECT, request.request_id, f"it ran at {command.server}")
+            yield Violation(
+                Rule.REJECT, request.request_id, f"rejected although executed at {command.server}"
+            )
--- a/soak/oracle/repeat.py
+++ b/soak/oracle/repeat.py
@@ -18,16 +18,18 @@
 
 
 def find_violations(index: RecordIndex) -> Iterator[Violation]:
-    """Yield non-idempotent requests that ran twice, and keyed ones that ran again after their window."""
+    """Yield non-idempotent requests executed twice, and keyed ones executed again after their window."""
     for request_id, commands in index.commands_by_request.items():
         request = index.request(request_id)
         executed = [command for command in commands if command.was_executed]
         if request is None or len(executed) < 2:
             continue
         if request.class_name is RequestClass.ORDER:
-            detail = f"order ran {len(executed)} times, n{request.gateway}"
+            detail = f"non-idempotent request executed {len(executed)} times, n{request.gateway}"
             yield Violation(Rule.REPEAT, request_id, detail)
         elif request.class_name is RequestClass.KEYED:
             after_s = max(command.earliest_received_s for command in executed) - executed[0].received_s
             if after_s > IDEMPOTENCY_WINDOW_S + TIMING_SLACK_S:
-                yield Violation(Rule.REPEAT, request_id, f"keyed repeated after {after_s:.3f} s")
+                yield Violation(
+                    Rule.REPEAT, request_id, f"keyed request executed again after {after_s:.3f} s"
+                )
--- a/soak/oracle/slow_start.py
+++ b/soak/oracle/slow_start.py
@@ -1,4 +1,4 @@
-"""Check the load of servers that warm up.
+"""Check the load of servers that are warming up.
 
 Rule of docs/invariants.md:
 
@@ -25,16 +25,16 @@
 from soak.violation import Rule, Violation
 
 SMALL_BUDGET_ATTEMPTS = 30
-"""Below this budget chance weighs more, and the tolerance is wider."""
+"""Budget below which the tolerance is wider, because chance weighs more."""
 
 SMALL_BUDGET_DEVIATIONS = 3.0
 LARGE_BUDGET_DEVIATIONS = 2.0
 MIN_NOTIFIED_SHARE = Fraction(2, 3)
-"""Share of a window's attempts that must come from gateways that knew of the start."""
+"""Least share of a window's attempts from gateways that knew of the start for it to be a violation."""
 
 
 def find_violations(index: RecordIndex) -> Iterator[Violation]:
-    """Yield servers that got more than their overload budget in a window while they warmed up."""
+    """Yield servers that got more than their overload budget in a window of their warm-up."""
     notifications = Notifications(index.records)
     for start in index.records.cold_starts:
         received = index.received_by(start.server, start.start_s, start.start_s + WARM_UP_S)
@@ -47,7 +47,7 @@
 def _first_overload(
     start: ServerColdStart, commands: list[CommandRecord], index: RecordIndex, notifications: Notifications
 ) -> Violation | None:
-    """Return the violation of the first window in which the budget is exceeded."""
+    """Return a violation for the first window that exceeds the budget; None if there is no such window."""
     was_notified = [_was_notified(command, start, index, notifications) for command in commands]
     for position, first in enumerate(commands):
         window_end_s = first.received_s + OVERLOAD_WINDOW_S
@@ -56,13 +56,18 @@
         age_s = first.received_s - start.start_s
         allowed = _allowed_attempts(age_s)
         if count > allowed and notified_count > MIN_NOTIFIED_SHARE * count:
-            detail = f"{count} calls where {allowed:.0f} are allowed, {age_s:.1f} s after its start"
+            detail = (
+                f"{count} attempts where {allowed:.0f} are allowed, {age_s:.1f} s after the server's start"
+            )
             return Violation(Rule.SLOW_START, start.server, detail)
     return None
 
 
 def _allowed_attempts(age_s: float) -> float:
-    """Return the budget of a window that begins at an age of a server, with its tolerance of chance."""
+    """Return how many attempts are allowed in a window that begins when a server has a given age.
+
+    The overload budget is widened by a few standard deviations, as a tolerance for chance.
+    """
     capacity_share = INITIAL_CAPACITY_SHARE + (1.0 - INITIAL_CAPACITY_SHARE) * age_s / WARM_UP_S
     budget = OVERLOAD_FACTOR * OVERLOAD_WINDOW_S * capacity_share * SERVER_CAPACITY / MEAN_SERVICE_S
     is_small = budget < SMALL_BUDGET_ATTEMPTS
--- a/soak/oracle/tolerances.py
+++ b/soak/oracle/tolerances.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 TIMING_SLACK_S = 0.03
-"""How late the soak's own processes may note something, beside the lag that they have measured."""
+"""Time by which the soak's own processes may record an event late, beyond the lag that they measure."""
 
 DEADLINE_SLACK_S = 0.15
-"""By how much a server may be told a longer timeout, or get a request later, than is right."""
+"""Time by which a timeout sent to a server may be too long, or a request may reach a server too late."""
--- a/soak/oracle/value.py
+++ b/soak/oracle/value.py
@@ -15,7 +15,7 @@
 
 
 def find_violations(index: RecordIndex) -> Iterator[Violation]:
-    """Yield requests whose client received another value than its own."""
+    """Yield requests whose client received a value other than the expected one."""
     for request in index.records.requests:
         if request.reply.startswith(WRONG_VALUE_PREFIX):
             yield Violation(Rule.VALUE, request.request_id, request.reply)
--- a/soak/violation.py
+++ b/soak/violation.py
@@ -1,4 +1,4 @@
-"""A rule of the service that a soak has seen broken."""
+"""Violations of the service's rules that a soak has found."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Rule(StrEnum):
-    """The rules that a soak checks, by the names that docs/invariants.md has in its column of soak checks."""
+    """The rules that a soak checks, under the names in the soak check column of docs/invariants.md."""
 
     ANSWERED = "answered"
     DEADLINE = "deadline"
@@ -21,16 +21,16 @@
     SLOW_START = "slow_start"
     PROCESS = "process"
     START = "start"
-    """A process is ready in time after its start, or serves on after an upgrade that failed."""
+    """A process must be ready in time after its start, and keep serving after a failed upgrade."""
 
 
 class Violation(msgspec.Struct, frozen=True, rename={"rule": "check"}):
-    """A rule that was broken.
+    """A violation of a rule.
 
     Attributes:
-        rule: The rule.
+        rule: The violated rule.
         subject: The id of a request, or the name of a server or a process.
-        detail: What was seen, in words.
+        detail: A description of what was observed.
     """
 
     rule: Rule
