--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak: real gateways on loopback under overlapping injected faults, judged by an oracle."""
+"""A randomized soak test: real gateways on loopback under overlapping faults, checked by an oracle."""
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Play seeds or planted faults on real gateways, and print what the oracle found."""
+"""Run the soak with seeds or planted faults on real gateways, and print what the oracle found."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
 
 
 def play_and_judge(config: SoakConfig, folder: Path) -> tuple[SoakRecords, list[Violation]]:
-    """Play one seed; return what was recorded and what the oracle found.
+    """Run one seed; return its records and the violations that the oracle found.
 
     Args:
-        config: The seed, and the sizes of the play.
-        folder: Emptied, then filled with configurations, logs and records.
+        config: The seed and the sizes of the run.
+        folder: The folder for configurations, logs and records; it is emptied first.
     """
     shutil.rmtree(folder, ignore_errors=True)
     folder.mkdir(parents=True)
@@ -41,7 +41,7 @@
 
 
 def describe(records: SoakRecords, violations: list[Violation]) -> str:
-    """Return a line on a play, then some violations of each rule."""
+    """Return a summary line of a run, then some violations of each rule."""
     ends = Counter(str(request.end) for request in records.requests)
     replies = Counter(request.reply.split(" ")[0] for request in records.requests if request.reply)
     rules = Counter(str(violation.rule) for violation in violations)
@@ -57,7 +57,7 @@
 
 
 def run_seeds(arguments: argparse.Namespace) -> bool:
-    """Play each seed; return whether all were without violations."""
+    """Run each seed; return whether no run had violations."""
     has_violations = False
     low, _, high = arguments.seeds.partition("-")
     for seed in range(int(low), int(high or low) + 1):
@@ -69,14 +69,14 @@
 
 
 def run_planted(arguments: argparse.Namespace) -> bool:
-    """Play each planted fault until its rule is found broken; return whether all were found."""
+    """Run each planted fault until its rule is found violated; return whether all were found."""
     only = arguments.only.split(",") if arguments.only else list(PLANTED_FAULTS)
     are_found = [_is_found(name, fault, arguments) for name, fault in PLANTED_FAULTS.items() if name in only]
     return all(are_found)
 
 
 def _is_found(name: str, fault: PlantedFault, arguments: argparse.Namespace) -> bool:
-    """Play a planted fault with one seed after the other until its rule is found broken."""
+    """Run a planted fault with successive seeds; return whether its rule was found violated."""
     for seed in range(1, arguments.tries + 1):
         config = SoakConfig(
             seed,
@@ -102,23 +102,27 @@
     for name, run in (("run", run_seeds), ("planted", run_planted)):
         command = commands.add_parser(name)
         command.set_defaults(run=run)
-        command.add_argument("--seconds", type=float, default=20.0, help="how long faults begin")
+        command.add_argument("--seconds", type=float, default=20.0, help="time during which faults begin")
         command.add_argument(
             "--faults-per-second",
             "--troubles",
             type=float,
             default=1.2,
-            help="faults that begin in a second, on average",
+            help="mean number of faults that begin per second",
         )
-        command.add_argument("--out", type=Path, default=None, help="folder of logs and records")
+        command.add_argument("--out", type=Path, default=None, help="folder for logs and records")
     commands.choices["run"].add_argument("--seeds", default="1", help="one seed, or LOW-HIGH")
-    commands.choices["planted"].add_argument("--tries", type=int, default=3, help="seeds for each fault")
-    commands.choices["planted"].add_argument("--only", default="", help="names, separated by commas")
+    commands.choices["planted"].add_argument(
+        "--tries", type=int, default=3, help="seeds to try for each planted fault"
+    )
+    commands.choices["planted"].add_argument(
+        "--only", default="", help="names of planted faults, separated by commas"
+    )
     return parser
 
 
 def main() -> int:
-    """Run the command; return 0 where nothing was broken, or all planted faults were found."""
+    """Run the command; return 0 if no rule was violated or all planted faults were found, otherwise 1."""
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.WARNING))
     arguments = make_parser().parse_args()
     arguments.out = arguments.out or Path(tempfile.mkdtemp(prefix="soak-"))
--- a/soak/child.py
+++ b/soak/child.py
@@ -1,4 +1,4 @@
-"""A child process of a soak: one of its roles, commanded as the children of a scale run are."""
+"""A child process of a soak, which runs one role and is commanded like the children of a scale run."""
 
 from __future__ import annotations
 
--- a/soak/deployment.py
+++ b/soak/deployment.py
@@ -1,4 +1,4 @@
-"""Start the processes of a soak: servers, the fault proxy before them, discovery, gateways and clients."""
+"""Start the processes of a soak: servers, the fault proxy to them, discovery, gateways and clients."""
 
 from __future__ import annotations
 
@@ -25,20 +25,20 @@
 from soak.shim import ShimControl, build_shim
 
 GATEWAY_LIMITS = {"cores": 1.0, "memory_mb": 96, "sockets": 400}
-"""The resources that each gateway is configured with."""
+"""The resource limits in the configuration of each gateway."""
 
 
 @dataclass(frozen=True)
 class Deployment:
-    """The running processes of a play.
+    """The running processes of a soak run.
 
     Attributes:
         server_roles: The process of each server, by the server's name.
         proxy: The fault proxy on the links to all servers.
-        discovery: Discovery.
+        discovery: The process of the discovery service.
         gateways: The gateways.
-        clients: The processes of clients.
-        cold_starts: The servers that were started anew during the play.
+        clients: The processes that run the clients.
+        cold_starts: The server restarts during the run.
     """
 
     server_roles: dict[str, RoleProcess]
@@ -58,12 +58,12 @@
 
 
 class Deployer:
-    """Starts the processes of one play.
+    """Starts the processes of one run.
 
     Args:
-        config: The sizes of the play.
-        supervisor: Starts the processes, and ends them after the play.
-        folder: Where configurations and temporary folders go.
+        config: The sizes of the run.
+        supervisor: Starts the processes, and ends them after the run.
+        folder: The folder for configurations and temporary folders.
     """
 
     def __init__(self, config: SoakConfig, supervisor: Supervisor, folder: Path) -> None:
@@ -72,11 +72,11 @@
         self._folder = folder
 
     async def start(self) -> Deployment:
-        """Start all processes; return once the gateways are ready and clients send.
+        """Start all processes; return once the gateways have started and the clients send requests.
 
         Raises:
             ChildError: A process has failed.
-            LimitError: The configuration allows fewer processes.
+            LimitError: The run needs more processes than the configuration allows.
         """
         servers = await self._start_servers()
         proxy, link_ports = await self._supervisor.start_role(
@@ -109,7 +109,7 @@
     async def _start_gateways(
         self, endpoints: list[ListedEndpoint], discovery_port: int
     ) -> list[SoakGateway]:
-        """Start the gateways side by side; return once each is ready, or late."""
+        """Start all gateways in parallel; return once each is ready or has missed its time limit."""
         library = build_shim(self._folder)
         gateways = [
             self._make_gateway(index, endpoints, discovery_port, library)
@@ -149,7 +149,7 @@
             "listen": f"127.0.0.1:{port}",
             "name": f"n{index}",
         }
-        # The fault shim knows configurations by "soak-" in their path.
+        # The fault shim recognizes configuration files by "soak-" in their path.
         return GatewayConfigFile(self._folder / f"soak-config-{index}.json", document)
 
     async def _start_clients(self, number: int, gateways: list[SoakGateway]) -> RoleProcess:
--- a/soak/discovery.py
+++ b/soak/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery of a soak: an endpoint list whose changes are recorded, at an address that can move."""
+"""The discovery service of a soak: it records the changes of its endpoint list, and its address can move."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 from soak.records import EndpointChange, EndpointLifecycle
 
 OLD_ADDRESS_GRACE_S = 1.5
-"""TERMS: how long after a move connections at the old address close."""
+"""Time after a move until connections at the old address are closed (TERMS)."""
 
 
 class SoakDiscovery:
-    """Discovery as gateways see it, as a child's role.
+    """The discovery service that gateways connect to, as the role of a child process.
 
     Args:
-        endpoints: The endpoint list at first, as discovery encodes it.
+        endpoints: The initial endpoint list, in discovery's encoding.
     """
 
     def __init__(self, endpoints: list[dict[str, object]]) -> None:
         self._state = DiscoveryState(msgspec.convert(endpoints, list[ListedEndpoint]))
         self._listener: asyncio.Server | None = None
         self._changes: list[EndpointChange] = []
-        # Kept apart from the catalog, which forgets an endpoint that is gone.
+        # The catalog drops endpoints that are gone; this copy keeps them for a later return.
         self._endpoints = dict(self._state.catalog.endpoints)
 
     async def start(self) -> int:
@@ -38,7 +38,7 @@
         return int(self._listener.sockets[0].getsockname()[1])
 
     async def move(self) -> int:
-        """Listen at another port only; return it. Connections at the old one close after a grace."""
+        """Listen on a new port only; return it. Connections to the old port close after a grace period."""
         old_listener, old_connections = self._listener, tuple(self._state.connections)
         port = await self.start()
         if old_listener:
@@ -49,7 +49,7 @@
         return port
 
     async def publish(self, server: str, lifecycle: str, started_at_ms: int | None = None) -> None:
-        """Publish a server's new lifecycle, and its start in Unix time where that is given."""
+        """Publish a server's new lifecycle, and its start time in Unix milliseconds if given."""
         endpoint = self._endpoints[server]
         if started_at_ms is not None:
             endpoint = msgspec.structs.replace(endpoint, started_at_ms=started_at_ms)
@@ -59,7 +59,7 @@
         self._state.publish([endpoint])
 
     async def set_silent(self, silent: bool) -> None:
-        """Write nothing on any connection, or resume."""
+        """Stop writing on all connections, or resume."""
         if silent:
             self._state.is_silent = True
         else:
--- a/soak/loop_lag.py
+++ b/soak/loop_lag.py
@@ -1,4 +1,4 @@
-"""How late a role's event loop may have noticed an event, because its process was held up."""
+"""Measure how late an event loop may have noticed an event because its process was held up."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class LoopLag:
-    """Ticks on the event loop: a late tick shows for how long nothing was noticed."""
+    """Schedules a periodic tick on the event loop; a late tick shows how long the loop was held up."""
 
     def __init__(self) -> None:
         self._last_tick_s = time.monotonic()
@@ -24,7 +24,7 @@
         asyncio.get_running_loop().call_later(TICK_INTERVAL_S, self._tick)
 
     def seconds(self) -> float:
-        """Return by how much earlier an event may have come that is noticed now; 0 if negligible."""
+        """Return how many seconds ago an event noticed now may have occurred; 0 if negligible."""
         overdue_s = time.monotonic() - self._last_tick_s - TICK_INTERVAL_S
         lag_s = max(overdue_s, self._previous_gap_s, 0.0)
         return lag_s if lag_s > NEGLIGIBLE_LAG_S else 0.0
--- a/soak/plan.py
+++ b/soak/plan.py
@@ -1,4 +1,4 @@
-"""Draw from a seed which faults a play injects: what, when, for how long, and where. They overlap."""
+"""Draw the faults of a run from its seed: their kinds, times, durations and targets. Faults may overlap."""
 
 from __future__ import annotations
 
@@ -31,19 +31,19 @@
     **dict.fromkeys(SYSTEM_FAULTS, 2.5),
     **dict.fromkeys(ENDPOINT_FAULTS, 2.0),
 }
-"""How often each kind is drawn, relative to the others. The order decides what a seed draws."""
+"""Relative frequency of each kind of fault. The order of the kinds decides what a seed draws."""
 
 
 class PlannedFault(msgspec.Struct, frozen=True):
     """One fault of a plan.
 
     Attributes:
-        kind: What it is.
-        start_s: When it begins, from the start of the play.
-        duration_s: How long it lasts; some faults scale it, momentary ones ignore it.
-        server: The server to which it is injected, if to one.
-        gateway: The index of the gateway to which it is injected, if to one.
-        strength: From 0 to 1; each fault says what it scales.
+        kind: The kind of fault.
+        start_s: When the fault begins, from the start of the run.
+        duration_s: How long the fault lasts; some faults scale this, momentary ones ignore it.
+        server: The server at which the fault is injected; unused by faults without a server.
+        gateway: The index of the gateway at which it is injected; unused by faults without a gateway.
+        strength: A number from 0 to 1; its effect depends on the kind of fault.
     """
 
     kind: FaultKind
@@ -55,12 +55,12 @@
 
 
 def draw_plan(config: SoakConfig) -> list[PlannedFault]:
-    """Draw the faults of a play, in the order of their times."""
+    """Draw the faults of a run, in the order of their start times."""
     source = random.Random(f"plan {config.seed}")
     servers = [name for names in config.server_names for name in names]
     number = round(config.duration_s * config.faults_per_s)
     kinds = source.choices(list(FAULT_WEIGHTS), list(FAULT_WEIGHTS.values()), k=number)
-    # Each argument draws from the source: their order is part of what a seed means.
+    # The arguments draw random numbers, so that their order decides what a seed draws.
     faults = [
         PlannedFault(
             kind=kind,
--- a/soak/planted.py
+++ b/soak/planted.py
@@ -1,4 +1,4 @@
-"""Run a gateway with a planted fault, to show that the oracle finds the rule that it breaks."""
+"""Run a gateway with a planted fault, to show that the oracle finds the rule that the fault violates."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 DROPPED_SHARE = 0.05
 EXTRA_TIMEOUT_MS = 400.0
 
-# Any: each planted fault takes the place of a method, whatever its signature.
+# The type is this general because planted faults replace methods with different signatures.
 Patched = Callable[..., Any]
 
 
@@ -166,12 +166,12 @@
 
 
 class PlantedFault(NamedTuple):
-    """A fault of the program.
+    """A fault that is planted in the gateway's code.
 
     Attributes:
-        plant: Patches the program of this process.
-        rule: The rule that the oracle must find broken.
-        injected: The faults without whose injection it does not show.
+        plant: Patches the gateway's code in this process.
+        rule: The rule that the oracle must find violated.
+        injected: The faults that must be injected for the violation to occur.
     """
 
     plant: Callable[[], None]
@@ -180,50 +180,50 @@
 
 
 PLANTED_FAULTS: dict[str, PlantedFault] = {
-    # Sends servers a longer remaining timeout than the client has left.
+    # The gateway sends servers a longer remaining timeout than the client has left.
     "extend_deadline": PlantedFault(_extend_deadline, Rule.DEADLINE),
-    # Repeats non-idempotent requests that may have run.
+    # The gateway repeats non-idempotent requests that may have been executed.
     "repeat_unsafe": PlantedFault(
         _repeat_unsafe, Rule.REPEAT, (FaultKind.RESET_DURING_REQUEST, FaultKind.ERROR_REPLY)
     ),
-    # Does not notice that clients disconnect.
+    # The gateway does not notice that clients disconnect.
     "ignore_client_end": PlantedFault(
         _ignore_client_end,
         Rule.CLIENT_GONE,
         (FaultKind.SLOW, FaultKind.OVERLOADED, FaultKind.OVERLOADED, FaultKind.HANG),
     ),
-    # Never writes some answers.
+    # The gateway never writes some answers.
     "drop_answers": PlantedFault(_drop_answers, Rule.ANSWERED),
-    # Sends requests to servers that drain.
+    # The gateway sends requests to servers that are draining.
     "ignore_drain": PlantedFault(_ignore_drain, Rule.DRAIN, (FaultKind.SERVER_DRAIN, FaultKind.SERVER_DRAIN)),
-    # Sends requests to detached servers.
+    # The gateway sends requests to detached servers.
     "ignore_detach": PlantedFault(
         _ignore_detach, Rule.DETACHED, (FaultKind.SERVER_DETACHMENT, FaultKind.SERVER_DETACHMENT)
     ),
-    # Rejects requests that may have run.
+    # The gateway rejects requests that may have been executed.
     "reject_after_run": PlantedFault(
         _reject_after_run, Rule.REJECT, (FaultKind.ERROR_REPLY, FaultKind.RESET_DURING_REQUEST)
     ),
-    # Replaces some values.
+    # The gateway replaces some values.
     "mix_values": PlantedFault(_mix_values, Rule.VALUE),
-    # Closes the listening socket before the connections in its queue are accepted.
+    # The gateway closes its listening socket before it has accepted the connections in the queue.
     "close_queue_unread": PlantedFault(
         _close_queue_unread,
         Rule.ANSWERED,
         (FaultKind.GATEWAY_RESTART, FaultKind.GATEWAY_RESTART, FaultKind.TCP_CALLS_FAIL),
     ),
-    # Exits on SIGHUP.
+    # The gateway exits on SIGHUP.
     "crash_on_reload": PlantedFault(_crash_on_reload, Rule.PROCESS, (FaultKind.DISCOVERY_MOVE,)),
-    # Sends servers that warm up their full load.
+    # The gateway sends their full load to servers that are warming up.
     "ignore_slow_start": PlantedFault(
         _ignore_slow_start,
         Rule.SLOW_START,
         (FaultKind.SERVER_REPLACEMENT, FaultKind.SERVER_REPLACEMENT, FaultKind.SERVER_REPLACEMENT),
     ),
-    # Closes some connections on which an answer is owed.
+    # The gateway closes some connections on which an answer is owed.
     "close_while_owed": PlantedFault(_close_while_owed, Rule.PROCESS),
 }
-"""The planted faults by the names that the command line has for them."""
+"""The planted faults, by their names on the command line."""
 
 
 if __name__ == "__main__":
--- a/soak/play.py
+++ b/soak/play.py
@@ -1,4 +1,4 @@
-"""Play a soak: start its processes, inject the faults of its plan, and collect what was recorded."""
+"""Run a soak: start its processes, inject the faults of its plan, and collect the records."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 from soak.settings import SoakConfig
 
 SETTLE_S = 3.0
-"""How long clients go on after the last fault is over."""
+"""Time for which clients continue after the last fault is over."""
 
 
 async def play(config: SoakConfig, folder: Path) -> SoakRecords:
-    """Play one seed; return what was recorded.
+    """Run one seed; return its records.
 
     Args:
-        config: The seed, and the sizes of the play.
+        config: The seed and the sizes of the run.
         folder: An existing folder for configurations and logs.
 
     Raises:
-        ChildError: A role's process has failed.
-        LimitError: The play needs more processes than the configuration allows.
+        ChildError: The process of a role has failed.
+        LimitError: The run needs more processes than the configuration allows.
     """
     log = structlog.get_logger()
     async with Supervisor(config, folder, log, child_module="soak.child") as supervisor:
@@ -39,7 +39,7 @@
 
 
 async def _inject_all(plan: list[PlannedFault], deployment: Deployment) -> list[FaultRecord]:
-    """Inject each fault at its time; return them in the order of their ends."""
+    """Inject each fault at its planned time; return their records in the order in which they ended."""
     records: list[FaultRecord] = []
     faults = make_faults(deployment)
     start_s = time.monotonic()
@@ -66,7 +66,7 @@
 
 
 async def _collect(deployment: Deployment, faults: list[FaultRecord]) -> SoakRecords:
-    """Stop clients and gateways; return all records."""
+    """Stop the clients and gateways; return the records of all processes."""
     records = SoakRecords(faults=faults, cold_starts=deployment.cold_starts)
     for client in deployment.clients:
         await client.command("stop")
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A fault proxy on the links to the servers: it cuts, drops, delays, truncates or fragments what passes."""
+"""A fault proxy on the links to the servers: it cuts links, or drops, delays, truncates or fragments data."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 READ_BYTES = 65_536
 MAX_FRAGMENT_BYTES = 9
 MAX_FRAGMENTS = 100
-"""Data that would pass in more fragments passes in larger ones."""
+"""Most fragments into which one piece of data is split; larger data gets larger fragments."""
 
 MAX_DELAY_S = 0.3
 TRUNCATED_SHARE = 0.3
 
 
 class ProxyLink:
-    """The link to one server, and the fault that is on.
+    """The link to one server, and its current fault.
 
     Attributes:
-        port: Its port, the same after each cut; 0 before it has listened.
-        fault: The fault that is on.
+        port: The port of the link, kept after each cut; 0 before the link first listens.
+        fault: The current fault; None if there is none.
     """
 
     def __init__(self, server_port: int, seed: str) -> None:
@@ -39,7 +39,7 @@
         return self._listener is not None
 
     async def listen(self) -> None:
-        """Listen, at the same port as before if there was one."""
+        """Listen, on the same port as before if there was one."""
         self._listener = await asyncio.start_server(self._serve, "127.0.0.1", self.port)
         self.port = self._listener.sockets[0].getsockname()[1]
 
@@ -100,7 +100,7 @@
             await asyncio.sleep(0)
 
     def _fragment_bytes(self, data_bytes: int) -> int:
-        """Return the size of the fragments in which data passes; all of it where no fault fragments it."""
+        """Return the size of the fragments for some data; the whole size unless a fault fragments replies."""
         if self.fault is not FaultKind.FRAGMENTED_REPLY:
             return data_bytes
         drawn_bytes = self._random.randint(1, MAX_FRAGMENT_BYTES)
@@ -110,11 +110,11 @@
 
 
 class FaultProxy:
-    """The links to all servers, as a child's role.
+    """The links to all servers, as the role of a child process.
 
     Args:
-        server_ports: The port of each server.
-        seed: The seed of the play.
+        server_ports: The port of each server, by name.
+        seed: The seed of the run.
     """
 
     def __init__(self, server_ports: dict[str, int], seed: int) -> None:
@@ -139,5 +139,5 @@
         if not link.is_listening:
             await link.listen()
         if link.fault is FaultKind.BLACKHOLE:
-            link.reset_connections()  # data was lost on those that stayed open
+            link.reset_connections()  # The connections that stayed open have lost data.
         link.fault = None
--- a/soak/records.py
+++ b/soak/records.py
@@ -1,7 +1,7 @@
-"""What the roles of a soak record for the oracle. All times are of the monotonic clock, in seconds.
+"""The records that the roles of a soak keep for the oracle. All times are monotonic, in seconds.
 
-The structs of requests, commands, endpoint changes and processes pass between a soak's processes and into its
-files as JSON; ``rename`` maps their fields to the keys there.
+The structs of requests, commands, endpoint changes and processes are encoded as JSON between a soak's
+processes and in its files; ``rename`` maps their fields to the JSON keys.
 """
 
 from __future__ import annotations
@@ -19,19 +19,19 @@
 
 
 class RequestClass(StrEnum):
-    """Whether a request may be repeated."""
+    """The class of a request, by its idempotency."""
 
     READ = "read"
     """Idempotent."""
 
     KEYED = "keyed"
-    """Idempotent within the window of its key."""
+    """Idempotent within the window of its idempotency key."""
 
     ORDER = "order"
     """Non-idempotent."""
 
     MALFORMED = "junk"
-    """No request: data of a misbehaving client, to which an error or a close is owed."""
+    """Data of a misbehaving client that is not a request; the gateway owes an error or a close."""
 
 
 class ClientBehaviour(StrEnum):
@@ -55,17 +55,17 @@
     CLIENT_DISCONNECTED = "left"
     GATEWAY_DISCONNECTED = "closed"
     UNANSWERED = "silent"
-    """No answer came in the time that the client waits."""
+    """No answer came in the time for which the client waits."""
 
     UNSENT = "unsent"
     """The connection ended before the request was written."""
 
     TRUNCATED = "truncated"
-    """The gateway closed within a value, which may have broken off at its server."""
+    """The gateway closed in the middle of a reply, which its server may have truncated."""
 
 
 class EndpointLifecycle(StrEnum):
-    """The state of a server on discovery's list."""
+    """The lifecycle of a server on discovery's endpoint list."""
 
     READY = "Ready"
     TERMINATING = "Terminating"
@@ -73,7 +73,7 @@
 
 
 class OutageKind(StrEnum):
-    """How a process of a gateway was killed."""
+    """The fault by which a gateway's process was killed."""
 
     CRASH = "crash"
     NEW_VERSION_KILLED = "new dies"
@@ -84,19 +84,19 @@
     """A request as its client saw it.
 
     Attributes:
-        request_id: Its id.
-        class_name: Its class.
-        behaviour: How its connection behaves.
-        gateway: The index of the gateway that it went to.
+        request_id: The id of the request.
+        class_name: The class of the request.
+        behaviour: The behaviour of its connection.
+        gateway: The index of the gateway that received it.
         connected_s: When its connection was opened.
         sent_s: When its last byte was written.
-        timeout_s: How long the client waits.
-        is_first: Whether it is the first on its connection.
-        idle_before_s: For how long no answer was owed on the connection before it.
-        due_s: When its answer is lost: a grace after its timeout, or after the answers before it.
+        timeout_s: The timeout that the client sent.
+        is_first: Whether it is the first request on its connection.
+        idle_before_s: How long no answer had been owed on the connection before it.
+        due_s: When its answer is due: a grace after its timeout or the previous answer, whichever is later.
         lag_s: How late the client's process may have noticed the end.
-        end: How it ended.
-        ended_s: When it ended.
+        end: How the request ended.
+        ended_s: When the request ended.
         reply: The first word of an error, ``VALUE_REPLY``, or ``WRONG_VALUE_PREFIX`` and the wrong value.
     """
 
@@ -122,12 +122,12 @@
     """An attempt as its server received it.
 
     Attributes:
-        request_id: The request.
-        server: The server.
+        request_id: The id of the request.
+        server: The name of the server.
         received_s: When its last byte was read.
-        lag_s: How much earlier it may have come, as the process was held up or did not read.
-        remaining_timeout_s: How long the gateway said that it waits.
-        was_executed: Whether the server began it; an overloaded server does not.
+        lag_s: How much earlier it may have arrived, because the process was held up or did not read.
+        remaining_timeout_s: The remaining timeout that the gateway sent.
+        was_executed: Whether the server began to execute it; an overloaded server does not.
     """
 
     request_id: str
@@ -139,7 +139,7 @@
 
     @property
     def earliest_received_s(self) -> float:
-        """When it may have come at the earliest."""
+        """The earliest time at which the attempt may have arrived."""
         return self.received_s - self.lag_s
 
 
@@ -152,18 +152,18 @@
 
 
 class TimeSpan(msgspec.Struct, frozen=True, kw_only=True):
-    """Something that lasted from one time to another."""
+    """A span of time."""
 
     start_s: float
     end_s: float
 
     def overlaps(self, start_s: float, end_s: float, slack_s: float) -> bool:
-        """Return whether it shares a moment with another span, or lies within a slack of it."""
+        """Return whether the span overlaps another one, or lies within a slack of it."""
         return self.start_s - slack_s <= end_s and start_s <= self.end_s + slack_s
 
 
 class GatewayTimeSpan(TimeSpan, frozen=True, kw_only=True):
-    """Something that lasted at one gateway, given by its index."""
+    """A span of time at one gateway, given by the gateway's index."""
 
     gateway: int
 
@@ -176,23 +176,23 @@
 
 
 class GatewayOutage(GatewayTimeSpan, frozen=True, kw_only=True):
-    """A process of a gateway was killed outright: its requests may be lost."""
+    """The time in which a gateway's process was ended by SIGKILL; its requests may be lost."""
 
     kind: OutageKind
 
 
 class GatewayShutdown(GatewayTimeSpan, frozen=True, kw_only=True):
-    """A process of a gateway ended, from SIGTERM to its end."""
+    """The shutdown of a gateway's process, from SIGTERM to its end."""
 
 
 class Detachment(GatewayTimeSpan, frozen=True, kw_only=True):
-    """A server was detached at a gateway by an operator's call."""
+    """The time for which a server was detached at a gateway by an admin call."""
 
     server: str
 
 
 class ServerColdStart(msgspec.Struct, frozen=True):
-    """A server was started anew, and warms up from then on."""
+    """A restart of a server, which warms up from then on."""
 
     server: str
     start_s: float
@@ -202,13 +202,13 @@
     """How a process of a gateway ended.
 
     Attributes:
-        name: Its name in the logs.
-        gateway: The index of the gateway that it was a process of.
-        exit_code: Its exit code, negative for a signal.
-        was_killed: Whether the soak killed it.
-        is_overdue: Whether it was killed as it had not ended by the time that SIGKILL comes.
-        log: Its log.
-        violations: How many violations it counted itself.
+        name: The name of the process in the logs.
+        gateway: The index of its gateway.
+        exit_code: The exit code, negative for a signal.
+        was_killed: Whether the soak killed the process.
+        is_overdue: Whether it was killed because it had not ended within its shutdown timeout.
+        log: The log of the process.
+        violations: The number of invariant violations that the process counted itself.
     """
 
     name: str
@@ -221,7 +221,7 @@
 
 
 class SoakRecords(msgspec.Struct):
-    """All that was recorded of one play."""
+    """All records of one run."""
 
     requests: list[RequestRecord] = []
     commands: list[CommandRecord] = []
--- a/soak/records_file.py
+++ b/soak/records_file.py
@@ -1,4 +1,4 @@
-"""The file of records that a play leaves: its JSON form, written and read.
+"""Write and read the JSON file with the records of a run.
 
 The file holds faults, outages, shutdowns and cold starts in one list of intervals, each with a kind and a
 target: ``SERVER nGATEWAY`` for a fault, the server for a cold start, the gateway's index for the others.
@@ -49,7 +49,7 @@
 
 
 def write_records(records: SoakRecords, path: Path) -> None:
-    """Write the records of a play."""
+    """Write the records of a run."""
     document = _Document(
         requests=records.requests,
         commands=records.commands,
@@ -66,11 +66,11 @@
 
 
 def read_records(path: Path) -> SoakRecords:
-    """Read the records of a play.
+    """Read the records of a run.
 
     Raises:
         OSError: The file can't be read.
-        msgspec.DecodeError: It holds no records.
+        msgspec.DecodeError: The file does not hold valid records.
         ValueError: An interval has an unknown kind or target.
     """
     document = msgspec.json.decode(path.read_bytes(), type=_Document)
--- a/soak/settings.py
+++ b/soak/settings.py
@@ -1,4 +1,4 @@
-"""The sizes of a soak, and the settings that its gateways are given."""
+"""The sizes of a soak, and the settings of its gateways."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 OVERLOAD_FACTOR = 2.0
 OVERLOAD_WINDOW_S = 2.0
 SERVER_CAPACITY = 4
-"""Requests that a server works on at a time without getting slower."""
+"""Number of requests that a server can process at once without slowing down."""
 
 MEAN_SERVICE_S = 0.045
 MS_PER_S = 1000.0
@@ -34,25 +34,25 @@
     RequestClass.KEYED: "keyed",
     RequestClass.ORDER: "unsafe",
 }
-"""The classes of requests and their idempotency, in the words of the settings."""
+"""The idempotency of each request class, as named in the settings."""
 
 
 class SoakConfig(msgspec.Struct, frozen=True):
-    """The sizes of a play.
+    """The sizes of a run.
 
     Attributes:
-        seed: Of everything that is drawn.
-        duration_s: How long faults begin.
-        gateways: Gateways, each a process, or two during an upgrade.
-        server_processes: Processes with servers.
-        servers_per_process: Servers in each of them.
-        client_processes: Processes with clients.
-        connections_per_process: Connections of each of them.
-        faults_per_s: Faults that begin in a second, on average.
-        memory_mb: The most memory of all processes.
-        processes: The most processes.
-        planted_fault: The name of the planted fault that gateways have; empty for none.
-        added_faults: Faults that are injected beside those that are drawn, each as often as it is named.
+        seed: The seed of all random draws.
+        duration_s: The time during which faults begin.
+        gateways: The number of gateways; each has one process, or two during an upgrade.
+        server_processes: The number of processes that run servers.
+        servers_per_process: The number of servers in each of these processes.
+        client_processes: The number of processes that run clients.
+        connections_per_process: The number of connections of each client process.
+        faults_per_s: The mean number of faults that begin per second.
+        memory_mb: The limit on the memory of all processes together.
+        processes: The limit on the number of processes.
+        planted_fault: The name of the planted fault in the gateways; empty for none.
+        added_faults: The faults injected in addition to those drawn, one for each entry.
     """
 
     seed: int
@@ -70,7 +70,7 @@
 
     @property
     def server_names(self) -> list[list[str]]:
-        """The names of the servers, a list a process."""
+        """The names of the servers, with one list per process."""
         return [
             [f"s-{process}{index}" for index in range(self.servers_per_process)]
             for process in range(self.server_processes)
@@ -78,7 +78,7 @@
 
 
 def gateway_settings(config: SoakConfig, index: int, may_duplicate: bool) -> dict[str, Any]:
-    """Make the settings document of one gateway: a class of each idempotency, and a plan without a quota."""
+    """Return the settings of one gateway, with a class of each idempotency and a plan without a quota."""
     document = settings_document(config.gateways, index, "a")
     class_template = document["services"][0]
     document["services"] = [
--- a/soak/shim.py
+++ b/soak/shim.py
@@ -10,11 +10,11 @@
 
 SOURCE = Path(__file__).parent / "fault_shim.c"
 CONTROL_LAYOUT = struct.Struct("4d")
-"""The ``struct control`` of the source: the step of the wall clock, then a percentage for each category."""
+"""Layout of ``struct control`` in fault_shim.c: the wall clock step, then a percentage per category."""
 
 
 class CallCategory(IntEnum):
-    """The system calls that fail together, in the order of the control page."""
+    """A category of system calls with one failure rate, in the order of the control page."""
 
     TCP = 0
     """Calls on a TCP socket."""
@@ -39,14 +39,14 @@
 
 
 class ShimControl:
-    """The page that the library of one gateway reads at each call.
+    """The control page that the library in one gateway reads at each system call.
 
     Args:
-        path: The file that is mapped; it is created.
+        path: The file of the page; it is created.
 
     Attributes:
-        path: The file that is mapped.
-        wall_step_s: What is added to the wall clock, once applied.
+        path: The file of the page.
+        wall_step_s: Seconds to add to the wall clock; ``apply`` makes a new value take effect.
     """
 
     def __init__(self, path: Path) -> None:
@@ -58,15 +58,15 @@
         self._failing_percent = dict.fromkeys(CallCategory, 0.0)
 
     def environment(self, library: Path) -> dict[str, str]:
-        """Return the variables by which a process loads the library and finds the page."""
+        """Return the environment variables that make a process load the library and find the page."""
         return {"LD_PRELOAD": str(library), "SOAK_SHIM_CONTROL": str(self.path)}
 
     def set_failing(self, category: CallCategory, percent: float) -> None:
-        """Let so many percent of the calls of a category fail from now on."""
+        """Set the percentage of a category's calls that fail from now on."""
         self._failing_percent[category] = percent
         self.apply()
 
     def apply(self) -> None:
-        """Let the library read what is set here from now on."""
+        """Write the current wall clock step and percentages to the control page."""
         percentages = (self._failing_percent[category] for category in CallCategory)
         self._page[:] = CONTROL_LAYOUT.pack(self.wall_step_s, *percentages)
--- a/soak/tcp_reset.py
+++ b/soak/tcp_reset.py
@@ -11,7 +11,7 @@
 
 
 def abort_with_reset(transport: asyncio.WriteTransport) -> None:
-    """Close a connection so that the peer sees a reset; one that is closed already is left as it is."""
+    """Close a connection with a TCP reset; a connection that is already closed stays as it is."""
     with suppress(OSError):
         sock = transport.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_WITHOUT_TIME)
