--- a/soak/clients/__init__.py
+++ b/soak/clients/__init__.py
@@ -1,1 +1,1 @@
-"""The clients of a soak: each connection behaves in one of some ways, well or badly."""
+"""The clients of a soak: each connection follows one of several behaviours, good or bad."""
--- a/soak/clients/behaviours.py
+++ b/soak/clients/behaviours.py
@@ -1,6 +1,6 @@
-"""How clients use a connection, one function a behaviour.
+"""The ways in which clients use a connection, with one function per behaviour.
 
-Each raises EOFError, OSError or TimeoutError where the connection ends before it is through.
+A function raises EOFError, OSError or TimeoutError if the connection ends before the behaviour is complete.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
     ClientBehaviour.PARTIAL_COMMAND: 3,
     ClientBehaviour.DISCONNECT_AT_ONCE: 2,
 }
-"""How often each is drawn, relative to the others. The order decides what a seed draws."""
+"""Relative frequency of each behaviour. The order of the behaviours decides what a seed draws."""
 
 MAX_STEADY_REQUESTS = 30
 MAX_THINK_S = 0.15
@@ -36,7 +36,7 @@
 MIN_PIECES, MAX_PIECES = 2, 6
 MAX_PIECE_INTERVAL_S = 0.08
 IDLE_TIMES_S = (1.95, 2.05, 3.0, 6.0)
-"""Around and above the time from which on a gateway may close an idle connection."""
+"""Idle times around and above the one after which a gateway may close an idle connection."""
 
 MALFORMED_DATA = (
     b"",
@@ -52,12 +52,12 @@
 
 
 async def behave(session: ClientSession) -> None:
-    """Use a connection as its behaviour says, until that is through."""
+    """Use a connection according to its behaviour, until the behaviour is complete."""
     await _BEHAVIOURS[session.connection.behaviour](session)
 
 
 async def _send_steadily(session: ClientSession) -> None:
-    """Send one request after the other."""
+    """Send one request after another."""
     source = session.context.source
     for _ in range(source.randint(1, MAX_STEADY_REQUESTS)):
         if session.context.is_stopping():
@@ -74,14 +74,14 @@
 
 
 async def _disconnect(session: ClientSession) -> None:
-    """Close while a request is in flight."""
+    """Close the connection while a request is in flight."""
     for _ in range(session.context.source.randint(0, MAX_REQUESTS_BEFORE_DISCONNECT)):
         await session.request()
     await _send_and_disconnect(session, 1)
 
 
 async def _disconnect_in_pipeline(session: ClientSession) -> None:
-    """Close while requests wait behind those in flight."""
+    """Close the connection while pipelined requests wait behind those in flight."""
     number = session.context.source.choice(ABANDONED_PIPELINE_LENGTHS)
     await _send_and_disconnect(session, number)
 
@@ -102,7 +102,7 @@
 
 
 async def _disconnect_at_once(session: ClientSession) -> None:
-    """Send and close together: the gateway may accept a connection that has ended."""
+    """Send a request and close at once, so that the gateway may accept a closed connection."""
     records = session.send([session.context.commands.make(session.connection)])
     session.connection.close(with_reset=session.context.source.random() < RESET_SHARE)
     _record_disconnect(records[0])
@@ -141,12 +141,12 @@
 
 
 async def _send_malformed(session: ClientSession) -> None:
-    """Send what is no command."""
+    """Send data that is not a command."""
     await session.send_malformed(session.context.source.choice(MALFORMED_DATA))
 
 
 async def _send_partial_command(session: ClientSession) -> None:
-    """Send the beginning of a command."""
+    """Send only the beginning of a command."""
     source = session.context.source
     if source.random() < REQUEST_BEFORE_PARTIAL_SHARE:
         await session.request()
--- a/soak/clients/commands.py
+++ b/soak/clients/commands.py
@@ -35,9 +35,9 @@
     """Makes the commands of one process, and keeps their records.
 
     Args:
-        source: Of everything that is drawn.
-        class_names: The classes to draw from.
-        process_number: The number of the process; ids differ between processes.
+        source: The random number generator for all draws.
+        class_names: The request classes to draw from.
+        process_number: The number of the process, which makes request ids unique among processes.
 
     Attributes:
         records: The records of all commands, in the order in which they were made.
@@ -69,7 +69,7 @@
     def add_record(
         self, connection: ClientConnection, class_name: RequestClass, timeout_s: float
     ) -> RequestRecord:
-        """Add the record of a request that is still to be written."""
+        """Add and return the record of a request that is not written yet."""
         self._last_id += 1
         record = RequestRecord(
             request_id=f"{self._last_id:016x}",
--- a/soak/clients/connection.py
+++ b/soak/clients/connection.py
@@ -14,21 +14,21 @@
 
 
 class ReplyError(Exception):
-    """An error reply, as hiredis reads it."""
+    """An error reply; hiredis returns it as the value of the reply."""
 
 
 class ClientConnection:
-    """A connection, its parser of replies, and what its records need.
+    """A connection with its reply parser and the data that request records need.
 
     Attributes:
         reader: Reads from the gateway.
         writer: Writes to the gateway.
         gateway: The gateway's index.
         behaviour: How the client uses the connection.
-        request_count: The requests that were written on it.
-        connected_s: When it was opened, by the monotonic clock.
-        idle_since_s: Since when no answer is owed on it.
-        has_partial_reply: Whether a part of a reply has been read.
+        request_count: The number of requests that were written on the connection.
+        connected_s: When the connection was opened, by the monotonic clock.
+        idle_since_s: The time since which no answer is owed, by the monotonic clock.
+        has_partial_reply: Whether the beginning of an incomplete reply has been read.
     """
 
     def __init__(
@@ -53,8 +53,8 @@
 
         Raises:
             EOFError: The connection has ended.
-            OSError: It was reset.
-            hiredis.ProtocolError: What came is no reply.
+            OSError: The connection was reset.
+            hiredis.ProtocolError: The received data is not a valid reply.
         """
         while (reply := self._parser.gets()) is False:
             data = await self.reader.read(READ_BYTES)
--- a/soak/clients/role.py
+++ b/soak/clients/role.py
@@ -1,4 +1,4 @@
-"""The clients of one process, as a child's role."""
+"""The clients of one process, as the role of a child process."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 
 class SoakClients:
-    """Clients that connect to gateways at random, again and again.
+    """Clients that repeatedly connect to a gateway drawn at random.
 
     Args:
         gateway_ports: The port of each gateway.
         class_names: The classes of their requests.
-        connections: Connections at a time.
-        seed: The seed of the play.
-        number: The number of this process.
+        connections: The number of concurrent connections.
+        seed: The seed of the run.
+        number: The number of this client process.
     """
 
     def __init__(
@@ -38,13 +38,13 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
-        """Begin to send."""
+        """Start sending requests."""
         context = ClientContext(self._random, self._commands, LoopLag(), lambda: self._is_stopping)
         loop = asyncio.get_running_loop()
         self._tasks = [loop.create_task(self._keep_connecting(context)) for _ in range(self._connections)]
 
     async def stop(self) -> None:
-        """Begin nothing more, and wait for the answers that are owed."""
+        """Start no more requests, and wait for the answers that are still owed."""
         self._is_stopping = True
         await asyncio.gather(*self._tasks)
 
@@ -53,7 +53,7 @@
         return self._commands.records
 
     async def _keep_connecting(self, context: ClientContext) -> None:
-        """Use one connection after the other."""
+        """Open and use one connection after another until the clients are stopped."""
         while not self._is_stopping:
             connection = await self._connect()
             if connection is None:
@@ -66,7 +66,7 @@
                 connection.close()
 
     async def _connect(self) -> ClientConnection | None:
-        """Connect to a gateway drawn at random; return none where it does not accept."""
+        """Connect to a gateway drawn at random; return None if it does not accept the connection."""
         gateway = self._random.randrange(len(self._gateway_ports))
         try:
             reader, writer = await asyncio.open_connection("127.0.0.1", self._gateway_ports[gateway])
--- a/soak/clients/session.py
+++ b/soak/clients/session.py
@@ -1,4 +1,4 @@
-"""Send requests on a connection, and record how they end."""
+"""Send requests on a connection, and record how each request ends."""
 
 from __future__ import annotations
 
@@ -16,29 +16,29 @@
 from soak.records import VALUE_REPLY, WRONG_VALUE_PREFIX, RequestClass, RequestEnd, RequestRecord
 
 MALFORMED_GRACE_S = 3.0
-"""TERMS: within this time a client that sends no request is owed an error or a close."""
+"""Time within which a client that sends malformed data is owed an error or a close (TERMS)."""
 
 ANSWER_GRACE_S = 0.5
-"""How long after its timeout a request's answer may come."""
+"""Time after a request's timeout within which its answer may still come."""
 
 EXTRA_WAIT_S = 1.0
-"""How much longer a client waits, to tell a late answer from none."""
+"""Additional time for which a client waits, to distinguish a late answer from a missing one."""
 
 MIN_WAIT_S = 0.01
 SHOWN_VALUE_CHARACTERS = 40
 CONNECTION_ENDS = (EOFError, OSError, hiredis.ProtocolError)
-"""What reading a reply raises where the gateway has closed, or sends what is no reply."""
+"""Exceptions of reading a reply if the gateway closes the connection or sends an invalid reply."""
 
 
 @dataclass(frozen=True, slots=True)
 class ClientContext:
-    """What the connections of one process share.
+    """The objects that all connections of one process share.
 
     Attributes:
-        source: Of everything that is drawn.
+        source: The random number generator for all draws.
         commands: Makes the commands.
-        lag: How late the process notices.
-        is_stopping: Returns whether nothing more is to begin.
+        lag: Measures how late the process notices events.
+        is_stopping: Returns whether no new requests may start.
     """
 
     source: random.Random
@@ -51,7 +51,7 @@
     """The requests on one connection.
 
     Attributes:
-        context: What all connections share.
+        context: The objects that all connections of the process share.
         connection: The connection.
     """
 
@@ -64,7 +64,7 @@
 
         Raises:
             EOFError: The connection has ended.
-            TimeoutError: No answer came.
+            TimeoutError: No answer came in time.
         """
         if self.connection.reader.at_eof():
             raise EOFError
@@ -79,7 +79,7 @@
         return records
 
     def mark_sent(self, records: Sequence[RequestRecord]) -> None:
-        """Record that the last byte of requests has been written."""
+        """Record that some requests have been written up to their last byte."""
         now_s = time.monotonic()
         for record in records:
             record.sent_s = now_s
@@ -87,11 +87,13 @@
         self.connection.request_count += len(records)
 
     async def read_answers(self, records: Sequence[RequestRecord]) -> None:
-        """Read the answers in order; a request's time begins no earlier than the answer before it.
+        """Read the answers in the order of their requests.
+
+        An answer is due a grace period after its request's timeout or the previous answer, if that is later.
 
         Raises:
             EOFError: The connection has ended.
-            TimeoutError: An answer did not come.
+            TimeoutError: An answer did not come in time.
         """
         previous_end_s = 0.0
         for position, record in enumerate(records):
@@ -110,7 +112,7 @@
         self.connection.idle_since_s = time.monotonic()
 
     async def send_malformed(self, data: bytes) -> None:
-        """Send what is no request, and wait for the error or the close that is owed."""
+        """Send malformed data, and wait for the error or the close that is owed."""
         self.connection.writer.write(data)
         record = self.context.commands.add_record(self.connection, RequestClass.MALFORMED, MALFORMED_GRACE_S)
         self.mark_sent([record])
@@ -134,13 +136,13 @@
         return await asyncio.wait_for(self.connection.read_reply(), max(MIN_WAIT_S, wait_s))
 
     def _give_up(self, unanswered: RequestRecord, unread: Sequence[RequestRecord]) -> None:
-        """Record a request without an answer; the client leaves those behind it."""
+        """Record a request as unanswered, and those behind it as abandoned by the client."""
         self.record_end(unanswered, RequestEnd.UNANSWERED)
         for record in unread:
             self.record_end(record, RequestEnd.CLIENT_DISCONNECTED)
 
     def _record_closed(self, unanswered: Sequence[RequestRecord]) -> None:
-        """Record that the connection has ended, unless the client ended it itself."""
+        """Record that the gateway has closed the connection, unless the client closed it first."""
         for record in unanswered:
             if record.end is RequestEnd.UNANSWERED:
                 self.record_end(record, RequestEnd.GATEWAY_DISCONNECTED)
@@ -150,7 +152,7 @@
 
 
 def _describe_reply(reply: object, request_id: str) -> str:
-    """Return the first word of an error, or whether the value is the request's id, once or repeated."""
+    """Return the first word of an error, or whether the value is the request's id (possibly repeated)."""
     if isinstance(reply, ReplyError):
         return str(reply).split(" ")[0]
     value = reply[0] if isinstance(reply, list) and reply else reply
--- a/soak/fault_shim.c
+++ b/soak/fault_shim.c
@@ -1,8 +1,9 @@
 /* A library for LD_PRELOAD that makes a gateway's system calls fail, and steps its wall clock.
  *
- * Each call reads a page that the soak shares (the environment's SOAK_SHIM_CONTROL names the file): the step of the
- * wall clock in seconds, then the percentage of failing calls on TCP sockets, on Unix sockets and on files. Calls
- * fail with the errors that Linux documents for them. SOAK_SHIM_SEED seeds the draws. The monotonic clock is real.
+ * Each call reads a control page shared with the soak, whose file SOAK_SHIM_CONTROL in the environment names: the
+ * step of the wall clock in seconds, then the percentage of failing calls on TCP sockets, on Unix sockets and on
+ * files. Calls fail with the errors that Linux documents for them. SOAK_SHIM_SEED seeds the random number generator.
+ * The monotonic clock is not changed.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -19,9 +20,9 @@
 #include <time.h>
 #include <unistd.h>
 
-/* The layout of CONTROL_LAYOUT in shim.py. */
+/* The control page; CONTROL_LAYOUT in shim.py has the same layout. */
 struct control { double wall_step_s, tcp_percent, unix_percent, file_percent; };
-/* Used until the page is mapped: nothing fails. */
+/* The control values until the page is mapped: no call fails. */
 static struct control no_faults;
 static volatile struct control *control = &no_faults;
 static unsigned long long random_state = 0x9e3779b97f4a7c15ull;
@@ -43,7 +44,7 @@
   close(descriptor);
 }
 
-/* Draws from 0 to 1 by xorshift64. */
+/* Draws a uniform number between 0 and 1 with xorshift64. */
 static double uniform(void) {
   random_state ^= random_state << 13;
   random_state ^= random_state >> 7;
@@ -51,16 +52,16 @@
   return (double)(random_state >> 11) / 9007199254740992.0;
 }
 
-/* Draws whether a fault happens; draws nothing at 0. */
+/* Draws whether a fault happens; at 0 percent the random state stays unchanged. */
 static int happens(double percent) { return percent > 0 && uniform() * 100.0 < percent; }
 
-/* Sets errno to one of the errors; returns -1. */
+/* Sets errno to one of the errors at random; returns -1. */
 static int fail_with_one_of(const int *errors, int count) {
   errno = errors[(int)(uniform() * count)];
   return -1;
 }
 
-/* Returns the address family of a socket, -1 for any other descriptor. Keeps errno. */
+/* Returns the address family of a socket, or -1 for any other descriptor. Preserves errno. */
 static int socket_family(int descriptor) {
   int domain = 0;
   socklen_t size = sizeof domain;
@@ -70,7 +71,7 @@
   return result;
 }
 
-/* Returns the percentage of failing calls on a descriptor; 0 unless it is a TCP or Unix socket. */
+/* Returns the percentage of failing calls on a descriptor, which is 0 unless it is a TCP or Unix socket. */
 static double failing_percent(int descriptor) {
   if (control->tcp_percent <= 0 && control->unix_percent <= 0) return 0;
   int domain = socket_family(descriptor);
@@ -83,15 +84,15 @@
 static const int BROKEN_ERRORS[] = {ETIMEDOUT, EHOSTUNREACH, ECONNRESET, EPIPE};
 static const int FILE_ERRORS[] = {EIO, ENFILE, EINTR, ENOMEM};
 static const int WRITE_FILE_ERRORS[] = {ENOSPC, EIO, EDQUOT};
-/* How often these faults happen, in terms of the percentage of their category. */
+/* The frequencies of these faults, as multiples of the percentage of their category. */
 static const double ACCEPT_FACTOR = 3, BREAK_FACTOR = 0.03, INTERRUPT_FACTOR = 0.5, SHORT_FACTOR = 3;
 static const size_t MAX_SHORT_BYTES = 40;
 
-/* Only connections that the gateway has opened break: the soak's clients decide when theirs end. */
+/* Only connections opened by the gateway are broken, because the soak's clients decide when theirs end. */
 static unsigned char is_outgoing[TRACKED_DESCRIPTORS];
 static int is_tracked(int descriptor) { return descriptor >= 0 && descriptor < TRACKED_DESCRIPTORS; }
 
-/* Draws whether a connection breaks; if so shuts it down and sets errno. */
+/* Draws whether a connection breaks; if so, shuts it down and sets errno. */
 static int breaks_connection(int descriptor, double percent) {
   if (!is_tracked(descriptor) || !is_outgoing[descriptor] || !happens(percent * BREAK_FACTOR)) return 0;
   shutdown(descriptor, SHUT_RDWR);
@@ -99,7 +100,7 @@
   return 1;
 }
 
-/* Draws whether a read or write fails; if so sets errno. */
+/* Draws whether a read or write fails; if so, sets errno. */
 static int fails(int descriptor, double percent) {
   if (percent <= 0) return 0;
   if (happens(percent * INTERRUPT_FACTOR)) {
@@ -109,7 +110,7 @@
   return breaks_connection(descriptor, percent);
 }
 
-/* Draws the size of a read or write that may be a short one. */
+/* Draws the size of a read or write, which may be shortened. */
 static size_t shortened_size(size_t size, double percent) {
   if (size < 2 || !happens(percent * SHORT_FACTOR)) return size;
   return 1 + (size_t)(uniform() * (double)MIN(size - 1, MAX_SHORT_BYTES));
@@ -195,7 +196,7 @@
 ssize_t send(int descriptor, const void *buffer, size_t size, int flags) {
   DECLARE_REAL(send);
   double percent = failing_percent(descriptor);
-  if (socket_family(descriptor) == AF_UNIX) percent = 0; /* packets are not cut */
+  if (socket_family(descriptor) == AF_UNIX) percent = 0; /* Packets on Unix sockets are never shortened. */
   return fails(descriptor, percent) ? -1 : real(descriptor, buffer, shortened_size(size, percent), flags);
 }
 
@@ -224,7 +225,7 @@
   va_start(arguments, flags);
   mode_t mode = flags & (O_CREAT | O_TMPFILE) ? va_arg(arguments, mode_t) : 0;
   va_end(arguments);
-  int is_config = strstr(path, "soak-") != 0; /* deployment.py names configurations so */
+  int is_config = strstr(path, "soak-") != 0; /* deployment.py puts "soak-" into these names. */
   if (is_config && happens(control->file_percent)) return fail_with_one_of(FILE_ERRORS, LENGTH(FILE_ERRORS));
   return real(path, flags, mode);
 }
--- a/soak/gateways/admin_call.py
+++ b/soak/gateways/admin_call.py
@@ -1,4 +1,4 @@
-"""Make operators' calls to a gateway."""
+"""Make admin calls to a gateway."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 async def is_accepted(port: int, call: bytes, body: bytes = b"") -> bool:
-    """Make an operator's call; return whether the gateway answered it with 200.
+    """Make an admin call; return whether the gateway answered it with status 200.
 
     Args:
         port: The admin port of a gateway's process.
-        call: Method and path.
+        call: The HTTP method and path.
         body: The body of the request.
     """
     request = b"%b HTTP/1.1\r\nContent-Length: %d\r\n\r\n%b" % (call, len(body), body)
--- a/soak/gateways/config_file.py
+++ b/soak/gateways/config_file.py
@@ -11,11 +11,11 @@
     """The configuration file of one gateway.
 
     Args:
-        path: The file.
+        path: The path of the file.
         document: The configuration, without the address of discovery.
 
     Attributes:
-        path: The file.
+        path: The path of the file.
     """
 
     def __init__(self, path: Path, document: dict[str, Any]) -> None:
@@ -23,11 +23,11 @@
         self._document = {"discovery": "", **document}
 
     def write(self, discovery_port: int) -> None:
-        """Write the configuration with discovery at a port of loopback."""
+        """Write the configuration, with discovery at a loopback port."""
         self._document["discovery"] = f"127.0.0.1:{discovery_port}"
         self.path.write_text(json.dumps(self._document))
 
     def truncate(self) -> None:
-        """Leave only the first half, as in the middle of a write."""
+        """Truncate the file to its first half, as if a write were in progress."""
         text = self.path.read_text()
         self.path.write_text(text[: len(text) // 2])
--- a/soak/gateways/gateway.py
+++ b/soak/gateways/gateway.py
@@ -1,4 +1,4 @@
-"""One gateway of a soak: its processes, one after the other or side by side in an upgrade."""
+"""One gateway of a soak: its processes run one after another, or side by side during an upgrade."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class SoakGateway:
-    """A gateway, and what it records for the oracle.
+    """A gateway, with its records for the oracle.
 
     Args:
         index: Its index among the gateways.
@@ -36,10 +36,10 @@
         shim_control: Sets which of its system calls fail.
         change_lock: Held while its processes are changed.
         processes: All its processes, the current one last.
-        outages: When a process was killed.
-        shutdowns: When a process was ended by SIGTERM.
-        detachments: When a server was detached.
-        start_violations: Processes that were not ready in time.
+        outages: The time spans in which a process was killed.
+        shutdowns: The time spans in which a process was ended by SIGTERM.
+        detachments: The time spans in which a server was detached.
+        start_violations: The violations by processes that were not ready in time.
     """
 
     def __init__(
@@ -77,7 +77,7 @@
         return process
 
     async def wait_until_ready(self, process: GatewayProcess) -> bool:
-        """Wait until a process is ready; record a violation where it is not in time."""
+        """Wait until a process is ready; return whether it is, and record a violation if not."""
         while time.monotonic() - process.started_s < READY_TIMEOUT_S and process.is_running:
             if await process.is_ready():
                 process.was_ready = True
@@ -92,7 +92,7 @@
         return await self.wait_until_ready(await self.start())
 
     async def terminate(self, process: GatewayProcess, timeout_s: float = SHUTDOWN_TIMEOUT_S) -> None:
-        """End a process by SIGTERM, then by SIGKILL."""
+        """End a process by SIGTERM, or by SIGKILL if it has not ended within the timeout."""
         start_s = time.monotonic()
         process.send(signal.SIGTERM)
         if not await process.wait_for_end(timeout_s):
@@ -111,23 +111,23 @@
         self.outages.append(outage)
 
     async def kill_new_version(self, old: GatewayProcess, new: GatewayProcess) -> None:
-        """End a new version by SIGKILL; the old one is the current process again."""
+        """End a new version by SIGKILL, and make the old one the current process again."""
         await self.kill(new, OutageKind.NEW_VERSION_KILLED)
         self.processes.remove(new)
         self.processes.insert(self.processes.index(old), new)
 
     def record_start_violation(self, process: GatewayProcess, detail: str) -> None:
-        """Record that a process does not serve."""
+        """Record that a process is not ready."""
         self.start_violations.append(Violation(Rule.START, process.name, detail))
 
     def reload(self) -> None:
-        """Send SIGHUP to its processes that are ready; TERMS sends none before."""
+        """Send SIGHUP to the processes that have been ready; TERMS rules out an earlier SIGHUP."""
         for process in self.processes:
             if process.was_ready:
                 process.send(signal.SIGHUP)
 
     async def finish(self) -> list[ProcessEnd]:
-        """End the current process; return how all of them ended."""
+        """End the current process; return how each process of the gateway ended."""
         self.forget_detachments()
         async with self.change_lock:
             await self.terminate(self.current)
@@ -136,17 +136,17 @@
     # ---- Detachments
 
     async def detach(self, server: str) -> None:
-        """Detach a server; once the call is answered no attempt may begin there."""
+        """Detach a server by an admin call; once that is answered, no attempt may begin there."""
         if await is_accepted(self.current.admin_port, DETACH_CALL, server.encode()):
             self._detached_since_s[server] = time.monotonic()
 
     async def attach(self, server: str) -> None:
-        """Attach a server again."""
+        """Attach a server again by an admin call."""
         self._end_detachment(server)
         await is_accepted(self.current.admin_port, ATTACH_CALL, server.encode())
 
     def forget_detachments(self) -> None:
-        """End all detachments: a process that starts without a handover knows of none."""
+        """Record the end of all detachments, because a process without a handover knows of none."""
         for server in list(self._detached_since_s):
             self._end_detachment(server)
 
--- a/soak/gateways/launcher.py
+++ b/soak/gateways/launcher.py
@@ -20,10 +20,10 @@
     Args:
         supervisor: Starts and ends the run's children.
         gateway: The gateway's index.
-        config_path: Its configuration file.
+        config_path: The path of its configuration file.
         shim_environment: The variables that load the fault shim.
-        temporary_folder: Where its processes find each other.
-        planted_fault: The planted fault that they have; empty for none.
+        temporary_folder: The folder in which its processes find each other.
+        planted_fault: The name of the planted fault in its processes; empty for none.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
         """Start a process; return before it is ready.
 
         Args:
-            number: How many processes the gateway has had before.
+            number: The number of processes that the gateway has started before.
         """
         admin_port = draw_free_port()
         name = f"gateway-{self._gateway}-{number}"
--- a/soak/gateways/ports.py
+++ b/soak/gateways/ports.py
@@ -1,4 +1,4 @@
-"""Draw ports of loopback."""
+"""Draw free loopback ports."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def draw_free_port() -> int:
-    """Return a port that nobody listens on, and that this run has not drawn before."""
+    """Return a port that no process listens on, and that this run has not drawn before."""
     while True:
         with socket.create_server(("127.0.0.1", 0)) as listener:
             port = int(listener.getsockname()[1])
--- a/soak/gateways/process.py
+++ b/soak/gateways/process.py
@@ -23,11 +23,11 @@
     """A process of a gateway, from its start to the reading of its log.
 
     Attributes:
-        admin_port: Its port of operators' calls.
-        started_s: When it was started, by the monotonic clock.
+        admin_port: The port for admin calls.
+        started_s: When the process was started, by the monotonic clock.
         was_killed: Whether the soak has sent SIGKILL.
-        was_ready: Whether it has once said that it is ready.
-        is_overdue: Whether it had not ended by the time that SIGKILL comes.
+        was_ready: Whether the process has reported at least once that it is ready.
+        is_overdue: Whether the process had not ended within its shutdown timeout.
     """
 
     def __init__(self, child: ChildProcess, admin_port: int, log_path: Path) -> None:
@@ -41,16 +41,16 @@
 
     @property
     def name(self) -> str:
-        """Its name in the logs."""
+        """The name of the process in the logs."""
         return self._child.name
 
     @property
     def is_running(self) -> bool:
-        """Whether it has not ended yet."""
+        """Whether the process has not ended yet."""
         return self._child.is_running
 
     def send(self, number: signal.Signals) -> None:
-        """Send a signal, if it still runs."""
+        """Send a signal if the process is still running."""
         if self._child.is_running:
             with suppress(ProcessLookupError):
                 os.kill(self._child.pid, number)
@@ -61,18 +61,18 @@
         self.send(signal.SIGKILL)
 
     async def is_ready(self) -> bool:
-        """Return whether it says that it is ready."""
+        """Return whether the process reports that it is ready."""
         return await is_accepted(self.admin_port, READY_CALL)
 
     async def wait_for_end(self, timeout_s: float) -> bool:
-        """Wait until it has ended; return whether it has."""
+        """Wait until the process has ended; return whether it ended within the timeout."""
         end_s = time.monotonic() + timeout_s
-        while self._child.is_running and time.monotonic() < end_s:  # noqa: ASYNC110 - no event tells
+        while self._child.is_running and time.monotonic() < end_s:  # noqa: ASYNC110 - no event to wait for
             await asyncio.sleep(END_CHECK_INTERVAL_S)
         return not self._child.is_running
 
     def describe_end(self, gateway: int) -> ProcessEnd:
-        """Return how it ended, with its log."""
+        """Return how the process ended, with its log."""
         log = self._log_path.read_text(errors="replace") if self._log_path.exists() else ""
         counted = [int(number) for number in VIOLATIONS_AT_SHUTDOWN.findall(log)]
         return ProcessEnd(
--- a/soak/servers/__init__.py
+++ b/soak/servers/__init__.py
@@ -1,1 +1,1 @@
-"""The servers of a soak: they keep the rules of PROTOCOL, except while a fault is on."""
+"""The servers of a soak, which follow PROTOCOL except while a fault is injected."""
--- a/soak/servers/connection.py
+++ b/soak/servers/connection.py
@@ -16,15 +16,15 @@
 
 
 class ServerConnection(asyncio.Protocol):
-    """A connection, from its accept to its end.
+    """A gateway's connection to a server, from accept to close.
 
     Args:
-        state: The server.
-        open_connections: The server's connections; this one is among them while it is open.
-        lag: How late the process notices.
+        state: The state of the server.
+        open_connections: The server's open connections; this one is added and removed.
+        lag: Measures how late the process notices events.
 
     Attributes:
-        commands_in_flight: The requests on it that the server works on.
+        commands_in_flight: The number of requests on the connection that the server is processing.
     """
 
     def __init__(self, state: ServerState, open_connections: set[ServerConnection], lag: LoopLag) -> None:
@@ -36,7 +36,7 @@
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the connection, unless the server is not reading."""
+        """Register the connection; do not read from it while the server is not reading."""
         self._transport = cast(asyncio.Transport, transport)
         self._open_connections.add(self)
         if self._state.fault is FaultKind.NOT_READING:
@@ -50,19 +50,19 @@
         self._transport = None
 
     def reset(self) -> None:
-        """Reset it."""
+        """Close the connection with a TCP reset."""
         if self._transport:
             abort_with_reset(self._transport)
 
     def set_reading(self, reading: bool) -> None:
-        """Read, or leave what comes in the kernel."""
+        """Resume reading, or pause it so that received data stays in the kernel."""
         if self._transport and reading:
             self._transport.resume_reading()
         elif self._transport:
             self._transport.pause_reading()
 
     def data_received(self, data: bytes) -> None:
-        """Begin each command whose last byte has come."""
+        """Begin each command that has been received completely."""
         self._parser.feed(data)
         while (words := self._parser.gets()) is not False:
             self._begin(ReceivedCommand.parse(words))
@@ -78,7 +78,7 @@
         self._schedule_end(command)
 
     def _schedule_end(self, command: ReceivedCommand) -> None:
-        """Reply after the service time, or reset or hang where that fault is on."""
+        """Reply after the service time, or reset or hang if such a fault is injected."""
         state = self._state
         if state.fault is FaultKind.HANG:
             return
--- a/soak/servers/role.py
+++ b/soak/servers/role.py
@@ -1,4 +1,4 @@
-"""The servers of one process, as a child's role."""
+"""The servers of one process, as the role of a child process."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 
 class SoakServers:
-    """Some servers.
+    """The servers of one process.
 
     Args:
-        names: Their names.
-        capacity: Requests that each works on at a time without getting slower.
-        mean_service_s: The service time around which each is drawn.
-        seed: The seed of the play.
+        names: The names of the servers.
+        capacity: The number of requests that each server can process at once without slowing down.
+        mean_service_s: The service time around which the service times are drawn.
+        seed: The seed of the run.
     """
 
     def __init__(self, names: list[str], capacity: int, mean_service_s: float, seed: int) -> None:
@@ -32,11 +32,11 @@
         return {name: server.port for name, server in self._servers.items()}
 
     async def begin_fault(self, server: str, kind: str) -> None:
-        """Begin a fault of one server."""
+        """Begin a fault at one server."""
         self._servers[server].begin_fault(FaultKind(kind))
 
     async def end_fault(self, server: str) -> None:
-        """End the fault of one server."""
+        """End the fault at one server."""
         await self._servers[server].end_fault()
 
     async def records(self) -> list[CommandRecord]:
--- a/soak/servers/server.py
+++ b/soak/servers/server.py
@@ -1,4 +1,4 @@
-"""One server: its listener, its connections, and the faults that are injected there."""
+"""One server: its listener, its connections, and the faults that are injected into it."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
     """A server.
 
     Args:
-        state: What its connections share.
-        lag: How late the process notices.
+        state: The state that its connections share.
+        lag: Measures how late the process notices events.
 
     Attributes:
-        state: What its connections share.
-        port: Its port, the same after each time that it was down; 0 before it has listened.
+        state: The state that its connections share.
+        port: The port of the server, kept while it is down; 0 before it first listens.
     """
 
     def __init__(self, state: ServerState, lag: LoopLag) -> None:
@@ -31,7 +31,7 @@
         self._listener: asyncio.Server | None = None
 
     async def listen(self) -> None:
-        """Listen, at the same port as before if there was one."""
+        """Listen, on the same port as before if there was one."""
         self._listener = await asyncio.get_running_loop().create_server(
             lambda: ServerConnection(self.state, self._connections, self._lag), "127.0.0.1", self.port
         )
@@ -52,7 +52,7 @@
                     connection.set_reading(False)
 
     async def end_fault(self) -> None:
-        """End the fault that is on."""
+        """End the current fault."""
         if self._listener is None:
             await self.listen()
         if self.state.fault is FaultKind.NOT_READING:
--- a/soak/servers/state.py
+++ b/soak/servers/state.py
@@ -1,4 +1,4 @@
-"""One server's load, fault and records, and the replies that follow from them."""
+"""The load, fault and records of one server, and the replies that depend on them."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 SLOW_FACTOR = 12.0
 OVERLOAD_CAPACITY_FACTOR = 4
-"""Requests in flight, in terms of the capacity, from which on a server rejects."""
+"""Requests in flight, as a multiple of the capacity, at which a server starts to reject requests."""
 
 RESET_SHARE = 0.5
 MALFORMED_REPLY_SHARE = 0.6
@@ -38,15 +38,15 @@
 )
 
 RESUMED_READING_S = 0.2
-"""After a server has read again, how long commands may have waited in the kernel."""
+"""Time after a server resumes reading in which the commands read may have waited in the kernel."""
 
 UNKNOWN_LAG_S = 1e9
-"""The lag of commands that may have waited in the kernel while the server did not read."""
+"""Lag recorded for commands that may have waited in the kernel while the server did not read."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReceivedCommand:
-    """A command of PROTOCOL, as far as a server uses it."""
+    """The fields of a command of PROTOCOL that a server uses."""
 
     request_id: bytes
     timeout_s: float
@@ -59,19 +59,19 @@
 
 
 class ServerState:
-    """What all connections of a server share.
+    """The state that all connections of a server share.
 
     Args:
-        name: Its name.
-        capacity: Requests that it works on at a time without getting slower.
-        mean_service_s: The service time around which each is drawn.
-        seed: The seed of the play.
+        name: The name of the server.
+        capacity: The number of requests that it can process at once without slowing down.
+        mean_service_s: The service time around which the service times are drawn.
+        seed: The seed of the run.
 
     Attributes:
-        fault: The fault that is on.
-        in_flight: The requests that it works on.
-        records: The commands that it has received.
-        reading_resumed_s: When it began to read again after a fault, by the monotonic clock.
+        fault: The current fault; None if there is none.
+        in_flight: The number of requests that the server is processing.
+        records: The commands that the server has received.
+        reading_resumed_s: When the server resumed reading after a fault, by the monotonic clock.
     """
 
     def __init__(self, name: str, capacity: int, mean_service_s: float, seed: int) -> None:
@@ -86,12 +86,12 @@
 
     @property
     def is_overloaded(self) -> bool:
-        """Whether it rejects requests."""
+        """Whether the server rejects requests."""
         has_no_capacity = self.in_flight >= OVERLOAD_CAPACITY_FACTOR * self._capacity
         return has_no_capacity or self.fault is FaultKind.OVERLOADED
 
     def record(self, command: ReceivedCommand, lag_s: float, was_executed: bool) -> None:
-        """Record a command that has been received now."""
+        """Record a command that has just been received."""
         now_s = time.monotonic()
         has_just_resumed = now_s - self.reading_resumed_s < RESUMED_READING_S
         record = CommandRecord(
@@ -105,20 +105,20 @@
         self.records.append(record)
 
     def draws_reset(self) -> bool:
-        """Return whether a request is to end by a reset."""
+        """Draw whether a request ends by a connection reset; return the result."""
         return self.fault is FaultKind.RESET_DURING_REQUEST and self._random.random() < RESET_SHARE
 
     def draw_service_s(self) -> float:
-        """Draw a request's service time, without what the requests in flight add."""
+        """Draw a request's service time, before the slowdown by other requests in flight."""
         factor = SLOW_FACTOR if self.fault is FaultKind.SLOW else 1.0
         return factor * self._mean_service_s * self._random.lognormvariate(0.0, SERVICE_TIME_SIGMA)
 
     def load(self) -> float:
-        """Return by how much the requests in flight slow each other, at least 1."""
+        """Return the factor by which the requests in flight slow each other down, at least 1."""
         return max(1.0, self.in_flight / self._capacity)
 
     def make_reply(self, command: ReceivedCommand) -> bytes:
-        """Make the reply to a command, as the fault that is on has it."""
+        """Make the reply to a command, which depends on the current fault."""
         draw = self._random.random()
         if self.fault is FaultKind.MALFORMED_REPLY and draw < MALFORMED_REPLY_SHARE:
             return self._random.choice(MALFORMED_REPLIES)
