--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the fault soak: its oracle, its plan, and plays without faults."""
+"""Tests of the fault soak: its oracle, its plan, and runs without faults."""
--- a/tests/soak/test_invariants_page.py
+++ b/tests/soak/test_invariants_page.py
@@ -1,4 +1,4 @@
-"""The oracle's modules and the rules of docs/invariants.md name each other."""
+"""The oracle's modules and the rules of docs/invariants.md must refer to each other."""
 
 import importlib
 import re
@@ -9,14 +9,14 @@
 from tests.support.source_index import ROOT
 
 RULE_ROW = re.compile(r"^\| (?P<sentence>[^|]+) \|[^|]+\|[^|]+\| (?P<soak_check>[^|]+) \|$", re.MULTILINE)
-"""A row with four columns; the page's other table has two."""
+"""Matches a table row with four columns; the page's other table has two."""
 
 QUOTED_SENTENCE = re.compile(r'^ {4}"([^"]+)"$', re.MULTILINE)
 FIRST_ROWS_OF_THE_TABLE = ("invariant", "---")
 
 
 def rules_by_soak_check():
-    """The sentences of the page by the soak check that it names for them."""
+    """Return the sentences of the page, grouped by the soak check that the page names for them."""
     rules = {}
     for row in RULE_ROW.finditer((ROOT / "docs" / "invariants.md").read_text()):
         if row["sentence"] not in FIRST_ROWS_OF_THE_TABLE:
--- a/tests/soak/test_oracle.py
+++ b/tests/soak/test_oracle.py
@@ -1,4 +1,4 @@
-"""The oracle of the soak: each check meets what it is for, and excuses what the rules excuse."""
+"""The oracle of the soak: each check finds violations of its rules, and accepts what the rules allow."""
 
 from dataclasses import dataclass
 
@@ -31,7 +31,7 @@
 
 
 def request(**fields):
-    """A request that was answered in time, but for what is given."""
+    """Return a request that was answered in time, with some fields replaced."""
     values = {
         "request_id": "r",
         "class_name": "order",
@@ -54,7 +54,7 @@
 
 
 def command(after_s=0.01, **fields):
-    """A command that its server read so long after the request was sent."""
+    """Return a command that its server received ``after_s`` after the request was sent."""
     values = {
         "request_id": "r",
         "server": "s-1",
@@ -67,46 +67,46 @@
 
 
 def span(start_s, end_s):
-    """Something that began and ended so long after the request was sent."""
+    """Return the fields of a time span, given in seconds from the time at which the request was sent."""
     return {"start_s": SENT_S + start_s, "end_s": SENT_S + end_s}
 
 
 def fault(kind, start_s, end_s, server="s-2", gateway=1):
-    """An injected fault."""
+    """Return an injected fault."""
     return FaultRecord(kind=FaultKind(kind), server=server, gateway=gateway, **span(start_s, end_s))
 
 
 def crash(start_s, end_s, gateway=1):
-    """A crash of a gateway."""
+    """Return a crash of a gateway."""
     return GatewayOutage(kind=OutageKind.CRASH, gateway=gateway, **span(start_s, end_s))
 
 
 def shutdown(start_s, end_s):
-    """A shutdown of the request's gateway."""
+    """Return a shutdown of the request's gateway."""
     return GatewayShutdown(gateway=1, **span(start_s, end_s))
 
 
 def detachment(start_s, end_s, gateway=1):
-    """A detachment of the command's server."""
+    """Return a detachment of the command's server."""
     return Detachment(server="s-1", gateway=gateway, **span(start_s, end_s))
 
 
 def process(**fields):
-    """A process that ended in order, but for what is given."""
+    """Return a process that ended without a violation, with some fields replaced."""
     values = {"exit_code": 0, "was_killed": False, "is_overdue": False, "log": "", "violations": 0}
     return ProcessEnd(name="gateway-1-0", gateway=1, **{**values, **fields})
 
 
 @dataclass(frozen=True)
 class Case:
-    """Records and the checks that they violate."""
+    """Records, and the checks that must find violations in them."""
 
     records: SoakRecords
     checks: tuple[str, ...] = ()
 
 
 def case(*checks, **records):
-    """A case of one request and one command, but for what is given."""
+    """Return a case with one request and one command, with some lists of records replaced."""
     return Case(SoakRecords(**{"requests": [request()], "commands": [command()], **records}), checks)
 
 
@@ -115,10 +115,10 @@
 DRAINED = EndpointChange("s-1", EndpointLifecycle.TERMINATING, SENT_S)
 
 CASES = {
-    "in order": case(),
+    "request answered in time": case(),
     "silent": case("answered", requests=[request(end="silent", ended_s=0.0, reply="")]),
     "answered too late": case("answered", requests=[request(ended_s=SENT_S + TIMEOUT_S + 0.6)]),
-    "answered late, noticed by a client that was held up": case(
+    "answered late according to a client that was held up": case(
         requests=[request(ended_s=SENT_S + 1.6, lag_s=0.1)]
     ),
     "closed": case("answered", requests=[CLOSED]),
@@ -129,7 +129,7 @@
     "closed while the connection was idle": case(
         requests=[request(end="closed", reply="", is_first=False, idle_before_s=2.1)], commands=[]
     ),
-    "closed after the connection was idle, but the request was read": case(
+    "closed after the connection was idle, although the request was read": case(
         "answered", requests=[request(end="closed", reply="", is_first=False, idle_before_s=2.1)]
     ),
     "first request, closed in a shutdown": case(
@@ -159,25 +159,29 @@
     "rejected after it was executed": case("reject", requests=[request(reply="BUSY")]),
     "rejected before it was executed": case(requests=[request(reply="BUSY")], commands=[]),
     "wrong value": case("value", requests=[request(reply="wrong b''")]),
-    "to a draining server": case(
+    "attempt at a draining server": case(
         "drain", endpoint_changes=[DRAINED], requests=[request(sent_s=SENT_S + 3.0)], commands=[command(3.0)]
     ),
-    "to a draining server in its grace": case(endpoint_changes=[DRAINED], commands=[command(0.9)]),
-    "draining while discovery was silent": case(
+    "attempt at a draining server within the grace": case(
+        endpoint_changes=[DRAINED], commands=[command(0.9)]
+    ),
+    "attempt at a server that drained while discovery was silent": case(
         endpoint_changes=[DRAINED],
         requests=[request(sent_s=SENT_S + 3.0)],
         commands=[command(3.0)],
         faults=[fault("silent", -1.0, 2.0)],
     ),
-    "to a detached server": case("detached", detachments=[detachment(-0.5, 1.0)]),
-    "detached at another gateway": case(detachments=[detachment(-0.5, 1.0, gateway=2)]),
-    "overload of a server that warms up": case(
+    "attempt at a detached server": case("detached", detachments=[detachment(-0.5, 1.0)]),
+    "attempt at a server that is detached at another gateway": case(
+        detachments=[detachment(-0.5, 1.0, gateway=2)]
+    ),
+    "overload of a server that is warming up": case(
         "slow_start",
         requests=[],
         commands=[command(0.001 * number, request_id=f"{number}") for number in range(200)],
         cold_starts=[ServerColdStart("s-1", SENT_S)],
     ),
-    "overload of a server that warms up, of which no gateway was notified": case(
+    "overload of a server that is warming up, without a notification of any gateway": case(
         requests=[],
         commands=[command(0.001 * number, request_id=f"{number}") for number in range(200)],
         cold_starts=[ServerColdStart("s-1", SENT_S)],
@@ -185,7 +189,7 @@
     ),
     "crashed": case("process", processes=[process(exit_code=1)]),
     "killed": case(processes=[process(exit_code=-9, was_killed=True)]),
-    "killed as it was overdue": case("process", processes=[process(was_killed=True, is_overdue=True)]),
+    "killed because it was overdue": case("process", processes=[process(was_killed=True, is_overdue=True)]),
     "traceback": case("process", processes=[process(log="x\nTraceback (most recent call last):\n")]),
     "counted violations itself": case("process", processes=[process(violations=2)]),
     "not ready": case("start", start_violations=[Violation(Rule.START, "gateway-1-0", "not ready")]),
--- a/tests/soak/test_play.py
+++ b/tests/soak/test_play.py
@@ -1,4 +1,4 @@
-"""The soak itself: the same seed draws the same plan, and a play without faults breaks nothing."""
+"""The soak itself: a seed always draws the same plan, and a run without faults violates no rule."""
 
 import asyncio
 from collections import Counter
--- a/tests/soak/test_records_file.py
+++ b/tests/soak/test_records_file.py
@@ -1,4 +1,4 @@
-"""The file of records keeps the form that earlier versions of the soak wrote."""
+"""The file of records must keep the format that earlier versions of the soak wrote."""
 
 import json
 
@@ -63,7 +63,7 @@
 
 
 def write_document(folder):
-    """Write the document as a play's file."""
+    """Write the document to a records file; return its path."""
     path = folder / "records.json"
     path.write_text(json.dumps(DOCUMENT))
     return path
