--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -16,7 +16,7 @@
 
 from soak.oracle import find_violations
 from soak.planted import PLANTED_FAULTS, PlantedFault
-from soak.play import play
+from soak.play import run_soak
 from soak.records import SoakRecords
 from soak.records_file import write_records
 from soak.settings import SoakConfig
@@ -26,7 +26,7 @@
 RECORDS_FILE = "records.json"
 
 
-def play_and_judge(config: SoakConfig, folder: Path) -> tuple[SoakRecords, list[Violation]]:
+def run_and_check(config: SoakConfig, folder: Path) -> tuple[SoakRecords, list[Violation]]:
     """Run one seed; return its records and the violations that the oracle found.
 
     Args:
@@ -35,7 +35,7 @@
     """
     shutil.rmtree(folder, ignore_errors=True)
     folder.mkdir(parents=True)
-    records = asyncio.run(play(config, folder))
+    records = asyncio.run(run_soak(config, folder))
     write_records(records, folder / RECORDS_FILE)
     return records, find_violations(records)
 
@@ -62,7 +62,7 @@
     low, _, high = arguments.seeds.partition("-")
     for seed in range(int(low), int(high or low) + 1):
         config = SoakConfig(seed, arguments.seconds, faults_per_s=arguments.faults_per_second)
-        records, violations = play_and_judge(config, arguments.out / f"seed-{seed}")
+        records, violations = run_and_check(config, arguments.out / f"seed-{seed}")
         print(f"seed {seed}: {describe(records, violations)}", flush=True)
         has_violations = has_violations or bool(violations)
     return not has_violations
@@ -85,7 +85,7 @@
             planted_fault=name,
             added_faults=fault.injected,
         )
-        _, violations = play_and_judge(config, arguments.out / f"{name}-{seed}")
+        _, violations = run_and_check(config, arguments.out / f"{name}-{seed}")
         counts = Counter(str(violation.rule) for violation in violations)
         is_found = counts[fault.rule] > 0
         verdict = "met" if is_found else "NOT met"
--- a/soak/play.py
+++ b/soak/play.py
@@ -19,7 +19,7 @@
 """Time for which clients continue after the last fault is over."""
 
 
-async def play(config: SoakConfig, folder: Path) -> SoakRecords:
+async def run_soak(config: SoakConfig, folder: Path) -> SoakRecords:
     """Run one seed; return its records.
 
     Args:
@@ -50,9 +50,9 @@
 
 
 async def _inject(
-    planned: PlannedFault, fault: Fault, play_start_s: float, records: list[FaultRecord]
+    planned: PlannedFault, fault: Fault, run_start_s: float, records: list[FaultRecord]
 ) -> None:
-    await asyncio.sleep(max(0.0, play_start_s + planned.start_s - time.monotonic()))
+    await asyncio.sleep(max(0.0, run_start_s + planned.start_s - time.monotonic()))
     start_s = time.monotonic()
     await fault.inject(planned)
     record = FaultRecord(
--- a/tests/soak/test_play.py
+++ b/tests/soak/test_play.py
@@ -12,7 +12,7 @@
 from soak.faults import make_faults
 from soak.oracle import find_violations
 from soak.plan import FAULT_WEIGHTS, PlannedFault, draw_plan
-from soak.play import play
+from soak.play import run_soak
 from soak.records import ClientBehaviour
 from soak.settings import SoakConfig
 
@@ -41,7 +41,7 @@
     assert all(0.0 < planned.start_s < config.duration_s for planned in plan)
 
 
-def test_seed_draws_the_plan_that_it_always_drew():
+def test_seed_draws_the_recorded_plan():
     plan = draw_plan(SoakConfig(seed=1))
     assert [planned.kind for planned in plan] == KINDS_OF_SEED_1.split()
     assert plan[0] == PlannedFault(
@@ -64,9 +64,9 @@
 
 
 @pytest.mark.parametrize("planted", ["", "drop_answers"])
-def test_play_without_faults_breaks_nothing_unless_a_fault_is_planted(tmp_path, planted):
+def test_run_without_faults_violates_a_rule_only_if_a_fault_is_planted(tmp_path, planted):
     config = msgspec.structs.replace(WITHOUT_FAULTS, planted_fault=planted)
-    records = asyncio.run(play(config, tmp_path))
+    records = asyncio.run(run_soak(config, tmp_path))
     answered = Counter(request.end for request in records.requests)["answered"]
     rules = Counter(violation.rule for violation in find_violations(records))
     assert ("answered" in rules) == bool(planted)
