--- a/soak/oracle/notification.py
+++ b/soak/oracle/notification.py
@@ -32,7 +32,7 @@
 )
 """Faults that delay the notification of the gateway at which they are injected."""
 
-FAULTS_HIDING_DISCOVERY = frozenset(
+FAULTS_BLOCKING_DISCOVERY = frozenset(
     (FaultKind.DISCOVERY_SILENT, FaultKind.DISCOVERY_REFUSING, FaultKind.TCP_CALLS_FAIL)
 )
 """Faults during which a gateway may be unable to reach discovery."""
@@ -53,7 +53,7 @@
         if self.is_undisturbed(changed_s, gateway):
             return changed_s + NOTIFICATION_S
         faults = self._delaying_faults(changed_s, gateway)
-        reachable = [fault.end_s for fault in faults if fault.kind in FAULTS_HIDING_DISCOVERY]
+        reachable = [fault.end_s for fault in faults if fault.kind in FAULTS_BLOCKING_DISCOVERY]
         return max([changed_s, *reachable]) + NOTIFICATION_AFTER_FAULT_S
 
     def _delaying_faults(self, changed_s: float, gateway: int | None) -> list[FaultRecord]:
--- a/soak/oracle/process.py
+++ b/soak/oracle/process.py
@@ -21,11 +21,11 @@
 def find_violations(index: RecordIndex) -> Iterator[Violation]:
     """Yield processes that failed, ended too late, logged a traceback or counted invariant violations."""
     for process in index.records.processes:
-        for detail in _describe_faults(process):
+        for detail in _describe_failures(process):
             yield Violation(Rule.PROCESS, process.name, detail)
 
 
-def _describe_faults(process: ProcessEnd) -> Iterator[str]:
+def _describe_failures(process: ProcessEnd) -> Iterator[str]:
     if process.exit_code and not process.was_killed:
         yield f"exit code {process.exit_code}"
     if process.is_overdue:
