--- a/soak/faults/system.py
+++ b/soak/faults/system.py
@@ -31,8 +31,8 @@
     async def inject(self, planned: PlannedFault) -> None:
         """Inject the fault for twice its planned duration; the strength scales the share of failing calls."""
         control = self._gateways[planned.gateway].shim_control
-        scale_percent = MAX_FAILING_PERCENT - MIN_FAILING_PERCENT
-        control.set_failing(self._category, MIN_FAILING_PERCENT + scale_percent * planned.strength)
+        range_percent = MAX_FAILING_PERCENT - MIN_FAILING_PERCENT
+        control.set_failing(self._category, MIN_FAILING_PERCENT + range_percent * planned.strength)
         await asyncio.sleep(FAILING_CALLS_DURATION_FACTOR * planned.duration_s)
         control.set_failing(self._category, 0.0)
 
--- a/soak/records_file.py
+++ b/soak/records_file.py
@@ -28,7 +28,7 @@
 
 COLD_START_KIND = "cold"
 SHUTDOWN_KIND = "stop"
-GATEWAY_MARK = " n"
+GATEWAY_SEPARATOR = " n"
 
 
 class _Interval(msgspec.Struct, frozen=True):
@@ -93,7 +93,7 @@
 def _to_intervals(records: SoakRecords) -> list[_Interval]:
     return [
         *(
-            _Interval(item.kind, f"{item.server}{GATEWAY_MARK}{item.gateway}", item.start_s, item.end_s)
+            _Interval(item.kind, f"{item.server}{GATEWAY_SEPARATOR}{item.gateway}", item.start_s, item.end_s)
             for item in records.faults
         ),
         *(
@@ -110,7 +110,7 @@
 
 def _add_interval(records: SoakRecords, interval: _Interval) -> None:
     start_s, end_s = interval.start_s, interval.end_s
-    server, is_fault, gateway = interval.target.rpartition(GATEWAY_MARK)
+    server, is_fault, gateway = interval.target.rpartition(GATEWAY_SEPARATOR)
     if is_fault:
         kind = FaultKind(interval.kind)
         fault = FaultRecord(kind=kind, server=server, gateway=int(gateway), start_s=start_s, end_s=end_s)
