--- a/soak/clients/behaviours.py
+++ b/soak/clients/behaviours.py
@@ -68,8 +68,8 @@
 
 async def _pipeline(session: ClientSession) -> None:
     """Send many requests at once, and read all answers."""
-    number = session.context.source.choice(PIPELINE_LENGTHS)
-    commands = session.context.commands.make_pipeline(session.connection, number)
+    length = session.context.source.choice(PIPELINE_LENGTHS)
+    commands = session.context.commands.make_pipeline(session.connection, length)
     await session.read_answers(session.send(commands))
 
 
@@ -82,13 +82,13 @@
 
 async def _disconnect_in_pipeline(session: ClientSession) -> None:
     """Close the connection while pipelined requests wait behind those in flight."""
-    number = session.context.source.choice(ABANDONED_PIPELINE_LENGTHS)
-    await _send_and_disconnect(session, number)
+    length = session.context.source.choice(ABANDONED_PIPELINE_LENGTHS)
+    await _send_and_disconnect(session, length)
 
 
-async def _send_and_disconnect(session: ClientSession, number: int) -> None:
+async def _send_and_disconnect(session: ClientSession, request_count: int) -> None:
     source = session.context.source
-    records = session.send(session.context.commands.make_pipeline(session.connection, number))
+    records = session.send(session.context.commands.make_pipeline(session.connection, request_count))
     reading = asyncio.ensure_future(session.read_answers(records))
     _, pending = await asyncio.wait([reading], timeout=MAX_PATIENCE_S * source.random() ** 2)
     if not pending:
--- a/soak/clients/commands.py
+++ b/soak/clients/commands.py
@@ -62,9 +62,9 @@
         body = b"x" * min(max_body_bytes, self._random.choice(BODY_SIZES_BYTES))
         return Command(encode_command(b"CALL.POST", customer, request_id, fields, body), record)
 
-    def make_pipeline(self, connection: ClientConnection, number: int) -> list[Command]:
+    def make_pipeline(self, connection: ClientConnection, length: int) -> list[Command]:
         """Draw commands with small bodies, to be written together."""
-        return [self.make(connection, MAX_PIPELINED_BODY_BYTES) for _ in range(number)]
+        return [self.make(connection, MAX_PIPELINED_BODY_BYTES) for _ in range(length)]
 
     def add_record(
         self, connection: ClientConnection, class_name: RequestClass, timeout_s: float
--- a/soak/clients/session.py
+++ b/soak/clients/session.py
@@ -101,7 +101,7 @@
             try:
                 reply = await self._read_reply(record)
             except TimeoutError:
-                self._give_up(record, records[position + 1 :])
+                self._record_unanswered(record, records[position + 1 :])
                 raise
             except CONNECTION_ENDS:
                 self._record_closed(records[position:])
@@ -135,7 +135,7 @@
         wait_s = record.due_s + EXTRA_WAIT_S - time.monotonic()
         return await asyncio.wait_for(self.connection.read_reply(), max(MIN_WAIT_S, wait_s))
 
-    def _give_up(self, unanswered: RequestRecord, unread: Sequence[RequestRecord]) -> None:
+    def _record_unanswered(self, unanswered: RequestRecord, unread: Sequence[RequestRecord]) -> None:
         """Record a request as unanswered, and those behind it as abandoned by the client."""
         self.record_end(unanswered, RequestEnd.UNANSWERED)
         for record in unread:
--- a/soak/plan.py
+++ b/soak/plan.py
@@ -58,8 +58,8 @@
     """Draw the faults of a run, in the order of their start times."""
     source = random.Random(f"plan {config.seed}")
     servers = [name for names in config.server_names for name in names]
-    number = round(config.duration_s * config.faults_per_s)
-    kinds = source.choices(list(FAULT_WEIGHTS), list(FAULT_WEIGHTS.values()), k=number)
+    fault_count = round(config.duration_s * config.faults_per_s)
+    kinds = source.choices(list(FAULT_WEIGHTS), list(FAULT_WEIGHTS.values()), k=fault_count)
     # The arguments draw random numbers, so that their order decides what a seed draws.
     faults = [
         PlannedFault(
