--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -51,16 +51,16 @@
         f"{dict(rules) or 'no violation'}"
     ]
     for rule in rules:
-        some = [violation for violation in violations if violation.rule == rule][:SHOWN_PER_RULE]
-        lines += [f"  {rule}: {violation.subject}: {violation.detail}" for violation in some]
+        shown = [violation for violation in violations if violation.rule == rule][:SHOWN_PER_RULE]
+        lines += [f"  {rule}: {violation.subject}: {violation.detail}" for violation in shown]
     return "\n".join(lines)
 
 
 def run_seeds(arguments: argparse.Namespace) -> bool:
     """Run each seed; return whether no run had violations."""
     has_violations = False
-    low, _, high = arguments.seeds.partition("-")
-    for seed in range(int(low), int(high or low) + 1):
+    first_seed, _, last_seed = arguments.seeds.partition("-")
+    for seed in range(int(first_seed), int(last_seed or first_seed) + 1):
         config = SoakConfig(seed, arguments.seconds, faults_per_s=arguments.faults_per_second)
         records, violations = run_and_check(config, arguments.out / f"seed-{seed}")
         print(f"seed {seed}: {describe(records, violations)}", flush=True)
@@ -70,8 +70,10 @@
 
 def run_planted(arguments: argparse.Namespace) -> bool:
     """Run each planted fault until its rule is found violated; return whether all were found."""
-    only = arguments.only.split(",") if arguments.only else list(PLANTED_FAULTS)
-    are_found = [_is_found(name, fault, arguments) for name, fault in PLANTED_FAULTS.items() if name in only]
+    selected = arguments.only.split(",") if arguments.only else list(PLANTED_FAULTS)
+    are_found = [
+        _is_found(name, fault, arguments) for name, fault in PLANTED_FAULTS.items() if name in selected
+    ]
     return all(are_found)
 
 
@@ -127,10 +129,10 @@
     arguments = make_parser().parse_args()
     arguments.out = arguments.out or Path(tempfile.mkdtemp(prefix="soak-"))
     started_s = time.monotonic()
-    is_good = bool(arguments.run(arguments))
+    has_passed = bool(arguments.run(arguments))
     duration_s = time.monotonic() - started_s
-    print(f"{'passed' if is_good else 'FAILED'} in {duration_s:.0f} s, logs in {arguments.out}")
-    return 0 if is_good else 1
+    print(f"{'passed' if has_passed else 'FAILED'} in {duration_s:.0f} s, logs in {arguments.out}")
+    return 0 if has_passed else 1
 
 
 if __name__ == "__main__":
