--- a/soak/planted.py
+++ b/soak/planted.py
@@ -31,7 +31,7 @@
 EXTRA_TIMEOUT_MS = 400.0
 
 # The type is this general because planted faults replace methods with different signatures.
-Patched = Callable[..., Any]
+PatchedMethod = Callable[..., Any]
 
 
 def _disable_guard() -> None:
@@ -42,7 +42,7 @@
 
 
 def _extend_deadline() -> None:
-    original: Patched = RequestAttempts.start
+    original: PatchedMethod = RequestAttempts.start
 
     def start(self: RequestAttempts, action: Any) -> None:
         request = self._requests.by_id.get(action.request_id)
@@ -56,7 +56,7 @@
 
 def _repeat_unsafe() -> None:
     _disable_guard()
-    original: Patched = RetryRules.may_retry
+    original: PatchedMethod = RetryRules.may_retry
 
     def may_retry(self: Any, pending: Any, status: AttemptStatus, attempt: Any) -> bool:
         is_reset = status in (AttemptStatus.RESET, AttemptStatus.ERROR)
@@ -72,7 +72,7 @@
 
 
 def _drop_answers() -> None:
-    original: Patched = RequestAnswers.send
+    original: PatchedMethod = RequestAnswers.send
 
     def send(self: RequestAnswers, request: Any, reply: bytes) -> None:
         if random.random() < DROPPED_SHARE:
@@ -84,19 +84,19 @@
 
 
 def _ignore_drain() -> None:
-    original: Patched = UpstreamHost.update
-    take: Patched = EndpointTable._apply_detachment
+    original: PatchedMethod = UpstreamHost.update
+    apply_detachment: PatchedMethod = EndpointTable._apply_detachment
 
     def update(self: UpstreamHost, endpoint: Any, address: Any, detached: bool) -> None:
         original(self, endpoint, address, detached)
         self.listed = endpoint.state is not EndpointLifecycle.GONE
 
-    def apply(self: EndpointTable, state: Any) -> None:
+    def apply_as_ready(self: EndpointTable, state: Any) -> None:
         state.is_ready = state.is_listed = True
-        take(self, state)
+        apply_detachment(self, state)
 
     UpstreamHost.update = update  # type: ignore[method-assign]
-    EndpointTable._apply_detachment = apply  # type: ignore[method-assign]
+    EndpointTable._apply_detachment = apply_as_ready  # type: ignore[method-assign]
 
 
 def _ignore_detach() -> None:
@@ -113,7 +113,7 @@
 
 
 def _mix_values() -> None:
-    original: Patched = RequestAnswers.send
+    original: PatchedMethod = RequestAnswers.send
 
     def send(self: RequestAnswers, request: Any, reply: bytes) -> None:
         is_value = reply.startswith(b"$16\r\n")
@@ -155,7 +155,7 @@
 
 
 def _close_while_owed() -> None:
-    original: Patched = ClientConnection.flush
+    original: PatchedMethod = ClientConnection.flush
 
     def flush(self: ClientConnection) -> None:
         if self.replies.has_unanswered() and random.random() < RARE_SHARE:
