--- a/soak/clients/__init__.py
+++ b/soak/clients/__init__.py
@@ -1,1 +1,1 @@
-"""The clients of a soak: each connection follows one of several behaviours, good or bad."""
+"""The clients of a soak: each connection follows one of several behaviours, which include misuse."""
--- a/soak/clients/session.py
+++ b/soak/clients/session.py
@@ -19,7 +19,7 @@
 """Time within which a client that sends malformed data is owed an error or a close (TERMS)."""
 
 ANSWER_GRACE_S = 0.5
-"""Time after a request's timeout within which its answer may still come."""
+"""Time after a request's timeout within which its answer still counts as in time."""
 
 EXTRA_WAIT_S = 1.0
 """Additional time for which a client waits, to distinguish a late answer from a missing one."""
--- a/soak/gateways/launcher.py
+++ b/soak/gateways/launcher.py
@@ -21,7 +21,7 @@
         supervisor: Starts and ends the run's children.
         gateway: The gateway's index.
         config_path: The path of its configuration file.
-        shim_environment: The variables that load the fault shim.
+        shim_environment: The environment variables that load the fault shim.
         temporary_folder: The folder in which its processes find each other.
         planted_fault: The name of the planted fault in its processes; empty for none.
     """
--- a/soak/oracle/slow_start.py
+++ b/soak/oracle/slow_start.py
@@ -30,7 +30,7 @@
 SMALL_BUDGET_DEVIATIONS = 3.0
 LARGE_BUDGET_DEVIATIONS = 2.0
 MIN_NOTIFIED_SHARE = Fraction(2, 3)
-"""Least share of a window's attempts from gateways that knew of the start for it to be a violation."""
+"""Share of a window's attempts that must come from notified gateways to count as a violation."""
 
 
 def find_violations(index: RecordIndex) -> Iterator[Violation]:
