--- a/tests/soak/test_invariants_page.py
+++ b/tests/soak/test_invariants_page.py
@@ -12,14 +12,14 @@
 """Matches a table row with four columns; the page's other table has two."""
 
 QUOTED_SENTENCE = re.compile(r'^ {4}"([^"]+)"$', re.MULTILINE)
-FIRST_ROWS_OF_THE_TABLE = ("invariant", "---")
+HEADER_CELLS = ("invariant", "---")
 
 
 def rules_by_soak_check():
     """Return the sentences of the page, grouped by the soak check that the page names for them."""
     rules = {}
     for row in RULE_ROW.finditer((ROOT / "docs" / "invariants.md").read_text()):
-        if row["sentence"] not in FIRST_ROWS_OF_THE_TABLE:
+        if row["sentence"] not in HEADER_CELLS:
             for check in re.findall(r"`(\w+)`", row["soak_check"]):
                 rules.setdefault(check, []).append(row["sentence"])
     return rules
--- a/tests/soak/test_oracle.py
+++ b/tests/soak/test_oracle.py
@@ -110,9 +110,9 @@
     return Case(SoakRecords(**{"requests": [request()], "commands": [command()], **records}), checks)
 
 
-LEFT = request(end="left", ended_s=SENT_S + 0.2, reply="")
-CLOSED = request(end="closed", reply="")
-DRAINED = EndpointChange("s-1", EndpointLifecycle.TERMINATING, SENT_S)
+DISCONNECTED_REQUEST = request(end="left", ended_s=SENT_S + 0.2, reply="")
+CLOSED_REQUEST = request(end="closed", reply="")
+DRAINING_SERVER = EndpointChange("s-1", EndpointLifecycle.TERMINATING, SENT_S)
 
 CASES = {
     "request answered in time": case(),
@@ -121,10 +121,10 @@
     "answered late according to a client that was held up": case(
         requests=[request(ended_s=SENT_S + 1.6, lag_s=0.1)]
     ),
-    "closed": case("answered", requests=[CLOSED]),
-    "closed in a crash": case(requests=[CLOSED], outages=[crash(0.05, 0.2)]),
+    "closed": case("answered", requests=[CLOSED_REQUEST]),
+    "closed in a crash": case(requests=[CLOSED_REQUEST], outages=[crash(0.05, 0.2)]),
     "closed in a crash of another gateway": case(
-        "answered", requests=[CLOSED], outages=[crash(0.05, 0.2, gateway=2)]
+        "answered", requests=[CLOSED_REQUEST], outages=[crash(0.05, 0.2, gateway=2)]
     ),
     "closed while the connection was idle": case(
         requests=[request(end="closed", reply="", is_first=False, idle_before_s=2.1)], commands=[]
@@ -133,10 +133,10 @@
         "answered", requests=[request(end="closed", reply="", is_first=False, idle_before_s=2.1)]
     ),
     "first request, closed in a shutdown": case(
-        "answered", requests=[CLOSED], commands=[], shutdowns=[shutdown(-0.1, 0.4)]
+        "answered", requests=[CLOSED_REQUEST], commands=[], shutdowns=[shutdown(-0.1, 0.4)]
     ),
     "first request, sent after the last accept of a shutdown": case(
-        requests=[CLOSED], commands=[], shutdowns=[shutdown(-0.45, 0.4)]
+        requests=[CLOSED_REQUEST], commands=[], shutdowns=[shutdown(-0.45, 0.4)]
     ),
     "unsent": case(requests=[request(end="unsent", sent_s=0.0, reply="")], commands=[]),
     "malformed command without an error or a close": case(
@@ -148,8 +148,12 @@
     "longer timeout, received by a server that did not read": case(
         commands=[command(0.5, remaining_timeout_s=0.7, lag_s=1e9)]
     ),
-    "attempt after the client disconnected": case("client_gone", requests=[LEFT], commands=[command(0.4)]),
-    "attempt just after the client disconnected": case(requests=[LEFT], commands=[command(0.25)]),
+    "attempt after the client disconnected": case(
+        "client_gone", requests=[DISCONNECTED_REQUEST], commands=[command(0.4)]
+    ),
+    "attempt just after the client disconnected": case(
+        requests=[DISCONNECTED_REQUEST], commands=[command(0.25)]
+    ),
     "order executed twice": case("repeat", commands=[command(), command(0.1)]),
     "order rejected by a server, then executed": case(commands=[command(was_executed=False), command(0.1)]),
     "keyed request repeated after its window": case(
@@ -160,13 +164,16 @@
     "rejected before it was executed": case(requests=[request(reply="BUSY")], commands=[]),
     "wrong value": case("value", requests=[request(reply="wrong b''")]),
     "attempt at a draining server": case(
-        "drain", endpoint_changes=[DRAINED], requests=[request(sent_s=SENT_S + 3.0)], commands=[command(3.0)]
+        "drain",
+        endpoint_changes=[DRAINING_SERVER],
+        requests=[request(sent_s=SENT_S + 3.0)],
+        commands=[command(3.0)],
     ),
     "attempt at a draining server within the grace": case(
-        endpoint_changes=[DRAINED], commands=[command(0.9)]
+        endpoint_changes=[DRAINING_SERVER], commands=[command(0.9)]
     ),
     "attempt at a server that drained while discovery was silent": case(
-        endpoint_changes=[DRAINED],
+        endpoint_changes=[DRAINING_SERVER],
         requests=[request(sent_s=SENT_S + 3.0)],
         commands=[command(3.0)],
         faults=[fault("silent", -1.0, 2.0)],
@@ -197,10 +204,10 @@
 
 
 @pytest.mark.parametrize("name", CASES)
-def test_oracle_finds_what_is_broken_and_nothing_else(name):
+def test_oracle_finds_exactly_the_violated_rules(name):
     assert tuple({found.rule for found in find_violations(CASES[name].records)}) == CASES[name].checks
 
 
-def test_each_planted_fault_is_due_to_be_met_by_a_check_that_is_tried_here():
-    tried = {check for item in CASES.values() for check in item.checks}
-    assert {fault.rule for fault in PLANTED_FAULTS.values()} <= tried
+def test_rule_of_every_planted_fault_is_covered_by_a_case():
+    covered_rules = {check for item in CASES.values() for check in item.checks}
+    assert {fault.rule for fault in PLANTED_FAULTS.values()} <= covered_rules
--- a/tests/soak/test_play.py
+++ b/tests/soak/test_play.py
@@ -54,13 +54,13 @@
     )
 
 
-def test_every_behaviour_of_clients_is_drawn():
+def test_every_client_behaviour_has_a_weight():
     assert set(BEHAVIOUR_WEIGHTS) == set(ClientBehaviour)
 
 
 def test_every_fault_that_is_drawn_can_be_injected():
-    idle_deployment = Deployment(server_roles={}, proxy=None, discovery=None, gateways=[], clients=[])
-    assert set(make_faults(idle_deployment)) == set(FaultKind) == set(FAULT_WEIGHTS)
+    empty_deployment = Deployment(server_roles={}, proxy=None, discovery=None, gateways=[], clients=[])
+    assert set(make_faults(empty_deployment)) == set(FaultKind) == set(FAULT_WEIGHTS)
 
 
 @pytest.mark.parametrize("planted", ["", "drop_answers"])
--- a/tests/soak/test_records_file.py
+++ b/tests/soak/test_records_file.py
@@ -69,7 +69,7 @@
     return path
 
 
-def test_records_are_written_in_the_form_in_which_they_were_read(tmp_path):
+def test_records_round_trip_in_the_same_format(tmp_path):
     records = read_records(write_document(tmp_path))
     write_records(records, tmp_path / "again.json")
     assert json.loads((tmp_path / "again.json").read_text()) == DOCUMENT
@@ -92,7 +92,7 @@
     assert records.detachments == [Detachment(server="s-00", gateway=1, start_s=5.0, end_s=6.0)]
 
 
-def test_words_of_requests_are_read_into_enums(tmp_path):
+def test_enum_values_of_requests_are_decoded(tmp_path):
     request = read_records(write_document(tmp_path)).requests[0]
     assert request.class_name is RequestClass.ORDER
     assert request.end is RequestEnd.UNANSWERED
