--- a/soak/clients/commands.py
+++ b/soak/clients/commands.py
@@ -35,9 +35,9 @@
     """Makes the commands of one process, and keeps their records.
 
     Args:
-        source: Of everything that is drawn.
-        class_names: The classes to draw from.
-        process_number: The number of the process; ids differ between processes.
+        source: The random number generator for all draws.
+        class_names: The request classes to draw from.
+        process_number: The number of the process, which makes request ids unique among processes.
 
     Attributes:
         records: The records of all commands, in the order in which they were made.
@@ -62,14 +62,14 @@
         body = b"x" * min(max_body_bytes, self._random.choice(BODY_SIZES_BYTES))
         return Command(encode_command(b"CALL.POST", customer, request_id, fields, body), record)
 
-    def make_pipeline(self, connection: ClientConnection, number: int) -> list[Command]:
+    def make_pipeline(self, connection: ClientConnection, length: int) -> list[Command]:
         """Draw commands with small bodies, to be written together."""
-        return [self.make(connection, MAX_PIPELINED_BODY_BYTES) for _ in range(number)]
+        return [self.make(connection, MAX_PIPELINED_BODY_BYTES) for _ in range(length)]
 
     def add_record(
         self, connection: ClientConnection, class_name: RequestClass, timeout_s: float
     ) -> RequestRecord:
-        """Add the record of a request that is still to be written."""
+        """Add and return the record of a request that is not written yet."""
         self._last_id += 1
         record = RequestRecord(
             request_id=f"{self._last_id:016x}",
--- a/soak/records_file.py
+++ b/soak/records_file.py
@@ -1,4 +1,4 @@
-"""The file of records that a play leaves: its JSON form, written and read.
+"""Write and read the JSON file with the records of a run.
 
 The file holds faults, outages, shutdowns and cold starts in one list of intervals, each with a kind and a
 target: ``SERVER nGATEWAY`` for a fault, the server for a cold start, the gateway's index for the others.
@@ -28,7 +28,7 @@
 
 COLD_START_KIND = "cold"
 SHUTDOWN_KIND = "stop"
-GATEWAY_MARK = " n"
+GATEWAY_SEPARATOR = " n"
 
 
 class _Interval(msgspec.Struct, frozen=True):
@@ -49,7 +49,7 @@
 
 
 def write_records(records: SoakRecords, path: Path) -> None:
-    """Write the records of a play."""
+    """Write the records of a run."""
     document = _Document(
         requests=records.requests,
         commands=records.commands,
@@ -66,11 +66,11 @@
 
 
 def read_records(path: Path) -> SoakRecords:
-    """Read the records of a play.
+    """Read the records of a run.
 
     Raises:
         OSError: The file can't be read.
-        msgspec.DecodeError: It holds no records.
+        msgspec.DecodeError: The file does not hold valid records.
         ValueError: An interval has an unknown kind or target.
     """
     document = msgspec.json.decode(path.read_bytes(), type=_Document)
@@ -93,7 +93,7 @@
 def _to_intervals(records: SoakRecords) -> list[_Interval]:
     return [
         *(
-            _Interval(item.kind, f"{item.server}{GATEWAY_MARK}{item.gateway}", item.start_s, item.end_s)
+            _Interval(item.kind, f"{item.server}{GATEWAY_SEPARATOR}{item.gateway}", item.start_s, item.end_s)
             for item in records.faults
         ),
         *(
@@ -110,7 +110,7 @@
 
 def _add_interval(records: SoakRecords, interval: _Interval) -> None:
     start_s, end_s = interval.start_s, interval.end_s
-    server, is_fault, gateway = interval.target.rpartition(GATEWAY_MARK)
+    server, is_fault, gateway = interval.target.rpartition(GATEWAY_SEPARATOR)
     if is_fault:
         kind = FaultKind(interval.kind)
         fault = FaultRecord(kind=kind, server=server, gateway=int(gateway), start_s=start_s, end_s=end_s)
--- a/tests/soak/test_oracle.py
+++ b/tests/soak/test_oracle.py
@@ -1,4 +1,4 @@
-"""The oracle of the soak: each check meets what it is for, and excuses what the rules excuse."""
+"""The oracle of the soak: each check finds violations of its rules, and accepts what the rules allow."""
 
 from dataclasses import dataclass
 
@@ -31,7 +31,7 @@
 
 
 def request(**fields):
-    """A request that was answered in time, but for what is given."""
+    """Return a request that was answered in time, with some fields replaced."""
     values = {
         "request_id": "r",
         "class_name": "order",
@@ -54,7 +54,7 @@
 
 
 def command(after_s=0.01, **fields):
-    """A command that its server read so long after the request was sent."""
+    """Return a command that its server received ``after_s`` after the request was sent."""
     values = {
         "request_id": "r",
         "server": "s-1",
@@ -67,76 +67,76 @@
 
 
 def span(start_s, end_s):
-    """Something that began and ended so long after the request was sent."""
+    """Return the fields of a time span, given in seconds from the time at which the request was sent."""
     return {"start_s": SENT_S + start_s, "end_s": SENT_S + end_s}
 
 
 def fault(kind, start_s, end_s, server="s-2", gateway=1):
-    """An injected fault."""
+    """Return an injected fault."""
     return FaultRecord(kind=FaultKind(kind), server=server, gateway=gateway, **span(start_s, end_s))
 
 
 def crash(start_s, end_s, gateway=1):
-    """A crash of a gateway."""
+    """Return a crash of a gateway."""
     return GatewayOutage(kind=OutageKind.CRASH, gateway=gateway, **span(start_s, end_s))
 
 
 def shutdown(start_s, end_s):
-    """A shutdown of the request's gateway."""
+    """Return a shutdown of the request's gateway."""
     return GatewayShutdown(gateway=1, **span(start_s, end_s))
 
 
 def detachment(start_s, end_s, gateway=1):
-    """A detachment of the command's server."""
+    """Return a detachment of the command's server."""
     return Detachment(server="s-1", gateway=gateway, **span(start_s, end_s))
 
 
 def process(**fields):
-    """A process that ended in order, but for what is given."""
+    """Return a process that ended without a violation, with some fields replaced."""
     values = {"exit_code": 0, "was_killed": False, "is_overdue": False, "log": "", "violations": 0}
     return ProcessEnd(name="gateway-1-0", gateway=1, **{**values, **fields})
 
 
 @dataclass(frozen=True)
 class Case:
-    """Records and the checks that they violate."""
+    """Records, and the checks that must find violations in them."""
 
     records: SoakRecords
     checks: tuple[str, ...] = ()
 
 
 def case(*checks, **records):
-    """A case of one request and one command, but for what is given."""
+    """Return a case with one request and one command, with some lists of records replaced."""
     return Case(SoakRecords(**{"requests": [request()], "commands": [command()], **records}), checks)
 
 
-LEFT = request(end="left", ended_s=SENT_S + 0.2, reply="")
-CLOSED = request(end="closed", reply="")
-DRAINED = EndpointChange("s-1", EndpointLifecycle.TERMINATING, SENT_S)
+DISCONNECTED_REQUEST = request(end="left", ended_s=SENT_S + 0.2, reply="")
+CLOSED_REQUEST = request(end="closed", reply="")
+DRAINING_SERVER = EndpointChange("s-1", EndpointLifecycle.TERMINATING, SENT_S)
 
 CASES = {
-    "in order": case(),
+    "request answered in time": case(),
     "silent": case("answered", requests=[request(end="silent", ended_s=0.0, reply="")]),
     "answered too late": case("answered", requests=[request(ended_s=SENT_S + TIMEOUT_S + 0.6)]),
-    "answered late, noticed by a client that was held up": case(
+    "answered late according to a client that was held up": case(
         requests=[request(ended_s=SENT_S + 1.6, lag_s=0.1)]
     ),
-    "closed": case("answered", requests=[CLOSED]),
-    "closed in a crash": case(requests=[CLOSED], outages=[crash(0.05, 0.2)]),
+    "closed": case("answered", requests=[CLOSED_REQUEST]),
+    "closed in a crash": case(requests=[CLOSED_REQUEST], outages=[crash(0.05, 0.2)]),
     "closed in a crash of another gateway": case(
-        "answered", requests=[CLOSED], outages=[crash(0.05, 0.2, gateway=2)]
+        "answered", requests=[CLOSED_REQUEST], outages=[crash(0.05, 0.2, gateway=2)]
     ),
     "closed while the connection was idle": case(
         requests=[request(end="closed", reply="", is_first=False, idle_before_s=2.1)], commands=[]
     ),
-    "closed after the connection was idle, but the request was read": case(
+    "closed after the connection was idle, although the request was read": case(
         "answered", requests=[request(end="closed", reply="", is_first=False, idle_before_s=2.1)]
     ),
     "first request, closed in a shutdown": case(
-        "answered", requests=[CLOSED], commands=[], shutdowns=[shutdown(-0.1, 0.4)]
+        "answered", requests=[CLOSED_REQUEST], commands=[], shutdowns=[shutdown(-0.1, 0.4)]
     ),
     "first request, sent after the last accept of a shutdown": case(
-        requests=[CLOSED], commands=[], shutdowns=[shutdown(-0.45, 0.4)]
+        requests=[CLOSED_REQUEST], commands=[], shutdowns=[shutdown(-0.45, 0.4)]
     ),
     "unsent": case(requests=[request(end="unsent", sent_s=0.0, reply="")], commands=[]),
     "malformed command without an error or a close": case(
@@ -148,8 +148,12 @@
     "longer timeout, received by a server that did not read": case(
         commands=[command(0.5, remaining_timeout_s=0.7, lag_s=1e9)]
     ),
-    "attempt after the client disconnected": case("client_gone", requests=[LEFT], commands=[command(0.4)]),
-    "attempt just after the client disconnected": case(requests=[LEFT], commands=[command(0.25)]),
+    "attempt after the client disconnected": case(
+        "client_gone", requests=[DISCONNECTED_REQUEST], commands=[command(0.4)]
+    ),
+    "attempt just after the client disconnected": case(
+        requests=[DISCONNECTED_REQUEST], commands=[command(0.25)]
+    ),
     "order executed twice": case("repeat", commands=[command(), command(0.1)]),
     "order rejected by a server, then executed": case(commands=[command(was_executed=False), command(0.1)]),
     "keyed request repeated after its window": case(
@@ -159,25 +163,32 @@
     "rejected after it was executed": case("reject", requests=[request(reply="BUSY")]),
     "rejected before it was executed": case(requests=[request(reply="BUSY")], commands=[]),
     "wrong value": case("value", requests=[request(reply="wrong b''")]),
-    "to a draining server": case(
-        "drain", endpoint_changes=[DRAINED], requests=[request(sent_s=SENT_S + 3.0)], commands=[command(3.0)]
+    "attempt at a draining server": case(
+        "drain",
+        endpoint_changes=[DRAINING_SERVER],
+        requests=[request(sent_s=SENT_S + 3.0)],
+        commands=[command(3.0)],
+    ),
+    "attempt at a draining server within the grace": case(
+        endpoint_changes=[DRAINING_SERVER], commands=[command(0.9)]
     ),
-    "to a draining server in its grace": case(endpoint_changes=[DRAINED], commands=[command(0.9)]),
-    "draining while discovery was silent": case(
-        endpoint_changes=[DRAINED],
+    "attempt at a server that drained while discovery was silent": case(
+        endpoint_changes=[DRAINING_SERVER],
         requests=[request(sent_s=SENT_S + 3.0)],
         commands=[command(3.0)],
         faults=[fault("silent", -1.0, 2.0)],
     ),
-    "to a detached server": case("detached", detachments=[detachment(-0.5, 1.0)]),
-    "detached at another gateway": case(detachments=[detachment(-0.5, 1.0, gateway=2)]),
-    "overload of a server that warms up": case(
+    "attempt at a detached server": case("detached", detachments=[detachment(-0.5, 1.0)]),
+    "attempt at a server that is detached at another gateway": case(
+        detachments=[detachment(-0.5, 1.0, gateway=2)]
+    ),
+    "overload of a server that is warming up": case(
         "slow_start",
         requests=[],
         commands=[command(0.001 * number, request_id=f"{number}") for number in range(200)],
         cold_starts=[ServerColdStart("s-1", SENT_S)],
     ),
-    "overload of a server that warms up, of which no gateway was notified": case(
+    "overload of a server that is warming up, without a notification of any gateway": case(
         requests=[],
         commands=[command(0.001 * number, request_id=f"{number}") for number in range(200)],
         cold_starts=[ServerColdStart("s-1", SENT_S)],
@@ -185,7 +196,7 @@
     ),
     "crashed": case("process", processes=[process(exit_code=1)]),
     "killed": case(processes=[process(exit_code=-9, was_killed=True)]),
-    "killed as it was overdue": case("process", processes=[process(was_killed=True, is_overdue=True)]),
+    "killed because it was overdue": case("process", processes=[process(was_killed=True, is_overdue=True)]),
     "traceback": case("process", processes=[process(log="x\nTraceback (most recent call last):\n")]),
     "counted violations itself": case("process", processes=[process(violations=2)]),
     "not ready": case("start", start_violations=[Violation(Rule.START, "gateway-1-0", "not ready")]),
@@ -193,10 +204,10 @@
 
 
 @pytest.mark.parametrize("name", CASES)
-def test_oracle_finds_what_is_broken_and_nothing_else(name):
+def test_oracle_finds_exactly_the_violated_rules(name):
     assert tuple({found.rule for found in find_violations(CASES[name].records)}) == CASES[name].checks
 
 
-def test_each_planted_fault_is_due_to_be_met_by_a_check_that_is_tried_here():
-    tried = {check for item in CASES.values() for check in item.checks}
-    assert {fault.rule for fault in PLANTED_FAULTS.values()} <= tried
+def test_rule_of_every_planted_fault_is_covered_by_a_case():
+    covered_rules = {check for item in CASES.values() for check in item.checks}
+    assert {fault.rule for fault in PLANTED_FAULTS.values()} <= covered_rules
