--- a/scale/__init__.py
+++ b/scale/__init__.py
@@ -1,1 +1,1 @@
-"""The scale run: real and hollow gateways, discovery, servers and load on loopback, and what they cost."""
+"""Scale runs: measure what real and hollow gateways, discovery and servers cost under load on loopback."""
--- a/scale/__main__.py
+++ b/scale/__main__.py
@@ -1,4 +1,4 @@
-"""The scale run's commands: ``run``, ``slopes``, ``table`` and ``capacity``."""
+"""Command line of scale runs: ``run``, ``slopes``, ``table`` and ``capacity``."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 
 EXIT_FAILED = 1
 EXIT_INTERRUPTED = 130
-"""The exit code of a run that SIGINT or SIGTERM has ended, as shells give it for SIGINT."""
+"""Exit code of a run ended by SIGINT or SIGTERM: the code that shells use for SIGINT."""
 
 PLAY_STEPS = 3
-"""Steps that a play reports."""
+"""Number of steps that the ``run`` command reports."""
 
 
 def _make_log(stream: TextIO) -> structlog.typing.FilteringBoundLogger:
-    """Return a log of one JSON object a line."""
+    """Return a logger that writes one JSON object per line."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
@@ -54,7 +54,7 @@
     measurements: Sequence[Measurement],
     report_step: ReportStep,
 ) -> str:
-    """Make the measurements within the deadline; return why they were cut short, if they were."""
+    """Run the measurements within the deadline; return why they were stopped early, or an empty string."""
     try:
         async with asyncio.timeout(config.deadline_s), supervisor:
             testbed = Testbed(config, supervisor, measurement_log, report_step)
@@ -62,7 +62,7 @@
             for measure in measurements:
                 await measure(testbed)
     except TimeoutError:
-        return f"deadline_s of {config.deadline_s:g} is over"
+        return f"run exceeded deadline_s of {config.deadline_s:g}"
     except (ChildError, LimitError) as error:
         return str(error)
     except asyncio.CancelledError:
@@ -72,7 +72,7 @@
 
 
 def _make_progress() -> Progress:
-    """Make the progress bar that is shown on standard error."""
+    """Return the progress bar that is shown on standard error."""
     return Progress(
         TextColumn("{task.description}"),
         BarColumn(),
@@ -83,7 +83,7 @@
 
 
 def _execute(command: str, config: Config, out: Path, measurements: Sequence[Measurement], steps: int) -> int:
-    """Execute a whole run and return its exit code; the result is written also where it was cut short."""
+    """Execute a whole run and return its exit code; a run that is stopped early writes its result, too."""
     started_at_s = time.time()
     measurement_log = results.MeasurementLog()
     log_folder = out / f"{time.strftime('%Y%m%dT%H%M%S', time.gmtime(started_at_s))}-{command}-logs"
@@ -132,7 +132,7 @@
 
 
 def _run_options(command: Callable[..., None]) -> Callable[..., None]:
-    """Add the flags that override the file; the command is called with the configuration and ``out``."""
+    """Add the common options to a command, which is called with the loaded configuration and ``out``."""
 
     @functools.wraps(command)
     def load_and_run(
@@ -151,23 +151,29 @@
 
     wrapped: Callable[..., None] = load_and_run
     for option in (
-        click.option("--set", "flags", multiple=True, metavar="KEY=VALUE", help="any key, as TOML"),
-        click.option("--deadline", type=float, help="seconds for all of it (deadline_s)"),
-        click.option("--hollow", type=int, help="hollow gateways (fleet.hollow)"),
-        click.option("--servers", type=int, help="servers that discovery lists (fleet.servers)"),
+        click.option(
+            "--set",
+            "flags",
+            multiple=True,
+            metavar="KEY=VALUE",
+            help="set a configuration key, in TOML syntax",
+        ),
+        click.option("--deadline", type=float, help="time limit of the run in seconds (deadline_s)"),
+        click.option("--hollow", type=int, help="number of hollow gateways (fleet.hollow)"),
+        click.option("--servers", type=int, help="number of servers that discovery lists (fleet.servers)"),
         click.option("--seed", type=int, help="the same seed gives the same events"),
         click.option(
             "--out",
             type=click.Path(file_okay=False, path_type=Path),
             default=REPOSITORY / "found",
-            help="folder for the result",
+            help="folder for the result and the logs",
             show_default="found",
         ),
         click.option(
             "--config",
             "file",
             type=click.Path(dir_okay=False, path_type=Path),
-            help="a TOML file; without it the small defaults",
+            help="TOML configuration file; without it, the defaults for a small fleet",
         ),
     ):
         wrapped = option(wrapped)
@@ -176,23 +182,26 @@
 
 @click.group()
 def main() -> None:
-    """Real and hollow gateways, discovery, servers and load on loopback, and what they cost."""
+    """Measure what real and hollow gateways, discovery and servers cost under load on loopback."""
 
 
 @main.command()
 @_run_options
 def run(config: Config, out: Path) -> None:
-    """One play: a fleet under churn, faults and load."""
+    """Run a fleet under churn, faults and load and measure it as a whole."""
     sys.exit(_execute("run", config, out, [play_module.play], PLAY_STEPS))
 
 
 @main.command(name="slopes")
 @click.option(
-    "--only", multiple=True, type=click.Choice(list(slopes.MEASUREMENTS)), help="these measures; else all"
+    "--only",
+    multiple=True,
+    type=click.Choice(list(slopes.MEASUREMENTS)),
+    help="measurements to run; default: all",
 )
 @_run_options
 def slopes_command(config: Config, out: Path, only: tuple[str, ...]) -> None:
-    """What each role's cost grows by, size by size."""
+    """Measure how the cost of each role grows with the size of the fleet, list or load."""
     names = only or tuple(slopes.MEASUREMENTS)
     measurements = [slopes.MEASUREMENTS[name] for name in names]
     sys.exit(_execute("slopes", config, out, measurements, slopes.count_steps(config, names)))
@@ -203,7 +212,7 @@
     "files", nargs=-1, required=True, type=click.Path(exists=True, dir_okay=False, path_type=Path)
 )
 def table_command(files: tuple[Path, ...]) -> None:
-    """The tables of results."""
+    """Print the tables of result files."""
     for path in files:
         results.print_result(_read_result(path), Console())
 
@@ -212,13 +221,13 @@
 @click.option(
     "--page",
     type=click.Path(exists=True, dir_okay=False, path_type=Path),
-    help="put the table between the marks of this page",
+    help="write the table between the markers of this page",
 )
 @click.argument(
     "files", nargs=-1, required=True, type=click.Path(exists=True, dir_okay=False, path_type=Path)
 )
 def capacity_command(page: Path | None, files: tuple[Path, ...]) -> None:
-    """What the fleet to come would take, worked out from results."""
+    """Calculate from result files what the target fleet would need."""
     table = capacity.make_table([_read_result(path) for path in files])
     if page is None:
         click.echo(f"{capacity.BEGIN}\n{table}\n{capacity.END}")
--- a/scale/capacity.py
+++ b/scale/capacity.py
@@ -1,4 +1,4 @@
-"""The table of docs/CAPACITY.md, worked out from results: each slope at the size of the fleet to come."""
+"""Generates the table of docs/CAPACITY.md from results: each fitted line at the size of the target fleet."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 BEGIN = "<!-- table: begin -->"
 END = "<!-- table: end -->"
-"""Marks on the page between which the table stands."""
+"""Markers that enclose the table on the page."""
 
 HEADER = (
     "role",
@@ -27,12 +27,12 @@
 
 MINIMUM_SIZES = 4
 MAXIMUM_RESIDUAL = 0.25
-"""A line through fewer sizes, or with points farther off, says nothing of other sizes."""
+"""A line through fewer sizes, or with a larger residual, isn't used to predict other sizes."""
 
 CHANGES_PER_DAY = 2_100
 RESTARTS_PER_DAY = 11_061
 VERSIONS_PER_RESTART = 3
-"""A restart is published as draining, as gone, and as ready again."""
+"""A restart is published as three versions: draining, gone, and ready again."""
 
 SECONDS_PER_DAY = 86_400
 VERSIONS_PER_S = (CHANGES_PER_DAY + VERSIONS_PER_RESTART * RESTARTS_PER_DAY) / SECONDS_PER_DAY
@@ -43,39 +43,39 @@
 IN_FORCE_MS = 5_000.0
 ADDED_LATENCY_MS = 1.3
 LIST_STALL_MS = 5.0
-"""Budgets of the fleet to come; the last is the aim for a complete list."""
+"""Budgets of the target fleet; the last one is the goal for reading a complete list."""
 
 CUSTOMER_RETENTION_S = 4.0
-"""How long a gateway keeps a customer, at least, where the usage period is a second."""
+"""Minimum time that a gateway keeps a customer when the usage period is one second."""
 
 HEARTBEAT_BYTES_PER_S = 3.0
-"""An empty line every 2 s."""
+"""Discovery sends an empty line every 2 s."""
 
 FLEET_SIZES = {
     "servers": 38_000.0,
     "gateways": 3_800.0,
     "requests/s": 218.0,
     "routes": 27_000.0,
-    # At once, if no two requests are of one customer; a gateway forgets the others.
+    # Customers kept at a time if every request comes from another customer; earlier ones are forgotten.
     "tenants held": 218.0 * CUSTOMER_RETENTION_S,
-    # Before 200 servers: one to ten, as 3,800 before 38,000.
+    # For 200 servers, in the ratio of 3,800 gateways to 38,000 servers.
     "real gateways": 20.0,
 }
-"""The size of the fleet to come, by what a series is measured by."""
+"""Size of the target fleet, by the variable that a series is measured by."""
 
 
 class Quantity(NamedTuple):
-    """A row of the table: a figure at the fleet's size, as measured there or else by the line of its series.
+    """A row of the table: a figure at the target size, measured there or predicted by the series' line.
 
     Attributes:
-        role: The role of the row.
-        name: The quantity of the row.
-        series: The series as ``role.quantity by size``.
-        unit: The unit of the figure.
-        budget: The most that the figure may be; None without a budget.
-        factor: What the series' value is multiplied by.
-        offset: What is added to it then.
-        only_if_measured: Whether there is no row without the series: it is of a fault that may not occur.
+        role: Role in the first column.
+        name: Name of the quantity in the second column.
+        series: Name of the series as ``role.quantity by variable``.
+        unit: Unit of the figure.
+        budget: Upper limit of the figure; None if there is no budget.
+        factor: Factor that the value of the series is multiplied by.
+        offset: Number added after the multiplication.
+        only_if_measured: Whether to omit the row if there is no such series, as for a rare fault.
     """
 
     role: str
@@ -164,7 +164,7 @@
     ),
     Quantity("server", "connections to one", "server.connections by real gateways", "connections"),
 )
-"""The rows of the table in order."""
+"""All rows of the table, in order."""
 
 
 def _format_number(value: float) -> str:
@@ -172,7 +172,7 @@
 
 
 def _verdict(fit: Fit, measured: float | None, figure: float, quantity: Quantity) -> str:
-    """Compare the figure with the budget: "unknown" without a line to go by, "-" without a budget."""
+    """Compare a figure with its budget: "unknown" without a reliable line, "-" without a budget."""
     is_line_weak = len(set(fit.sizes)) < MINIMUM_SIZES or fit.residual > MAXIMUM_RESIDUAL
     if measured is None and is_line_weak:
         return "unknown"
@@ -191,7 +191,7 @@
     fit = series.fit if series else None
     if series is None or (fit is None and measured is None):
         return quantity.role, quantity.name, "none", "not measured", "", at, "", budget, "unknown", ""
-    if fit is None:  # one size only, which is the one asked for
+    if fit is None:  # The only measured size is the target size.
         assert measured is not None
         fit = Fit(0.0, measured, 0.0, [fleet_size])
     value = fit.intercept + fit.slope * fleet_size if measured is None else measured
@@ -212,16 +212,16 @@
 
 
 def _format_sizes(fit: Fit, series: Series) -> str:
-    """Return the sizes of the line, and the notes of points."""
+    """Return the sizes that the line is fitted to, and the notes on points."""
     sizes = ", ".join(f"{size:g}" for size in fit.sizes)
     notes = "".join(f"; {point.size:g}: {point.note}" for point in series.points if point.note)
     return sizes + notes
 
 
 def make_table(results: Sequence[Result]) -> str:
-    """Return the Markdown table of these results.
+    """Return a Markdown table of the results.
 
-    Where two results measured the same series, the later one that has a line counts.
+    If several results contain the same series, the latest one with a fitted line is used.
     """
     series_by_name: dict[str, Series] = {}
     for result in sorted(results, key=lambda result: result.started):
@@ -239,22 +239,22 @@
 
 
 def extract_table(page: str) -> str:
-    """Return what stands between the marks of a page.
+    """Return the text between the markers of a page.
 
     Raises:
-        ValueError: A mark is missing, or there twice.
+        ValueError: A marker is missing or occurs more than once.
     """
     for mark in (BEGIN, END):
         if page.count(mark) != 1:
-            raise ValueError(f"the page does not have one mark {mark}")
+            raise ValueError(f"page must contain the marker {mark} exactly once")
     return page.partition(BEGIN)[2].partition(END)[0].strip()
 
 
 def replace_table(page: str, table: str) -> str:
-    """Return the page with this table between its marks.
+    """Return the page with the table between its markers.
 
     Raises:
-        ValueError: A mark is missing, or there twice.
+        ValueError: A marker is missing or occurs more than once.
     """
     extract_table(page)
     before, _, rest = page.partition(BEGIN)
--- a/scale/child.py
+++ b/scale/child.py
@@ -1,6 +1,6 @@
-"""A child of a scale run: a role that is commanded by JSON lines on standard input and replies on output.
+"""A child process with a role: reads commands as JSON lines on standard input, replies on standard output.
 
-It ends when its input does, so that none outlives the run that started it.
+The process exits at the end of its input, so that it never outlives the run that started it.
 """
 
 from __future__ import annotations
@@ -30,13 +30,13 @@
     "hollow": HollowGateways,
     "policy": PolicyBenchmark,
 }
-"""The classes that a child can be, by the names that the run starts them by."""
+"""The class of each role, by the name that a run starts it with."""
 
 NO_ANSWER = msgspec.Raw(b"null")
 
 
 async def _read_commands(commands: asyncio.Queue[bytes]) -> None:
-    """Queue the commands; at the end of the input exit at once, also in the middle of a command."""
+    """Queue commands from standard input; exit at its end, even while a command is being executed."""
     reader = asyncio.StreamReader(MAXIMUM_LINE_BYTES)
     loop = asyncio.get_running_loop()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
@@ -46,7 +46,7 @@
 
 
 async def serve(make_role: Callable[..., Any]) -> None:
-    """Make the role with the first command's arguments, then carry out one command after the other."""
+    """Construct the role with the first command's arguments, then execute commands one by one."""
     commands: asyncio.Queue[bytes] = asyncio.Queue()
     reading = asyncio.create_task(_read_commands(commands), name="read commands")
     role: Any = None
@@ -59,17 +59,17 @@
             else:
                 answer = await getattr(role, command.name)(**command.arguments)
             reply = ChildReply(msgspec.Raw(msgspec.json.encode(answer)))
-        except Exception as error:  # whatever it is, the parent is told and ends the run
+        except Exception as error:  # The parent gets every error and stops the run.
             reply = ChildReply(NO_ANSWER, repr(error))
         sys.stdout.buffer.write(msgspec.json.encode(reply) + b"\n")
         sys.stdout.buffer.flush()
 
 
 def run_child(roles: Mapping[str, Callable[..., Any]]) -> None:
-    """Serve the role that the first argument of the command line names, until the input ends."""
+    """Run the role named by the first command-line argument until the end of standard input."""
     _, hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard_limit, hard_limit))
-    # A fleet that has lost its watches would fill the log.
+    # Hollow gateways that have lost their watches would fill the log.
     logging.getLogger("quota_gateway").setLevel(logging.CRITICAL)
     uvloop.run(serve(roles[sys.argv[1]]))
 
--- a/scale/child_process.py
+++ b/scale/child_process.py
@@ -1,4 +1,4 @@
-"""A child process of a run: its commands, its resource usage and its end."""
+"""Child processes of a run: calls of their methods, resource usage and termination."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 from scale.messages import ChildCommand, ChildReply
 
 CALL_TIMEOUT_S = 90.0
-"""Time for a reply, where the caller does not give another."""
+"""Default time to wait for the reply to a call."""
 
 TERMINATION_GRACE_S = 2.0
-"""Time between SIGTERM and SIGKILL."""
+"""Time that a child process has to end after SIGTERM, before SIGKILL."""
 
 MEBIBYTE = 1 << 20
 
@@ -25,17 +25,17 @@
 
 
 class ChildError(RuntimeError):
-    """A child failed, or did not reply in time; the message says which and why."""
+    """A child process failed or did not reply in time; the message names the process and the reason."""
 
 
 class ResourceUsage(NamedTuple):
-    """What a process has used by now.
+    """Resources that a process has used since its start.
 
     Attributes:
         cpu_s: Processor time.
-        rss_bytes: Resident memory.
-        peak_rss_bytes: The most resident memory so far.
-        sockets: Open TCP sockets.
+        rss_bytes: Current resident memory.
+        peak_rss_bytes: Maximum resident memory since the start.
+        sockets: Number of open TCP sockets.
     """
 
     cpu_s: float
@@ -49,7 +49,7 @@
         return self.rss_bytes / MEBIBYTE
 
     def cpu_ms_since(self, before: ResourceUsage) -> float:
-        """Return the processor time since an earlier usage, in milliseconds."""
+        """Return the processor time used since an earlier reading, in milliseconds."""
         return 1000.0 * (self.cpu_s - before.cpu_s)
 
 
@@ -57,11 +57,11 @@
     """A process that the run has started.
 
     Args:
-        name: Its name in the log.
+        name: Name of the process in the log.
         process: The process.
 
     Raises:
-        ChildError: It has ended already.
+        ChildError: The process has ended already.
     """
 
     def __init__(self, name: str, process: asyncio.subprocess.Process) -> None:
@@ -71,23 +71,23 @@
         try:
             self._system_process = psutil.Process(process.pid)
         except psutil.Error as error:
-            raise ChildError(f"{name}: it ended at once") from error
+            raise ChildError(f"{name}: process ended right after its start") from error
 
     @property
     def is_running(self) -> bool:
-        """Whether it has not ended yet."""
+        """Whether the process has not ended yet."""
         return self._process.returncode is None
 
     @property
     def exit_code(self) -> int:
-        """Its exit code, negative for a signal; 0 while it runs."""
+        """Exit code of the process, negative if a signal ended it; 0 while it runs."""
         return self._process.returncode or 0
 
     def usage(self) -> ResourceUsage:
-        """Return what it has used by now.
+        """Return the resources that the process has used since its start.
 
         Raises:
-            ChildError: It has ended.
+            ChildError: The process has ended.
         """
         try:
             with self._system_process.oneshot():
@@ -101,13 +101,13 @@
         return ResourceUsage(cpu_times.user + cpu_times.system, rss_bytes, int(peak_kib) << 10, sockets)
 
     def rss_bytes(self) -> int:
-        """Return its resident memory; 0 if it has ended."""
+        """Return the resident memory of the process; 0 if it has ended."""
         with suppress(psutil.Error):
             return int(self._system_process.memory_info().rss)
         return 0
 
     async def end(self) -> None:
-        """End it by SIGTERM, then SIGKILL; return once it has ended."""
+        """End the process with SIGTERM, then SIGKILL; return once it has ended."""
         if not self.is_running:
             return
         with suppress(ProcessLookupError):
@@ -121,7 +121,7 @@
 
 
 class RoleProcess(ChildProcess):
-    """A child with a role; calls that overlap are made one after the other."""
+    """A child process with a role; concurrent calls are made one after the other."""
 
     def __init__(self, name: str, process: asyncio.subprocess.Process) -> None:
         super().__init__(name, process)
@@ -134,31 +134,33 @@
         timeout_s: float = CALL_TIMEOUT_S,
         **arguments: object,
     ) -> Reply:
-        """Call a method of its role.
+        """Call a method of the role and return its result.
 
         Args:
-            name: The method.
-            reply_type: The type of its result.
-            timeout_s: How long to wait for the reply.
-            **arguments: The method's arguments.
+            name: Name of the method.
+            reply_type: Type of the result.
+            timeout_s: Maximum time to wait for the reply.
+            **arguments: Arguments of the method.
 
         Raises:
-            ChildError: The method has failed, or took too long, or the child has ended.
+            ChildError: The method failed or took too long, or the process has ended.
         """
         try:
             async with self._call_lock:
                 line = await self._exchange(ChildCommand(name, arguments), timeout_s)
         except (TimeoutError, OSError) as error:
-            raise ChildError(f"{self.name}.{name}: no answer within {timeout_s:g} s: {error!r}") from error
+            raise ChildError(
+                f"{self.name}.{name}: call failed, timeout {timeout_s:g} s: {error!r}"
+            ) from error
         if not line:
-            raise ChildError(f"{self.name}.{name}: it has ended")
+            raise ChildError(f"{self.name}.{name}: process ended without a reply")
         reply = msgspec.json.decode(line, type=ChildReply)
         if reply.error:
             raise ChildError(f"{self.name}.{name}: {reply.error}")
         return msgspec.json.decode(reply.answer, type=reply_type)
 
     async def _exchange(self, command: ChildCommand, timeout_s: float) -> bytes:
-        """Send a command; the line of its reply, empty where the child has ended."""
+        """Send a command and return the line of the reply; empty if the process has ended."""
         assert self._process.stdin
         assert self._process.stdout
         self._process.stdin.write(msgspec.json.encode(command) + b"\n")
@@ -166,5 +168,5 @@
         return await asyncio.wait_for(self._process.stdout.readline(), timeout_s)
 
     async def command(self, name: str, **arguments: object) -> None:
-        """Call a method that returns nothing; raises as `call` does."""
+        """Call a method that returns nothing; raises the same errors as `call`."""
         await self.call(name, NoneType, CALL_TIMEOUT_S, **arguments)
--- a/scale/config.py
+++ b/scale/config.py
@@ -1,4 +1,4 @@
-"""The configuration of a scale run: a TOML file with flags over it, checked before anything starts."""
+"""Configuration of a scale run: a TOML file and flags that override it, validated before anything starts."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 Sizes = Annotated[list[PositiveInteger], msgspec.Meta(min_length=1)]
 
 SERVERS_PER_GATEWAY = 10
-"""Servers for each gateway in the fleet to come: 38,000 before 3,800 gateways."""
+"""Ratio in the target fleet: 38,000 servers for 3,800 gateways."""
 
 
 class Section(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A section of the file; an unknown key is an error."""
+    """Base class for sections of the file; unknown keys are errors."""
 
 
 class Fleet(Section, frozen=True):
-    """The gateways and servers that take part.
+    """The gateways and servers of a run.
 
     Attributes:
-        servers: Servers that discovery lists.
-        ports: Listening sockets of servers, which the listed servers share.
-        zones: Zones that servers and gateways are spread over.
-        gateways: Gateways that the settings name; 0 for `gateways_in_settings` to derive it.
-        real: Real gateways.
-        hollow: Hollow gateways.
-        hollow_per_process: Hollow gateways in one process.
+        servers: Number of servers that discovery lists.
+        ports: Number of listening sockets, which the listed servers share.
+        zones: Number of zones that servers and gateways are spread over.
+        gateways: Number of gateways in the settings; 0 to derive it (`gateways_in_settings`).
+        real: Number of real gateways.
+        hollow: Number of hollow gateways.
+        hollow_per_process: Number of hollow gateways in one process.
         hollow_kind: Whether a hollow gateway has a policy engine, or only holds the watch open.
     """
 
@@ -45,23 +45,23 @@
     hollow_kind: Literal["gateway", "watch"] = "gateway"
 
     def gateways_in_settings(self, servers: int) -> int:
-        """Return how many gateways the settings name before so many servers: one to ten by default.
+        """Return the number of gateways in the settings, by default one for every ten servers.
 
-        A gateway takes its share of the servers' capacity: with 3,800 gateways in the settings and 200
-        servers it would rightly reject nearly all requests.
+        A gateway uses only its share of the servers' capacity: with 3,800 gateways in the settings and 200
+        servers it would correctly reject nearly all requests.
         """
         return self.gateways or max(1, servers // SERVERS_PER_GATEWAY)
 
 
 class Churn(Section, frozen=True):
-    """A day's changes and how much faster than a day they are replayed.
+    """Changes of servers in a day, and the speed at which they are replayed.
 
     Attributes:
         changes_per_day: Changes of a server's weight.
         restarts_per_day: Restarts of a server.
-        failures_per_day: Failures after which another server comes in its place.
-        speedup: How many times faster than a day.
-        down_s: How long a server that restarts or fails is away, in the run's own time.
+        failures_per_day: Failures of a server, which is replaced by another one.
+        speedup: Factor by which the replay is faster than real time.
+        down_s: Time that a restarting or failed server is not listed, not divided by the speed-up.
     """
 
     changes_per_day: NonNegativeNumber = 2_100.0
@@ -72,15 +72,15 @@
 
 
 class Load(Section, frozen=True):
-    """An open-loop load: Poisson arrivals, customers by Zipf, and the servers' mean service time.
+    """Open-loop load with Poisson arrivals and Zipf-distributed customers, and the mean service time.
 
     Attributes:
-        rate: Requests a second.
-        seconds: Length of one phase, straight to the servers or through the gateway.
-        phases: Phases of each kind, in turn.
-        tenants: Customers.
+        rate: Requests per second.
+        seconds: Length of one phase, either straight to the servers or through the gateway.
+        phases: Number of phases of each kind, which alternate.
+        tenants: Number of customers.
         skew: Exponent of the Zipf distribution.
-        hollow_rate: Requests a second at each hollow gateway, in a play.
+        hollow_rate: Requests per second at each hollow gateway, in the ``run`` command.
         service_ms: Mean service time of a server.
         deadline_ms: Timeout of a request.
     """
@@ -99,10 +99,10 @@
     """A fault of discovery.
 
     Attributes:
-        at_s: When it begins, in seconds from the start of the play.
-        kind: What happens.
-        for_s: How long it lasts.
-        zone: The zone that is lost.
+        at_s: Start of the fault, in seconds from the start of churn.
+        kind: Kind of fault.
+        for_s: Duration of the fault.
+        zone: Zone that is lost, for ``lose_zone``.
     """
 
     at_s: NonNegativeNumber
@@ -112,19 +112,19 @@
 
 
 class Slopes(Section, frozen=True):
-    """The sizes that each slope is measured at.
+    """Sizes at which each slope is measured.
 
     Attributes:
-        lists: Servers in the list.
-        changes: Endpoints in one change.
-        tenants: Customers of the policy engine.
-        routes: Request classes of the policy engine.
-        fleets: Hollow gateways.
-        reals: Real gateways.
-        rates: Requests a second through one gateway.
-        repeats: Repetitions of a measurement.
-        spread_gap_s: Time between two versions that a whole fleet is to have.
-        versions: Versions of one endpoint each, published one by one.
+        lists: Numbers of servers in the list.
+        changes: Numbers of endpoints in one change.
+        tenants: Numbers of customers of the policy engine.
+        routes: Numbers of request classes of the policy engine.
+        fleets: Numbers of hollow gateways.
+        reals: Numbers of real gateways.
+        rates: Requests per second through one gateway.
+        repeats: Number of repetitions of a measurement.
+        spread_gap_s: Time between two versions whose propagation over a fleet is measured.
+        versions: Number of versions, each changing one endpoint, that are published one by one.
     """
 
     lists: Sizes = msgspec.field(default_factory=lambda: [200, 1_000, 2_000, 4_000])
@@ -140,18 +140,18 @@
 
 
 class Config(Section, frozen=True):
-    """The configuration of a whole run.
+    """Configuration of a whole run.
 
     Attributes:
-        seed: The seed of all random numbers.
-        deadline_s: The longest time that the run may take.
-        memory_mb: The most resident memory that all children may take.
-        processes: The most children at a time.
-        fleet: The gateways and servers.
-        churn: The changes of a day.
-        load: The requests.
-        faults: The faults of discovery.
-        slopes: The sizes that slopes are measured at.
+        seed: Seed of all random numbers.
+        deadline_s: Maximum duration of the run.
+        memory_mb: Maximum resident memory of all child processes together, in MiB.
+        processes: Maximum number of child processes at a time.
+        fleet: Gateways and servers.
+        churn: Changes of servers in a day.
+        load: Requests.
+        faults: Faults of discovery.
+        slopes: Sizes at which slopes are measured.
     """
 
     seed: Annotated[int, msgspec.Meta(ge=0)] = 1
@@ -166,11 +166,11 @@
 
 
 class ConfigError(ValueError):
-    """The file or a flag is wrong; the message names the key."""
+    """The configuration file or a flag is invalid; the message names the key."""
 
 
 def _merge(base: dict[str, Any], overrides: dict[str, Any]) -> dict[str, Any]:
-    """Return both documents merged, with the overrides' values for keys that are in both."""
+    """Return both documents merged recursively; the overrides win where both set a key."""
     merged = dict(base)
     for key, value in overrides.items():
         are_tables = isinstance(value, dict) and isinstance(merged.get(key), dict)
@@ -186,14 +186,14 @@
 
 
 def load(path: Path | None, flags: tuple[str, ...] = ()) -> Config:
-    """Read the configuration.
+    """Load and validate the configuration.
 
     Args:
-        path: The file; None for the defaults.
-        flags: Overrides like ``fleet.servers=2000``.
+        path: Path of the TOML file; None for the defaults.
+        flags: Overrides such as ``fleet.servers=2000``.
 
     Raises:
-        ConfigError: A key or its value is wrong, or the file can't be read.
+        ConfigError: A key or its value is invalid, or the file can't be read.
     """
     try:
         document = _parse(path.read_text(), str(path)) if path else {}
@@ -207,10 +207,10 @@
         raise ConfigError(str(error).replace("`$.", "`")) from error
     for number, fault in enumerate(config.faults):
         if fault.kind == "lose_zone" and fault.zone not in zone_names(config.fleet.zones):
-            raise ConfigError(f"no such zone: {fault.zone!r} - at `faults[{number}].zone`")
+            raise ConfigError(f"unknown zone: {fault.zone!r} - at `faults[{number}].zone`")
     return config
 
 
 def zone_names(number: int) -> list[str]:
-    """Return the names of so many zones."""
+    """Return the names of this number of zones: ``a``, ``b`` and so on."""
     return [chr(ord("a") + index) for index in range(number)]
--- a/scale/messages.py
+++ b/scale/messages.py
@@ -1,4 +1,4 @@
-"""The typed messages between a run and its children, one JSON object a line."""
+"""Typed messages between a run and its child processes, one JSON object per line."""
 
 from __future__ import annotations
 
@@ -7,32 +7,32 @@
 import msgspec
 
 MAXIMUM_LINE_BYTES = 1 << 28
-"""The longest message; a whole fleet's received versions are the longest in use."""
+"""Maximum length of a message; the longest in use are a whole fleet's received versions."""
 
 
 class ChildCommand(msgspec.Struct, frozen=True):
-    """A command of the run: a method of the child's role and its arguments."""
+    """A command to a child process: a method of its role and the arguments."""
 
     name: str
-    arguments: dict[str, Any]  # foreign JSON until the role's method takes it
+    arguments: dict[str, Any]  # Decoded JSON, checked only by the role's method.
 
 
 class ChildReply(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A child's reply: what the method returned, still encoded, or the error that it raised."""
+    """Reply of a child process: the method's return value as encoded JSON, or the error it raised."""
 
     answer: msgspec.Raw
     error: str = ""
 
 
 class EndpointListInfo(msgspec.Struct, frozen=True):
-    """A list that discovery has published: its encoded size and its version."""
+    """Encoded size and version of an endpoint list that discovery has published."""
 
     size_bytes: int
     version: int
 
 
 class PublishedChanges(msgspec.Struct, frozen=True):
-    """The versions that discovery has published one by one, and the bytes that watches were sent for them."""
+    """Range of versions that discovery has published one by one, and the bytes sent to watches for them."""
 
     first_version: int
     last_version: int
@@ -40,21 +40,21 @@
 
 
 class FaultVersions(msgspec.Struct, frozen=True):
-    """The versions of the list before and after a fault."""
+    """Versions of the endpoint list before and after a fault."""
 
     version_before: int
     last_version: int
 
 
 class DiscoveryStatistics(msgspec.Struct, frozen=True):
-    """What discovery has sent, and what it lists.
+    """Statistics of discovery: counts of what it has sent, and the current state of its list.
 
     Attributes:
         counts: Bytes and lines by kind, calls, and watches begun and ended.
-        published_s: Each version and when it could first be read, on the monotonic clock.
-        version: The version of the list.
-        servers: How many endpoints are listed.
-        watches: How many watches are open.
+        published_s: Each version and the time of its publication, on the monotonic clock.
+        version: Current version of the list.
+        servers: Number of listed endpoints.
+        watches: Number of open watches.
     """
 
     counts: dict[str, int]
@@ -65,25 +65,25 @@
 
     @property
     def sent_bytes(self) -> int:
-        """All bytes of lists, changes and heartbeats."""
+        """Total bytes of lists, changes and heartbeats."""
         return sum(number for name, number in self.counts.items() if name.endswith("_bytes"))
 
     def count(self, name: str) -> int:
-        """Return one count; 0 if there was nothing of it."""
+        """Return the count with this name; 0 if nothing was counted."""
         return self.counts.get(name, 0)
 
 
 class ServerStatistics(msgspec.Struct, frozen=True):
-    """What the stub servers have seen.
+    """Connections and requests at the stub servers.
 
     Attributes:
-        connections: Connections that are open now, over all servers.
-        opened: Connections that were opened since the last reset.
-        most_per_server: The most connections that one server had at a time.
-        used: Servers that had any connection.
-        served: Requests that were served.
-        rejected: Requests that were rejected.
-        busiest: The most requests that one server has served.
+        connections: Connections open now, over all servers.
+        opened: Connections opened since the last reset.
+        most_per_server: Maximum number of connections that one server had at a time.
+        used: Number of servers that had at least one connection.
+        served: Number of requests served.
+        rejected: Number of requests rejected.
+        busiest: Number of requests served by the server with the most.
     """
 
     connections: int
@@ -103,44 +103,44 @@
 
     @property
     def served(self) -> int:
-        """How many requests were served."""
+        """Number of requests served."""
         return self.outcomes.get("served", 0)
 
     @property
     def unserved_share(self) -> float:
-        """The share of requests that were not served."""
+        """Share of requests that were not served."""
         return 1.0 - self.served / max(1, sum(self.outcomes.values()))
 
 
 class PhaseReports(msgspec.Struct, frozen=True):
-    """The reports of one phase of load, and of all phases with its label so far."""
+    """Reports on one phase of load and on all phases with the same label so far."""
 
     phase: LoadReport
     total: LoadReport
 
 
 class UpdateCoverage(msgspec.Struct, frozen=True):
-    """How many of a child's hollow gateways have a version."""
+    """Number of hollow gateways in a child process, and how many of them have a given version."""
 
     updated: int
     gateways: int
 
 
 class LoopStalls(msgspec.Struct, frozen=True):
-    """The longest time between two turns of the event loop, by the clock and in processor time."""
+    """Longest time between two iterations of the event loop, in wall-clock and in processor time."""
 
     wall_ms: float
     cpu_ms: float
 
 
 class PolicyCost(msgspec.Struct, frozen=True):
-    """What requests cost the policy engine.
+    """Cost of requests in the policy engine.
 
     Attributes:
-        cpu_us: Processor time of a request, in microseconds.
-        memory_bytes: Resident memory that the engine has taken since before it was made.
-        customers: Customers that it holds at the end.
-        actions: Its actions by kind.
+        cpu_us: Processor time per request, in microseconds.
+        memory_bytes: Growth of resident memory since before the engine was constructed.
+        customers: Number of customers that the engine keeps at the end.
+        actions: Number of the engine's actions by kind.
     """
 
     cpu_us: float
--- a/scale/results.py
+++ b/scale/results.py
@@ -1,4 +1,4 @@
-"""The results of a run: series of points, the line through each, one JSON file a run, and a table."""
+"""Results of a run: series of points with fitted lines, one JSON file per run, and printed tables."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
 MINIMUM_SIZES_OF_LINE = 2
 VALUE_DIGITS = 6
 RESIDUAL_DIGITS = 4
-"""Digits that the result files keep; more would only be noise."""
+"""Decimal places kept in result files; further digits would be noise."""
 
 
 class Point(msgspec.Struct, frozen=True):
-    """What was measured at one size.
+    """Measured values at one size.
 
     Attributes:
-        size: The size.
-        values: The values of all repetitions.
-        note: What there is in place of values, or beside them.
+        size: Size at which the values were measured.
+        values: Values of all repetitions.
+        note: Remark on the values, or the reason why there are none.
     """
 
     size: float
@@ -40,18 +40,18 @@
 
     @property
     def value(self) -> float | None:
-        """The median of the values; None without any."""
+        """Median of the values; None if there are none."""
         return median(self.values) if self.values else None
 
 
 class Fit(msgspec.Struct, frozen=True):
-    """The line of least squares through the points of a series.
+    """Least-squares line through the points of a series.
 
     Attributes:
-        slope: Growth of the value for one more of the size.
-        intercept: The value at size 0.
-        residual: Distance of the farthest point from the line, as a part of the largest value.
-        sizes: The sizes of the points.
+        slope: Growth of the value per unit of size.
+        intercept: Value of the line at size 0.
+        residual: Largest distance of a point from the line, as a fraction of the largest value.
+        sizes: Sizes of the points.
     """
 
     slope: float
@@ -61,15 +61,15 @@
 
 
 class Series(msgspec.Struct):
-    """One quantity of one role, measured by size.
+    """One quantity of one role, measured at several sizes.
 
     Attributes:
-        name: The quantity.
-        role: The role that it is measured of.
-        by: What the sizes count.
-        unit: The unit of the values.
-        points: What was measured.
-        fit: The line through the points; None for fewer than two sizes.
+        name: Name of the quantity.
+        role: Role whose quantity is measured.
+        by: Variable that the sizes count, for instance servers.
+        unit: Unit of the values.
+        points: Measured points.
+        fit: Line through the points; None for fewer than two sizes.
     """
 
     name: str
@@ -80,26 +80,26 @@
     fit: Fit | None = None
 
     def add(self, size: float, values: Sequence[float], note: str = "") -> None:
-        """Add a point, and fit the line anew."""
+        """Add a point and fit the line again."""
         self.points.append(Point(size, [round(value, VALUE_DIGITS) for value in values], note))
         self.fit = fit_line([(point.size, point.value) for point in self.points if point.value is not None])
 
 
 class Result(msgspec.Struct):
-    """A whole run, as its JSON file holds it.
+    """Result of a whole run, in the format of its JSON file.
 
     Attributes:
-        command: The command that ran.
-        seed: The run's seed.
-        commit: The commit of the repository.
-        started: When the run began, in UTC.
-        seconds: How long it took.
-        stopped: Why it was cut short; empty if it was not.
-        machine: The machine's cores, load and version of Python.
-        limits: The most processes and memory that the children took.
-        config: The run's configuration.
-        series: What was measured by size.
-        figures: What was measured once, by name.
+        command: Command that ran.
+        seed: Seed of the run.
+        commit: Commit of the repository.
+        started: Start of the run, in UTC.
+        seconds: Duration of the run.
+        stopped: Why the run was stopped early; empty if it was not.
+        machine: Number of cores, load averages and version of Python.
+        limits: Maximum number of child processes and maximum memory that they used together.
+        config: Configuration of the run.
+        series: Quantities measured by size.
+        figures: Quantities measured once, by name.
     """
 
     command: str
@@ -116,7 +116,7 @@
 
 
 def fit_line(points: Sequence[tuple[float, float]]) -> Fit | None:
-    """Return the line of least squares through points of size and value; None for fewer than two sizes."""
+    """Return the least-squares line through pairs of size and value; None for fewer than two sizes."""
     sizes = [size for size, _ in points]
     values = [value for _, value in points]
     if len(set(sizes)) < MINIMUM_SIZES_OF_LINE:
@@ -129,11 +129,11 @@
 
 
 class MeasurementLog:
-    """Collects what a run measures.
+    """Collects the measurements of a run.
 
     Attributes:
-        series: What was measured by size, by name.
-        figures: What was measured once, by name.
+        series: Quantities measured by size, by ``role.quantity by variable``.
+        figures: Quantities measured once, by name.
     """
 
     def __init__(self) -> None:
@@ -149,15 +149,15 @@
         values: Sequence[float],
         note: str = "",
     ) -> None:
-        """Add a point to a series, which begins with its first point.
+        """Add a point to a series, which is created with its first point.
 
         Args:
-            name: The series as ``role.quantity``.
-            by: What the sizes count.
-            unit: The unit of the values.
-            size: The size.
-            values: The values of all repetitions.
-            note: What there is in place of values, or beside them.
+            name: Name of the series as ``role.quantity``.
+            by: Variable that the sizes count, for instance servers.
+            unit: Unit of the values.
+            size: Size at which the values were measured.
+            values: Values of all repetitions.
+            note: Remark on the values, or the reason why there are none.
         """
         key = f"{name} by {by}"
         if key not in self.series:
@@ -180,7 +180,7 @@
     supervisor: Supervisor,
     started_at_s: float,
 ) -> Result:
-    """Make the result of a run that began at this Unix time."""
+    """Return the result of a run; ``started_at_s`` is its start in Unix time."""
     return Result(
         command=command,
         seed=config.seed,
@@ -204,7 +204,7 @@
 
 
 def write_result(result: Result, folder: Path) -> Path:
-    """Write the result to a file in this folder and return its path."""
+    """Write the result to a new file in the folder and return the file's path."""
     started = result.started.replace(":", "").replace("-", "")
     path = folder / f"{started}-{result.command}-{result.seed}.json"
     path.write_bytes(msgspec.json.format(msgspec.json.encode(result), indent=1) + b"\n")
@@ -212,22 +212,22 @@
 
 
 def read_result(path: Path) -> Result:
-    """Read a result's file.
+    """Read a result file.
 
     Raises:
-        msgspec.DecodeError: A key of the file is missing or wrong.
+        msgspec.DecodeError: The file is not valid JSON, or a key is missing or invalid.
     """
     return msgspec.json.decode(path.read_bytes(), type=Result)
 
 
 def print_result(result: Result, console: Console) -> None:
-    """Print the tables of a run."""
+    """Print the tables of a result."""
     if result.series:
         console.print(_series_table(result))
     if result.figures:
         console.print(_figures_table(result))
     if result.stopped:
-        console.print(f"cut short: {result.stopped}")
+        console.print(f"stopped early: {result.stopped}")
 
 
 def _series_table(result: Result) -> Table:
--- a/scale/supervisor.py
+++ b/scale/supervisor.py
@@ -1,4 +1,4 @@
-"""Starts a run's children, keeps them within their limits, and ends them whatever happens."""
+"""Starts a run's child processes, enforces their limits, and ends them however the run ends."""
 
 from __future__ import annotations
 
@@ -24,48 +24,50 @@
 MEMORY_CHECK_INTERVAL_S = 0.5
 
 END_WITH_PARENT_COMMAND = ["setpriv", "--pdeathsig", "KILL"]
-"""Makes the kernel end a child if the run is killed outright and can't end it."""
+"""Makes the kernel kill a child process when the run is killed and can't end the child itself."""
 
 Reply = TypeVar("Reply")
 
 
 SCALE_CHILD_MODULE = "scale.child"
-"""The module that makes a child of a role."""
+"""Module that a child process with a role executes."""
 
 
 class SupervisorLimits(Protocol):
-    """What all children of a run together may take."""
+    """Limits for all child processes of a run together."""
 
     @property
     def processes(self) -> int:
-        """The most children at a time."""
+        """Maximum number of child processes at a time."""
 
     @property
     def memory_mb(self) -> int:
-        """The most resident memory of all."""
+        """Maximum resident memory of all child processes, in MiB."""
 
 
 class LimitError(RuntimeError):
-    """The children would take more processes than the configuration allows."""
+    """Another child process would exceed the limit of the configuration."""
 
 
 class Supervisor:
-    """All children of a run, as a context: leaving it ends them, also after an error or a cancellation.
+    """Context manager that owns all child processes of a run and ends them on exit.
+
+    They are ended after an error or a cancellation, too.
 
     SIGINT and SIGTERM cancel the task that entered the context.
 
     Args:
         config: The run's limits.
-        log_folder: Where the children's logs go.
+        log_folder: Folder for the logs of the child processes.
         log: The run's log.
-        child_module: The module that makes a child of a role.
+        child_module: Module that a child process with a role executes.
 
     Attributes:
-        log_folder: Where the children's logs go.
-        stop_reason: Why the run was cut short; empty if it was not.
-        peak_rss_bytes: The most resident memory of all children at a time.
-        peak_processes: The most children at a time.
-        program_count: How many programs were started.
+        log_folder: Folder for the logs of the child processes.
+        stop_reason: Why the run was stopped early; empty if it was not.
+        peak_rss_bytes: Maximum resident memory of all child processes together.
+        peak_processes: Maximum number of child processes at a time.
+        program_count: Number of programs started.
     """
 
     def __init__(
@@ -90,7 +92,7 @@
 
     @property
     def scratch_folder(self) -> Path:
-        """A folder that is removed with the context."""
+        """Temporary folder that is removed when the context exits."""
         assert self._scratch_folder
         return Path(self._scratch_folder.name)
 
@@ -98,7 +100,7 @@
         loop = asyncio.get_running_loop()
         self._task = asyncio.current_task()
         for number in (signal.SIGINT, signal.SIGTERM):
-            loop.add_signal_handler(number, self._stop, f"{number.name} came")
+            loop.add_signal_handler(number, self._stop, f"received {number.name}")
         self._scratch_folder = tempfile.TemporaryDirectory(prefix="scale-")
         self._memory_guard = loop.create_task(self._guard_memory(), name="guard memory")
         return self
@@ -114,7 +116,8 @@
         self._memory_guard.cancel()
         ending = asyncio.ensure_future(asyncio.gather(*(child.end() for child in self._children)))
         while not ending.done():
-            with suppress(asyncio.CancelledError):  # by another signal, or the deadline: all are ended still
+            # Another signal or the deadline must not interrupt the shutdown.
+            with suppress(asyncio.CancelledError):
                 await asyncio.shield(ending)
         self._scratch_folder.cleanup()
         self._log.info("children ended", number=len(self._children), stopped=self.stop_reason)
@@ -126,12 +129,12 @@
             self._task.cancel()
 
     async def _guard_memory(self) -> None:
-        """Stop the run when its children hold more memory than the configuration allows."""
+        """Stop the run when its child processes use more memory than the configuration allows."""
         while True:
             rss_bytes = sum(child.rss_bytes() for child in self._children)
             self.peak_rss_bytes = max(self.peak_rss_bytes, rss_bytes)
             if rss_bytes > self._config.memory_mb * MEBIBYTE:
-                self._stop(f"the children hold more than memory_mb: {rss_bytes // MEBIBYTE}")
+                self._stop(f"child processes use more than memory_mb: {rss_bytes // MEBIBYTE} MiB")
             await asyncio.sleep(MEMORY_CHECK_INTERVAL_S)
 
     async def _start(
@@ -143,7 +146,7 @@
     ) -> asyncio.subprocess.Process:
         running = sum(child.is_running for child in self._children)
         if running >= self._config.processes:
-            raise LimitError(f"more than {self._config.processes} processes - at `processes`")
+            raise LimitError(f"limit of {self._config.processes} child processes reached - at `processes`")
         self.peak_processes = max(self.peak_processes, running + 1)
         with (self.log_folder / log_name).open("ab") as output:
             process = await asyncio.create_subprocess_exec(
@@ -161,19 +164,19 @@
     async def start_role(
         self, role: str, reply_type: type[Reply], **arguments: object
     ) -> tuple[RoleProcess, Reply]:
-        """Start a child with a role.
+        """Start a child process with a role.
 
         Args:
             role: The role's name in `scale.child.ROLES`.
-            reply_type: The type of what the role's ``start`` returns.
-            **arguments: The arguments of the role's constructor.
+            reply_type: Return type of the role's ``start`` method.
+            **arguments: Arguments of the role's constructor.
 
         Returns:
-            The child, and what the role's ``start`` returned.
+            The child process and the return value of the role's ``start`` method.
 
         Raises:
-            LimitError: There are as many children as the configuration allows.
-            ChildError: The role could not be made or started.
+            LimitError: The maximum number of child processes is running already.
+            ChildError: The role could not be constructed or started.
         """
         process = await self._start(
             role,
@@ -187,11 +190,11 @@
         return child, await child.call("__init__", reply_type, CALL_TIMEOUT_S, **arguments)
 
     async def start_program(self, name: str, command: str, environment: dict[str, str]) -> ChildProcess:
-        """Start another program by a shell command; its output goes to a log named after it.
+        """Start a program by a shell command, with its standard error in a log file named after it.
 
         Raises:
-            LimitError: There are as many children as the configuration allows.
-            ChildError: It ended at once.
+            LimitError: The maximum number of child processes is running already.
+            ChildError: The program ended right after its start.
         """
         self.program_count += 1
         process = await self._start(
@@ -206,6 +209,6 @@
         return child
 
     async def end(self, *children: ChildProcess) -> None:
-        """End some children before the others."""
+        """End these child processes; the others go on."""
         await asyncio.gather(*(child.end() for child in children))
         self._children = [child for child in self._children if child not in children]
--- a/tests/scale/test_config.py
+++ b/tests/scale/test_config.py
@@ -1,4 +1,4 @@
-"""The configuration of a scale run: files, overrides, errors that name the key."""
+"""The configuration of a scale run: files, overrides, and errors that name the key."""
 
 from pathlib import Path
 
@@ -24,7 +24,7 @@
         ("seed = ", "wrong.toml"),
     ],
 )
-def test_wrong_file_is_rejected_with_the_name_of_the_key(tmp_path, text, key):
+def test_invalid_file_is_rejected_with_the_name_of_the_key(tmp_path, text, key):
     path = tmp_path / "wrong.toml"
     path.write_text(text)
     with pytest.raises(config.ConfigError, match=key.replace("[", r"\[").replace("]", r"\]")):
--- a/tests/scale/test_supervision.py
+++ b/tests/scale/test_supervision.py
@@ -1,4 +1,4 @@
-"""The processes of a scale run end with it: when it is interrupted, cut short, or its parent goes."""
+"""A scale run ends its child processes when it finishes, is interrupted, exceeds a limit or is killed."""
 
 import json
 import os
@@ -17,30 +17,30 @@
 
 
 def run_command(out: Path) -> list[str]:
-    """Return the command of a small run whose load would last five minutes."""
+    """Return the command of a small run with one phase of load of at least five minutes."""
     command = [sys.executable, "-m", "scale", "run", "--out", str(out), "--hollow", "2", "--servers", "4"]
     return [*command, "--set", "load.seconds=300.0", "--set", "fleet.ports=4"]
 
 
 def child_pids(folder: Path) -> list[int]:
-    """Return the children's process ids, by the log."""
+    """Return the process ids of the run's child processes, read from its log."""
     lines = [line for path in folder.glob("*/run.log") for line in path.read_text().splitlines()]
     rows = [json.loads(line) for line in lines if line.endswith("}")]
     return [row["pid"] for row in rows if row["event"] == "started"]
 
 
 def wait_for_children(process: subprocess.Popen, folder: Path, number: int) -> list[int]:
-    """Wait for so many children and for the load to begin; return the children's process ids."""
+    """Wait until this number of child processes runs and the load begins; return their process ids."""
     while process.poll() is None:
         pids = child_pids(folder)
         if len(pids) >= number and any("churn" in path.read_text() for path in folder.glob("*/run.log")):
             return pids
         time.sleep(0.05)
-    raise AssertionError("the run ended by itself")
+    raise AssertionError("run ended before its load began")
 
 
 @pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM, signal.SIGKILL])
-def test_children_end_with_the_run_also_when_it_is_interrupted(tmp_path, number):
+def test_interrupted_or_killed_run_leaves_no_child_process(tmp_path, number):
     process = subprocess.Popen(
         run_command(tmp_path),
         cwd=ROOT,
@@ -58,20 +58,20 @@
     assert not alive
     if number != signal.SIGKILL:
         assert process.returncode == 130
-        assert f"{number.name} came" in output.decode()
+        assert f"received {number.name}" in output.decode()
         (path,) = tmp_path.glob("*.json")
-        assert results.read_result(path).stopped == f"{number.name} came"
+        assert results.read_result(path).stopped == f"received {number.name}"
 
 
 @pytest.mark.parametrize(
     ("flag", "reason"),
     [
-        ("deadline_s=4.0", "deadline_s of 4 is over"),
+        ("deadline_s=4.0", "run exceeded deadline_s of 4"),
         ("memory_mb=64", "more than memory_mb"),
         ("processes=4", "`processes`"),
     ],
 )
-def test_run_beyond_its_limits_is_cut_short_and_leaves_a_result(tmp_path, flag, reason):
+def test_run_that_exceeds_a_limit_stops_and_writes_a_result(tmp_path, flag, reason):
     completed = subprocess.run(
         [*run_command(tmp_path), "--set", flag],
         cwd=ROOT,
@@ -86,7 +86,7 @@
     assert not [pid for pid in child_pids(tmp_path) if psutil.pid_exists(pid)]
 
 
-def test_child_ends_with_its_input_also_in_the_middle_of_a_command():
+def test_child_exits_at_end_of_input_while_a_command_is_executed():
     child = subprocess.Popen(
         [sys.executable, "-m", "scale.child", "load"], cwd=ROOT, stdin=subprocess.PIPE, stdout=subprocess.PIPE
     )
@@ -98,7 +98,8 @@
     child.stdin.write(json.dumps({"name": "run", "arguments": long_load}).encode() + b"\n")
     child.stdin.flush()
     try:
-        assert json.loads(child.stdout.readline()) == {"answer": None}  # it is in the second command by now
+        # After this reply the child process executes the second command, the long load.
+        assert json.loads(child.stdout.readline()) == {"answer": None}
         child.stdin.close()
         assert child.wait(60) == 0
     finally:
