--- a/scale/loop_probe.py
+++ b/scale/loop_probe.py
@@ -1,4 +1,4 @@
-"""Measures how long an event loop stands still."""
+"""Measures how long an event loop is blocked."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class LoopProbe:
-    """The longest time between two turns of the loop, by the clock and in processor time of its thread.
+    """Measures the longest time between two iterations of the loop, in wall-clock and thread processor time.
 
-    It turns the loop all the time while it is on. Where others use the machine too, the processor time is
-    what the loop itself was held up by.
+    While the probe is active, the loop iterates without sleeping. On a machine with other users, the
+    processor time shows how long the loop itself was busy.
     """
 
     def __init__(self) -> None:
@@ -23,7 +23,7 @@
         self._longest_cpu_ns = 0
 
     def begin(self) -> None:
-        """Measure from now on."""
+        """Start measuring."""
         self._is_on = True
         self._longest_wall_ns = 0
         self._longest_cpu_ns = 0
@@ -38,7 +38,7 @@
             asyncio.get_running_loop().call_soon(self._turn, wall_ns, cpu_ns)
 
     def end(self) -> LoopStalls:
-        """Stop, and return the longest stalls."""
+        """Stop measuring and return the longest stalls."""
         self._is_on = False
         return LoopStalls(
             wall_ms=self._longest_wall_ns / NANOSECONDS_PER_MILLISECOND,
--- a/scale/play.py
+++ b/scale/play.py
@@ -1,4 +1,4 @@
-"""One play: a fleet under a day's churn and faults at a chosen speed-up, with load, measured as a whole."""
+"""The ``run`` command: a whole fleet under accelerated churn, faults and load."""
 
 from __future__ import annotations
 
@@ -22,36 +22,36 @@
 from scale.testbed import Testbed
 
 SETTLING_S = 8.0
-"""Time after the load: what discovery publishes counts as delivered 6 s on (PROTOCOL, Figures)."""
+"""Wait after the load: an update counts as delivered 6 s after its publication (PROTOCOL, Figures)."""
 
 PHASE_GAP_S = 0.2
-"""Time beside the load's own in each phase."""
+"""Additional time of each phase beyond the length of its load."""
 
 HOLLOW_LOAD_GRACE_S = 60.0
-"""Time for the load at hollow gateways beyond its length."""
+"""Additional time for the load at hollow gateways, beyond its length."""
 
 HOLLOW_SEED_FACTOR = 1_000
-"""Distance between the seeds of the hollow gateways' loads of two runs with consecutive seeds."""
+"""Difference between the hollow gateways' load seeds in two runs with consecutive seeds."""
 
 ERROR_LOG_TEXT = " ERROR "
-"""What a line of a gateway's log contains that was logged as an error."""
+"""Text by which an error is recognized in a gateway's log."""
 
 
 class PlayProcesses(NamedTuple):
-    """The processes of a play whose resource usage is measured."""
+    """Processes whose resource usage is measured."""
 
     discovery: RoleProcess
     hollow: list[RoleProcess]
     gateways: list[RealGateway]
 
     def usages(self) -> dict[ChildProcess, ResourceUsage]:
-        """Return what each process has used by now."""
+        """Return the resource usage of each process since its start."""
         gateway_processes = (gateway.process for gateway in self.gateways)
         return {process: process.usage() for process in (self.discovery, *self.hollow, *gateway_processes)}
 
 
 async def play(testbed: Testbed) -> None:
-    """Start all processes, let churn and faults run beside the load, and record what it cost."""
+    """Run a fleet under churn, faults and load, and record what it costs."""
     processes = await _start_processes(testbed)
     before = processes.usages()
     loop = asyncio.get_running_loop()
@@ -72,17 +72,17 @@
 
 
 async def _run_churn(testbed: Testbed, processes: PlayProcesses) -> None:
-    """Let churn and faults run beside the load until updates have propagated; record the events."""
+    """Run churn, faults and load at the same time, wait for updates to propagate, and record the events."""
     config = testbed.config
     seconds = _churn_seconds(testbed, len(processes.gateways))
     testbed.report_step(
-        f"churn for {seconds:.0f} s at {config.churn.speedup:g} times a day's speed, with load"
+        f"churn for {seconds:.0f} s at {config.churn.speedup:g} times real-time speed, with load"
     )
     events_by_kind = await processes.discovery.call(
         "play", dict[str, int], config=msgspec.to_builtins(config), seconds=seconds
     )
     await _run_loads(testbed, processes, seconds)
-    testbed.report_step(f"updates propagate for {SETTLING_S:g} s")
+    testbed.report_step(f"waiting {SETTLING_S:g} s for updates to propagate")
     await asyncio.sleep(SETTLING_S)
     testbed.measurements.figures |= {
         f"events: {kind}": number for kind, number in sorted(events_by_kind.items())
@@ -91,7 +91,7 @@
 
 async def _start_processes(testbed: Testbed) -> PlayProcesses:
     fleet = testbed.config.fleet
-    testbed.report_step(f"{fleet.real} real and {fleet.hollow} hollow gateways start")
+    testbed.report_step(f"starting {fleet.real} real and {fleet.hollow} hollow gateways")
     discovery, port = await testbed.start_discovery(fleet.servers)
     gateways = [await testbed.start_gateway(port, fleet.servers, number) for number in range(fleet.real)]
     hollow = await testbed.start_hollow_fleet(port, fleet.hollow)
@@ -100,14 +100,14 @@
 
 
 def _churn_seconds(testbed: Testbed, gateways: int) -> float:
-    """Return how long churn lasts: as long as the load at all gateways, and until the last fault is over."""
+    """Return the duration of churn: until all gateways have had their load and all faults have ended."""
     config = testbed.config
     load_s = 2 * config.load.phases * gateways * (config.load.seconds + PHASE_GAP_S)
     return max(load_s, max((fault.at_s + fault.for_s for fault in config.faults), default=0.0))
 
 
 async def _run_loads(testbed: Testbed, processes: PlayProcesses, seconds: float) -> None:
-    """Load the real gateways one by one, and the hollow ones beside them; record latencies and outcomes."""
+    """Load the real gateways one by one and the hollow ones meanwhile; record latencies and outcomes."""
     figures = testbed.measurements.figures
     hollow_loads = [
         asyncio.create_task(_load_hollow_gateways(testbed, process, number, seconds), name="hollow load")
@@ -126,7 +126,7 @@
 async def _load_hollow_gateways(
     testbed: Testbed, process: RoleProcess, number: int, seconds: float
 ) -> dict[str, int]:
-    """Load the hollow gateways of one process, which have upstream connections of their own."""
+    """Load the hollow gateways of one process over their own upstream connections; return the outcomes."""
     config = testbed.config
     load = config.load
     if not load.hollow_rate or config.fleet.hollow_kind != "gateway":
@@ -193,7 +193,7 @@
 async def _record_propagation(
     testbed: Testbed, statistics: DiscoveryStatistics, hollow: list[RoleProcess]
 ) -> None:
-    """Record how soon the versions were in force at 99 in 100 of the hollow gateways."""
+    """Record the time until the versions were in force at 99 in 100 of the hollow gateways."""
     received = await take_received_versions(hollow)
     delays_s = sorted(propagation_delays(statistics.published_s, received)) if received else []
     known_s = [delay_s for delay_s in delays_s if isfinite(delay_s)]
--- a/scale/slopes.py
+++ b/scale/slopes.py
@@ -1,4 +1,4 @@
-"""The measurements of slopes: what each role's cost grows by, size by size."""
+"""All measurements of slopes: how the cost of each role grows with a size."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
     "rate": measure_by_request_rate,
     "reals": measure_by_gateway_count,
 }
-"""All measurements by the names that the command line uses, in the order in which they are made."""
+"""All measurements by their names on the command line, in the order of execution."""
 
 
 def count_steps(config: Config, names: Sequence[str]) -> int:
-    """Return how many steps these measurements report."""
+    """Return the number of steps that these measurements report."""
     slopes = config.slopes
     steps = {
         "list": len(slopes.lists),
--- a/scale/stubs/__init__.py
+++ b/scale/stubs/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for discovery and servers."""
+"""Stubs of discovery and servers."""
--- a/scale/stubs/churn.py
+++ b/scale/stubs/churn.py
@@ -1,4 +1,4 @@
-"""A day's churn of servers, drawn from a seed."""
+"""Random churn of servers over a day, reproducible by its seed."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 class ChurnEvent(NamedTuple):
-    """Something that happens to a server.
+    """A change, restart or failure of one server.
 
     Attributes:
-        at_s: When, in seconds from the start of the run.
-        kind: What happens.
-        draw: A number from 0 to below 1 that picks the server.
+        at_s: Time of the event, in seconds from the start of churn.
+        kind: Kind of event.
+        draw: Random number of at least 0 and below 1 that selects the server.
     """
 
     at_s: float
@@ -27,7 +27,7 @@
 
 
 def churn_events(seed: int, churn: Churn, seconds: float) -> list[ChurnEvent]:
-    """Draw the events of so many seconds of a run, in order; the same seed gives the same events."""
+    """Return the events of this number of seconds in order; the same seed gives the same events."""
     source = random.Random(f"churn {seed}")
     events = []
     kinds: tuple[tuple[ChurnKind, float], ...] = (
--- a/scale/stubs/discovery.py
+++ b/scale/stubs/discovery.py
@@ -1,4 +1,4 @@
-"""A stub of the discovery service, written from PROTOCOL: complete lists, watches, versions and faults."""
+"""Stub of the discovery service as PROTOCOL describes it: complete lists, watches, versions and faults."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 from scale.stubs.endpoint_catalog import make_endpoints
 
 LISTEN_BACKLOG = 4_096
-"""Connections that may wait to be accepted: a whole fleet may come back at once."""
+"""Maximum number of connections not accepted yet: a whole fleet may reconnect at the same time."""
 
 
 class DiscoveryStub:
-    """Discovery as gateways see it; a child's role whose methods are the run's commands.
+    """Role of a child process that stands in for discovery; the run calls its public methods.
 
     Args:
-        seed: The seed of the endpoints' names.
-        servers: How many endpoints are listed.
-        ports: The ports that they share.
-        zone_count: How many zones they are spread over.
+        seed: Seed of the endpoints' names.
+        servers: Number of listed endpoints.
+        ports: Ports that the endpoints share.
+        zone_count: Number of zones that the endpoints are spread over.
     """
 
     def __init__(self, seed: int, servers: int, ports: list[int], zone_count: int) -> None:
@@ -45,7 +45,10 @@
         return int(self._server.sockets[0].getsockname()[1])
 
     async def resize(self, servers: int) -> EndpointListInfo:
-        """Publish another list of so many endpoints; all watches end and get it complete when they return."""
+        """Publish a new list with this number of endpoints.
+
+        All watches are dropped and get the complete list when they are opened again.
+        """
         self.state.replace_all(make_endpoints(self._seed, servers, self._ports, self._zone_count))
         catalog = self.state.catalog
         return EndpointListInfo(size_bytes=len(catalog.snapshot_line()), version=catalog.version)
@@ -53,7 +56,13 @@
     async def publish_changes(
         self, endpoints: int = 1, versions: int = 1, gap_s: float = 0.02
     ) -> PublishedChanges:
-        """Publish so many versions one by one, each with another weight for so many endpoints."""
+        """Publish versions one by one, each of which changes the weight of several endpoints.
+
+        Args:
+            endpoints: Number of endpoints that each version changes.
+            versions: Number of versions.
+            gap_s: Time after each version.
+        """
         catalog = self.state.catalog
         names = list(catalog.endpoints)
         counts_before = self.state.counts.copy()
@@ -66,14 +75,14 @@
         return PublishedChanges(first_version, catalog.version, sent["change_bytes"])
 
     async def play_fault(self, kind: str, for_s: float = 0.0, zone: str = "") -> FaultVersions:
-        """Play a fault from now until it is over; return the versions before and after."""
+        """Start a fault now and wait until it ends; return the versions before and after it."""
         version_before = self.state.catalog.version
         fault = msgspec.convert({"at_s": 0.0, "kind": kind, "for_s": for_s, "zone": zone}, Fault)
         await self.events.play_fault(fault)
         return FaultVersions(version_before, self.state.catalog.version)
 
     async def play(self, config: dict[str, object], seconds: float) -> dict[str, int]:
-        """Begin the configuration's churn and faults; return the number of churn events by kind."""
+        """Start the churn and faults of a configuration; return the number of churn events by kind."""
         run_config = msgspec.convert(config, Config)
         events = churn_events(run_config.seed, run_config.churn, seconds)
         self.events.start_churn(events, run_config.churn)
@@ -82,7 +91,7 @@
         return dict(Counter(event.kind for event in events))
 
     async def statistics(self) -> DiscoveryStatistics:
-        """Return what was sent so far, and what is listed and watched now."""
+        """Return counts since the start, and the current numbers of listed endpoints and open watches."""
         return DiscoveryStatistics(
             counts=dict(self.state.counts),
             published_s=list(self.state.published_s.items()),
--- a/scale/stubs/discovery_connection.py
+++ b/scale/stubs/discovery_connection.py
@@ -1,4 +1,4 @@
-"""One connection of a gateway to the discovery stub: polls and watches over HTTP (PROTOCOL, Discovery)."""
+"""Connection of a gateway to the discovery stub: polls and watches over HTTP (PROTOCOL, Discovery)."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from scale.stubs.discovery_state import DiscoveryState
 
 HEARTBEAT_S = 2.0
-"""PROTOCOL: as long as nothing changes, an empty line comes every 2 s."""
+"""Heartbeat interval: PROTOCOL requires an empty line every 2 s while nothing changes."""
 
 HEARTBEAT_TOLERANCE_S = 0.01
-"""How much earlier than due a heartbeat may be sent, as timers are not exact."""
+"""Maximum time that a heartbeat may be early, because timers are not exact."""
 
 MINIMUM_TIMER_S = 0.1
-"""The shortest wait until the next look for a due heartbeat, while heartbeats are held back."""
+"""Minimum interval between checks for a due heartbeat while heartbeats can't be sent."""
 
 HEARTBEAT_CHUNK = b"1\r\n\n\r\n"
 RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
@@ -27,7 +27,7 @@
 
 
 class DiscoveryConnection(asyncio.Protocol):
-    """A connection that polls the complete list, or holds a watch open."""
+    """A connection that requests the complete list or a watch."""
 
     def __init__(self, state: DiscoveryState) -> None:
         self.is_waiting = False
@@ -47,7 +47,7 @@
         self._state.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - asyncio.Protocol's signature
-        """Remove the connection and its heartbeat."""
+        """Unregister the connection and cancel its heartbeat."""
         self._state.connections.discard(self)
         self._state.counts["ended"] += self.is_watching
         self.is_watching = False
@@ -55,33 +55,33 @@
             self._heartbeat_timer.cancel()
 
     def pause_writing(self) -> None:
-        """Hold updates back until the gateway reads on."""
+        """Pause updates until the gateway reads again."""
         self._is_paused = True
 
     def resume_writing(self) -> None:
-        """Send the updates that were held back."""
+        """Send the update that is due since the pause."""
         self._is_paused = False
         self.send_update()
 
     def data_received(self, data: bytes) -> None:
-        """Parse the gateway's calls."""
+        """Parse HTTP requests of the gateway."""
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
             self.abort()
 
     def on_url(self, url: bytes) -> None:
-        """Take a part of the URL from the parser."""
+        """Append a part of the URL; called by the parser."""
         self._url += url.decode("latin-1")
 
     def on_message_complete(self) -> None:
-        """Take the end of a call from the parser."""
+        """Answer the complete request; called by the parser."""
         self._state.counts["calls"] += 1
         self.is_waiting = True
         self.reply()
 
     def reply(self) -> None:
-        """Answer the call that is waiting, unless discovery is silent: then once the silence is over."""
+        """Answer the waiting request; while discovery is silent, leave it waiting."""
         if not self._transport or self._state.is_silent:
             return
         self.is_waiting = False
@@ -110,7 +110,7 @@
         self._heartbeat()
 
     def send_update(self) -> None:
-        """Bring a watch up to date; one whose gateway does not read on is updated when it does."""
+        """Send an outdated watch the latest version; a paused watch gets it when the gateway reads again."""
         is_outdated = self.is_watching and self._sent_version != self._state.catalog.version
         if is_outdated and self._transport and not self._is_paused and not self._state.is_silent:
             self._send_chunk(self._transport, "change")
@@ -124,7 +124,7 @@
         transport.write(chunk)
 
     def _heartbeat(self) -> None:
-        """Send an empty line if nothing was sent for so long, and look again when the next one is due."""
+        """Send an empty line if nothing was sent for HEARTBEAT_S, and schedule the next check."""
         now_s = time.monotonic()
         is_due = now_s - self._written_s >= HEARTBEAT_S - HEARTBEAT_TOLERANCE_S
         if is_due and not self._state.is_silent and not self._is_paused and self._transport:
--- a/scale/stubs/discovery_events.py
+++ b/scale/stubs/discovery_events.py
@@ -1,4 +1,4 @@
-"""Plays churn and faults on a discovery stub."""
+"""Applies churn and faults to a discovery stub."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 from scale.stubs.endpoint_catalog import ListedEndpoint
 
 DRAIN_S = 1.0
-"""How long an endpoint that restarts is listed as Terminating."""
+"""Time that a restarting endpoint is listed as Terminating."""
 
 WEIGHT_STEPS = 9
-"""Different weights that an endpoint can be given."""
+"""Number of different weights that a change can set."""
 
 
 def with_new_weight(endpoint: ListedEndpoint, step: float) -> ListedEndpoint:
@@ -30,7 +30,7 @@
 
 
 class DiscoveryEvents:
-    """Plays churn and faults, each as a task of its own."""
+    """Applies churn and faults to the shared state, each in a separate task."""
 
     def __init__(self, state: DiscoveryState) -> None:
         self._state = state
@@ -38,11 +38,11 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def start_churn(self, events: list[ChurnEvent], churn: Churn) -> None:
-        """Begin to play these events."""
+        """Start a task that applies these events at their times."""
         self._start(self._play_churn(events, churn), "churn")
 
     def start_fault(self, fault: Fault) -> None:
-        """Begin to wait for the fault's time and play it."""
+        """Start a task that injects the fault at its time."""
         self._start(self.play_fault(fault), f"fault {fault.kind}")
 
     def _start(self, coroutine: Coroutine[None, None, None], name: str) -> None:
@@ -66,7 +66,7 @@
                 self._start(self._play_restart(endpoint, has_failed, churn.down_s), event.kind)
 
     async def _play_restart(self, endpoint: ListedEndpoint, has_failed: bool, down_s: float) -> None:
-        """Restart an endpoint after draining it, or replace one that has failed by another name."""
+        """Drain and restart an endpoint, or replace a failed one by an endpoint with a new name."""
         if not has_failed:
             self._state.publish([msgspec.structs.replace(endpoint, lifecycle="Terminating")])
             await asyncio.sleep(DRAIN_S)
@@ -79,7 +79,7 @@
         self._state.publish([_just_started(msgspec.structs.replace(endpoint, instance_id=name))])
 
     async def play_fault(self, fault: Fault) -> None:
-        """Wait for the fault's time, play it, and return once it is over."""
+        """Wait for the fault's time, inject it, and return when it has ended."""
         await asyncio.sleep(fault.at_s)
         match fault.kind:
             case "drop_watches":
--- a/scale/stubs/discovery_state.py
+++ b/scale/stubs/discovery_state.py
@@ -1,4 +1,4 @@
-"""What the discovery stub's connections share: the catalog, the active faults and the statistics."""
+"""State shared by the discovery stub's connections: the catalog, the active faults and the statistics."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 
 class Subscriber(Protocol):
-    """A connection as the shared state sees it."""
+    """Interface of a connection for the shared state."""
 
     is_waiting: bool
-    """Whether a call came that is not answered yet."""
+    """Whether a request has not been answered yet."""
 
     is_watching: bool
-    """Whether it holds a watch open."""
+    """Whether the connection has an open watch."""
 
     def reply(self) -> None:
-        """Answer the call that is waiting."""
+        """Answer the waiting request."""
 
     def send_update(self) -> None:
-        """Send what the watch has not been sent yet."""
+        """Send the changes that the watch does not have yet."""
 
     def abort(self) -> None:
         """Close the connection at once."""
@@ -33,12 +33,12 @@
     """The catalog, the connections, the faults and the statistics of a discovery stub.
 
     Attributes:
-        catalog: The endpoints that are listed.
+        catalog: Listed endpoints.
         connections: All open connections.
-        is_silent: Whether discovery sends nothing.
-        is_refusing: Whether discovery answers 503.
+        is_silent: Whether discovery sends nothing at present.
+        is_refusing: Whether discovery answers every request with 503 at present.
         counts: Bytes and lines by kind, calls, and watches begun and ended.
-        published_s: When each version could first be read, on the monotonic clock.
+        published_s: Time of each version's publication, on the monotonic clock.
     """
 
     def __init__(self, endpoints: Iterable[ListedEndpoint]) -> None:
@@ -52,10 +52,10 @@
         self._chunks_version = -1
 
     def chunk_after(self, version: int | None) -> bytes:
-        """Return what a watch with this version is sent, as an HTTP chunk.
+        """Return the HTTP chunk that brings a watch with this version up to date.
 
-        The chunk is made once for all watches with that version: thousands of copies of the list would not
-        fit into memory.
+        All watches with the same version share one chunk: thousands of copies of the list would not fit into
+        memory.
         """
         if self._chunks_version != self.catalog.version:
             self._chunks = {}
@@ -66,25 +66,25 @@
         return self._chunks[version]
 
     def publish(self, changed: Iterable[ListedEndpoint]) -> int:
-        """Publish a version with these changes to all watches at once; return its number."""
+        """Publish a version with these changes to all watches and return its number."""
         version = self.catalog.update(changed)
         self.published_s[version] = time.monotonic()
         self.notify_watches()
         return version
 
     def replace_all(self, endpoints: Iterable[ListedEndpoint]) -> None:
-        """Publish another list; all watches end and get it complete when they come back."""
+        """Publish a new list and drop all watches, which get the complete list when opened again."""
         self.catalog.replace(endpoints)
         self.published_s[self.catalog.version] = time.monotonic()
         self.drop_watches()
 
     def notify_watches(self) -> None:
-        """Send every watch what it has not been sent yet."""
+        """Send every watch the changes that it does not have yet."""
         for connection in tuple(self.connections):
             connection.send_update()
 
     def end_silence(self) -> None:
-        """Answer what came during the silence and bring all watches up to date."""
+        """End the silence: answer waiting requests and bring all watches up to date."""
         self.is_silent = False
         for connection in tuple(self.connections):
             if connection.is_waiting:
@@ -92,7 +92,7 @@
         self.notify_watches()
 
     def drop_watches(self) -> None:
-        """End all watches at once."""
+        """Abort the connections of all watches."""
         for connection in tuple(self.connections):
             if connection.is_watching:
                 connection.abort()
--- a/scale/stubs/endpoint_catalog.py
+++ b/scale/stubs/endpoint_catalog.py
@@ -1,4 +1,4 @@
-"""The endpoints that discovery lists, their versions and recent changes, as discovery encodes them."""
+"""Endpoints that discovery lists, with their version and recent changes, encoded as lines of JSON."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from scale.config import zone_names
 
 HISTORY_VERSIONS = 20_000
-"""Versions that a watch can resume from; one that is older gets the complete list."""
+"""Number of versions that a watch can resume from; a watch with an older one gets the complete list."""
 
 ENDPOINTS_PER_CELL = 40
 
@@ -21,14 +21,14 @@
     """An endpoint as discovery lists it (PROTOCOL, Discovery).
 
     Attributes:
-        instance_id: The endpoint's name.
-        host_port: Its address.
-        zone: Its zone.
-        machine_type: Its type of machine.
-        cell: The number of its cell.
-        lifecycle: Its state; ``Gone`` removes it from the list.
-        weight: Its weight.
-        started_at_ms: When it started, in Unix time; 0 if long ago.
+        instance_id: Name of the endpoint.
+        host_port: Address of the endpoint.
+        zone: Zone of the endpoint.
+        machine_type: Type of the endpoint's machine.
+        cell: Number of the endpoint's cell.
+        lifecycle: State of the endpoint; ``Gone`` removes it from the list.
+        weight: Weight of the endpoint.
+        started_at_ms: Start of the endpoint in Unix time; 0 if it was long ago.
     """
 
     instance_id: str
@@ -42,7 +42,7 @@
 
 
 def make_endpoints(seed: int, number: int, ports: Iterable[int], zone_count: int) -> list[ListedEndpoint]:
-    """Make so many endpoints, spread over the zones and these ports; the same seed gives the same ones."""
+    """Return this number of endpoints, spread over zones and ports; the same seed gives the same ones."""
     source = random.Random(f"rows {seed}")
     zones = zone_names(zone_count)
     shared_ports = list(ports)
@@ -62,11 +62,11 @@
 
 
 class EndpointCatalog:
-    """What discovery knows: the endpoints by name, their version, and what changed with recent versions.
+    """The listed endpoints by name, their version, and the changes of recent versions.
 
     Args:
-        endpoints: The endpoints of the first version.
-        version: The first version.
+        endpoints: Endpoints of the first version.
+        version: Number of the first version.
     """
 
     def __init__(self, endpoints: Iterable[ListedEndpoint], version: int = 1) -> None:
@@ -80,7 +80,7 @@
         self._store(endpoints)
 
     def _store(self, changed: Iterable[ListedEndpoint]) -> dict[str, bytes]:
-        """Store these endpoints and return their encoded forms by name."""
+        """Add, update or remove these endpoints; return their encoded forms by name."""
         encoded_changes = {}
         for endpoint in changed:
             encoded = msgspec.json.encode(endpoint)
@@ -102,7 +102,7 @@
         return self.version
 
     def replace(self, endpoints: Iterable[ListedEndpoint]) -> None:
-        """Replace the whole list by a version that no watch can resume to: each gets the complete list."""
+        """Replace the whole list; watches can't resume from earlier versions and get the complete list."""
         self.endpoints.clear()
         self._encoded.clear()
         self._history.clear()
--- a/scale/stubs/servers.py
+++ b/scale/stubs/servers.py
@@ -1,4 +1,4 @@
-"""Stub servers, written from PROTOCOL: RESP2, many in one process, each with a port of its own."""
+"""Stub servers that speak RESP2 as PROTOCOL describes it: many in one process, each with its own port."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from scale.messages import ServerStatistics
 
 MAXIMUM_IN_FLIGHT = 200
-"""Requests that one server works on at a time; it rejects more."""
+"""Maximum number of requests in flight at one server; further ones are rejected."""
 
 SERVICE_TIME_SIGMA = 0.3
 """Standard deviation of the logarithm of a request's service time."""
 
 WORDS_BY_COMMAND = {b"CALL.GET": 4, b"CALL.POST": 5}
-"""The number of words of each command, with its name."""
+"""Number of words of each command, including its name."""
 
 
 def encode_reply(value: bytes, usage: bytes | None, load_report: bytes | None) -> bytes:
-    """Encode a successful reply: the value, the usage report or null, the load report or null."""
+    """Encode a successful reply from its value, usage report and load report; a missing report is null."""
     parts = (
         b"$-1\r\n" if part is None else b"$%d\r\n%b\r\n" % (len(part), part)
         for part in (value, usage, load_report)
@@ -31,7 +31,7 @@
 
 
 class ServerStub:
-    """One server's requests in flight, its connections, and its counts."""
+    """One server: its requests in flight, its connections and its statistics."""
 
     def __init__(self, group: ServerStubs) -> None:
         self.group = group
@@ -42,18 +42,18 @@
         self.rejected = 0
 
     def load_report(self) -> bytes:
-        """Return its load, with the fields that the gateways' settings name."""
+        """Return the load report, with the fields that the gateways' settings name."""
         return b"util=%.2f,queue=0" % (self.in_flight / MAXIMUM_IN_FLIGHT)
 
 
 class ServerConnection(asyncio.Protocol):
-    """One connection. Commands are begun as they come and answered in order."""
+    """A connection whose commands start on arrival and are answered in order."""
 
     def __init__(self, server: ServerStub) -> None:
         self._server = server
         self._parser = hiredis.Reader()
-        self._replies: deque[bytes | None] = deque()  # None: not ready yet
-        self._first_number = 0  # of the oldest of them
+        self._replies: deque[bytes | None] = deque()  # None stands for a reply that is not ready yet.
+        self._first_number = 0  # Number of the oldest reply in the queue.
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -64,12 +64,12 @@
         self._server.group.opened += 1
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - asyncio.Protocol's signature
-        """Count the connection no more."""
+        """Remove the connection from the count of open connections."""
         self._server.connections -= 1
         self._transport = None
 
     def data_received(self, data: bytes) -> None:
-        """Begin the commands that are complete; a malformed one ends the connection."""
+        """Start the commands that are complete; a malformed one closes the connection."""
         self._parser.feed(data)
         try:
             while (words := self._parser.gets()) is not False:
@@ -102,7 +102,7 @@
         self._finish(number, encode_reply(value, None, self._server.load_report()))
 
     def _finish(self, number: int, reply: bytes) -> None:
-        """Note a reply, and write all that are ready in order."""
+        """Store a reply, then write all replies that are next in order and ready."""
         self._replies[number - self._first_number] = reply
         while self._replies and (ready := self._replies[0]) is not None:
             self._replies.popleft()
@@ -112,15 +112,15 @@
 
 
 class ServerStubs:
-    """Many servers in one process; a child's role whose methods are the run's commands.
+    """Role of a child process that runs many stub servers; the run calls its public methods.
 
     Args:
-        seed: The seed of service times.
-        number: How many servers there are.
-        service_ms: The mean service time.
+        seed: Seed of the service times.
+        number: Number of servers.
+        service_ms: Mean service time.
 
     Attributes:
-        opened: Connections that were opened since the last reset.
+        opened: Number of connections opened since the last reset.
     """
 
     def __init__(self, seed: int, number: int, service_ms: float) -> None:
@@ -130,7 +130,7 @@
         self._servers = [ServerStub(self) for _ in range(number)]
 
     def draw_service_s(self) -> float:
-        """Draw a request's service time from a log-normal distribution about the mean."""
+        """Draw a request's service time from a log-normal distribution with the configured mean."""
         mu = -SERVICE_TIME_SIGMA * SERVICE_TIME_SIGMA / 2.0
         return self._mean_service_s * self._random.lognormvariate(mu, SERVICE_TIME_SIGMA)
 
@@ -148,7 +148,7 @@
         return ports
 
     async def statistics(self) -> ServerStatistics:
-        """Return connections and requests over all servers, and of the busiest one."""
+        """Return the counts of connections and requests over all servers, and the maxima of one server."""
         return ServerStatistics(
             connections=sum(server.connections for server in self._servers),
             opened=self.opened,
@@ -160,7 +160,7 @@
         )
 
     async def reset_statistics(self) -> None:
-        """Count anew from here; connections that are open stay counted."""
+        """Reset all counts; connections that are open stay counted."""
         self.opened = 0
         for server in self._servers:
             server.most_connections = server.connections
--- a/scale/testbed.py
+++ b/scale/testbed.py
@@ -1,4 +1,4 @@
-"""The processes that measurements share: servers and load once, discovery and gateways anew for each size."""
+"""Starts the processes of measurements: shared servers and load, and discovery and gateways for each size."""
 
 from __future__ import annotations
 
@@ -23,27 +23,27 @@
 ReportStep = Callable[[str], None]
 
 UPDATE_TIMEOUT_S = 60.0
-"""Time for a list or a change to be in force at all hollow gateways."""
+"""Maximum time until a list or a change is in force at all hollow gateways."""
 
 LOAD_GRACE_S = 30.0
-"""Time for a phase of load beyond its length and its requests' timeout."""
+"""Additional time for a phase of load, beyond its length and its requests' timeout."""
 
 
 class Testbed:
     """Starts the processes that measurements need.
 
     Args:
-        config: The run's configuration.
-        supervisor: The run's children.
-        measurements: What the run measures.
-        report_step: Called with a description as each step begins.
+        config: Configuration of the run.
+        supervisor: Supervisor of the run's child processes.
+        measurements: Log that measurements are recorded in.
+        report_step: Function called with a description at the start of each step.
 
     Attributes:
-        config: The run's configuration.
-        supervisor: The run's children.
-        measurements: What the run measures.
-        report_step: Called with a description as each step begins.
-        server_ports: The port of each stub server.
+        config: Configuration of the run.
+        supervisor: Supervisor of the run's child processes.
+        measurements: Log that measurements are recorded in.
+        report_step: Function called with a description at the start of each step.
+        server_ports: Ports of the stub servers.
     """
 
     def __init__(
@@ -62,7 +62,7 @@
         self.server_ports: list[int] = []
 
     async def start(self) -> None:
-        """Start the servers and the load generator."""
+        """Start the stub servers and the shared load generator."""
         self.servers, self.server_ports = await self.supervisor.start_role(
             "servers",
             list[int],
@@ -85,7 +85,7 @@
         return load
 
     async def start_discovery(self, servers: int) -> tuple[RoleProcess, int]:
-        """Start a discovery that lists so many servers; return its process and its port."""
+        """Start a discovery stub that lists this number of servers; return its process and its port."""
         return await self.supervisor.start_role(
             "discovery",
             int,
@@ -96,7 +96,7 @@
         )
 
     async def start_gateway(self, discovery_port: int, servers: int, number: int = 0) -> RealGateway:
-        """Start a real gateway with settings for so many servers, and wait until it is ready and settled."""
+        """Start a real gateway with settings for this number of servers; wait until it is settled."""
         gateways = self.config.fleet.gateways_in_settings(servers)
         gateway = await start_gateway(self.supervisor, number, gateways, discovery_port, self.config.seed)
         await gateway.wait_until_ready()
@@ -104,7 +104,14 @@
         return gateway
 
     async def start_hollow_gateways(self, servers: int, first: int, number: int, kind: str) -> RoleProcess:
-        """Start a process of hollow gateways with settings for so many servers, without their watches."""
+        """Start a process with hollow gateways whose watches are not open yet.
+
+        Args:
+            servers: Number of servers that the settings are made for.
+            first: Index of the first gateway.
+            number: Number of gateways.
+            kind: Kind of gateway, as in `Fleet.hollow_kind`.
+        """
         gateways = self.config.fleet.gateways_in_settings(servers)
         hollow, _ = await self.supervisor.start_role(
             "hollow",
@@ -118,7 +125,7 @@
         return hollow
 
     async def start_hollow_fleet(self, discovery_port: int, number: int) -> list[RoleProcess]:
-        """Start so many hollow gateways over several processes, and wait until all have a list."""
+        """Start this number of hollow gateways in several processes, and wait until all have a list."""
         fleet = self.config.fleet
         processes = []
         for first in range(0, number, fleet.hollow_per_process):
@@ -131,7 +138,7 @@
         return processes
 
     async def await_version(self, processes: Sequence[RoleProcess], version: int) -> None:
-        """Wait until all hollow gateways have this version, or UPDATE_TIMEOUT_S is over."""
+        """Wait until all hollow gateways have this version, for at most UPDATE_TIMEOUT_S."""
         await asyncio.gather(
             *(
                 process.call("await_version", UpdateCoverage, version=version, within_s=UPDATE_TIMEOUT_S)
@@ -140,22 +147,22 @@
         )
 
     async def publish_changes(self, discovery: RoleProcess, versions: int, gap_s: float) -> PublishedChanges:
-        """Publish so many versions of one endpoint each.
+        """Publish this number of versions, each of which changes one endpoint.
 
         Raises:
-            ChildError: No watch was open to be sent them.
+            ChildError: No watch was open to receive the changes.
         """
         changes = await discovery.call("publish_changes", PublishedChanges, versions=versions, gap_s=gap_s)
         if not changes.sent_bytes:
-            raise ChildError(f"{discovery.name}: no watch was sent the changes")
+            raise ChildError(f"{discovery.name}: no open watch received the changes")
         return changes
 
     async def discovery_statistics(self, discovery: RoleProcess) -> DiscoveryStatistics:
-        """Return what discovery has sent so far."""
+        """Return the statistics of discovery since its start."""
         return await discovery.call("statistics", DiscoveryStatistics)
 
     async def server_statistics(self) -> ServerStatistics:
-        """Return what the servers have seen since the last reset."""
+        """Return the statistics of the servers since the last reset."""
         return await self.servers.call("statistics", ServerStatistics)
 
     async def run_load(
@@ -169,11 +176,11 @@
         """Run one phase of load.
 
         Args:
-            label: What the phase's statistics are added to.
-            ports: The ports that requests are sent to.
-            seed: The seed of the phase.
-            rate: Requests a second.
-            generator: The load generator, if not the shared one.
+            label: Label whose totals the phase is added to.
+            ports: Ports that requests are sent to.
+            seed: Seed of the phase.
+            rate: Requests per second.
+            generator: Load generator to use; None for the shared one.
         """
         load = self.config.load
         return await (generator or self.load).call(
