--- a/scale/fleet/__init__.py
+++ b/scale/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The gateways under test: real processes and hollow ones."""
+"""The gateways under test: real processes and hollow gateways."""
--- a/scale/fleet/gateway_settings.py
+++ b/scale/fleet/gateway_settings.py
@@ -1,4 +1,4 @@
-"""The settings that all gateways of a run are given, in the form that DEPLOY gives."""
+"""Settings of all gateways of a run, in the format that DEPLOY documents."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def _request_class(number: int) -> dict[str, Any]:
-    """Return a class of idempotent requests."""
+    """Return the settings of a class of idempotent requests."""
     return {
         "name": f"class-{number}",
         "slo_ms": 500.0,
@@ -49,7 +49,7 @@
 
 
 def _plan(quota: float) -> dict[str, Any]:
-    """Return a plan with a quota of so many units a second, which is its burst too; 0 for none."""
+    """Return a plan with a quota in units per second, which is its burst too; 0 for no quota."""
     return {
         "name": "plan",
         "refill": quota,
@@ -70,11 +70,11 @@
     """Return the settings object of one gateway (DEPLOY).
 
     Args:
-        gateways: How many gateways there are.
-        index: The gateway's index among them.
-        zone: The gateway's zone.
-        classes: How many classes of idempotent requests there are.
-        quota: Units a second of the one plan; 0 for a plan without a quota.
+        gateways: Number of gateways.
+        index: Index of this gateway.
+        zone: Zone of this gateway.
+        classes: Number of classes of idempotent requests.
+        quota: Quota of the only plan, in units per second; 0 for no quota.
     """
     return {
         "balancers": gateways,
--- a/scale/fleet/gateways.py
+++ b/scale/fleet/gateways.py
@@ -1,4 +1,4 @@
-"""Real gateways, started by ``run`` of deploy/balancer.toml."""
+"""Real gateways, started with the ``run`` command of deploy/balancer.toml."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 
 MEMORY_MB = 192
 DESCRIPTORS = 1024
-"""DEPLOY: the most memory and descriptors that a gateway has on the scored days."""
+"""Limits of memory and file descriptors that a gateway has on the scored days (DEPLOY)."""
 
 SETTLED_INTERVAL_S = 0.6
 SETTLED_CPU_S = 0.015
-"""Processor time within the interval up to which a gateway is taken to have read all it was sent."""
+"""A gateway that uses at most this processor time in an interval counts as having read all its input."""
 
 SETTLED_TIMEOUT_S = 30.0
 
 
 def gateway_command() -> str:
-    """Return the deploy file's ``run``, with this interpreter where its environment is not built."""
+    """Return the deploy file's ``run`` command, with this interpreter if its environment does not exist."""
     run = str(tomllib.loads((REPOSITORY / "deploy" / "balancer.toml").read_text())["run"])
     is_built = (REPOSITORY / ".venv" / "bin" / "python").exists()
     return run if is_built else run.replace(".venv/bin/python", sys.executable)
@@ -42,11 +42,11 @@
 
 
 class RealGateway:
-    """A real gateway.
+    """A real gateway in a process of its own.
 
     Attributes:
-        process: Its process.
-        port: The port that clients connect to.
+        process: Process of the gateway.
+        port: Port that clients connect to.
     """
 
     def __init__(self, process: ChildProcess, port: int, log_path: Path) -> None:
@@ -55,10 +55,10 @@
         self._log_path = log_path
 
     async def wait_until_ready(self) -> float:
-        """Wait until it answers PING; return the seconds that took.
+        """Wait until the gateway answers PING; return the waiting time in seconds.
 
         Raises:
-            ChildError: It is not ready after READY_TIMEOUT_S.
+            ChildError: The gateway is not ready after READY_TIMEOUT_S.
         """
         start_s = time.monotonic()
         while not await self._answers_ping():
@@ -78,7 +78,7 @@
         return reply == b"+PONG\r\n"
 
     async def wait_until_settled(self) -> None:
-        """Wait until it takes next to no processor time: there is no other sign that it has read a list."""
+        """Wait until the gateway uses little processor time: nothing else shows that it has read a list."""
         until_s = time.monotonic() + SETTLED_TIMEOUT_S
         cpu_s = self.process.usage().cpu_s
         while time.monotonic() < until_s:
@@ -89,21 +89,21 @@
                 return
 
     def count_in_log(self, text: str) -> int:
-        """Return how often its log contains this text."""
+        """Return the number of occurrences of a text in the gateway's log."""
         return self._log_path.read_text(errors="replace").count(text)
 
 
 async def start_gateway(
     supervisor: Supervisor, number: int, gateways: int, discovery_port: int, seed: int
 ) -> RealGateway:
-    """Start one more real gateway, which knows no servers but those that discovery lists.
+    """Start a real gateway that knows only the servers that discovery lists.
 
     Args:
-        supervisor: The run's children.
-        number: The gateway's number among those of the measurement.
-        gateways: How many gateways its settings name.
-        discovery_port: The port of discovery.
-        seed: The run's seed.
+        supervisor: Supervisor of the run's child processes.
+        number: Number of the gateway within the measurement.
+        gateways: Number of gateways in its settings.
+        discovery_port: Port of discovery.
+        seed: Seed of the run.
     """
     name = f"gateway-{supervisor.program_count}"
     port = _free_port()
@@ -123,7 +123,7 @@
 
 
 def _write_environment(folder: Path, config: dict[str, Any]) -> dict[str, str]:
-    """Write a gateway's configuration file and make its temporary folder; return its environment."""
+    """Write a gateway's configuration file and create its temporary folder; return its environment."""
     config_path = folder / "config.json"
     config_path.write_text(json.dumps(config))
     temporary_folder = folder / "tmp"
--- a/scale/fleet/hollow.py
+++ b/scale/fleet/hollow.py
@@ -1,4 +1,4 @@
-"""Hollow gateways: the watch and the policy engine of a real gateway without clients, many to a process."""
+"""Hollow gateways: the watch and policy engine of a gateway without client sockets, many per process."""
 
 from __future__ import annotations
 
@@ -29,22 +29,22 @@
 TIMEOUT_MS = 2_000.0
 
 MAXIMUM_UPSTREAM_CONNECTIONS = 64
-"""Upstream connections of each hollow gateway: many gateways share the descriptors of one process."""
+"""Maximum upstream connections per hollow gateway: many gateways share one process's file descriptors."""
 
 MAXIMUM_BUFFERED_BYTES = 1 << 20
 
 WATCH_START_GAP_S = 0.002
-"""Time between two gateways that open their watches."""
+"""Time between the openings of two gateways' watches."""
 
 UPDATE_POLL_S = 0.05
 
 
 def _ignore(*_: object) -> None:
-    """Ignore a notification that a hollow gateway has no use for."""
+    """Ignore a notification that hollow gateways do not need."""
 
 
 class VersionOnlyRegistry(EndpointRegistry):
-    """A registry that keeps no endpoints, for gateways that only hold the watch open."""
+    """A registry that stores no endpoints, for gateways that only keep a watch open."""
 
     def read(  # noqa: D102 - documented by EndpointRegistry
         self,
@@ -59,13 +59,13 @@
     """One hollow gateway.
 
     Args:
-        settings: The gateway's settings; None for a gateway that only holds the watch open.
-        seed: The seed of its random numbers.
+        settings: Settings of the gateway; None for a gateway that only keeps a watch open.
+        seed: Seed of the gateway's random numbers.
 
     Attributes:
-        driver: Its driver, if it has settings.
-        discovery: Its discovery client.
-        received: Each version and when it was in force, on the monotonic clock.
+        driver: Driver of the policy engine; None without settings.
+        discovery: Discovery client of the gateway.
+        received: Versions and the time when each came into force, on the monotonic clock.
     """
 
     def __init__(self, settings: model.Settings | None, seed: int) -> None:
@@ -91,14 +91,14 @@
 
 
 class HollowGateways:
-    """Many hollow gateways; a child's role whose methods are the run's commands.
+    """Role of a child process that runs many hollow gateways; the run calls its public methods.
 
     Args:
-        document: The settings, as a gateway is given them.
-        kind: ``gateway``, or ``watch`` for gateways that only hold the watch open.
-        first: The index of the first gateway.
-        number: How many gateways there are.
-        zone_count: How many zones they are spread over.
+        document: Settings in the form that gateways read.
+        kind: ``gateway``, or ``watch`` for gateways that only keep a watch open.
+        first: Index of the first gateway.
+        number: Number of gateways.
+        zone_count: Number of zones that the gateways are spread over.
     """
 
     def __init__(self, document: dict[str, Any], kind: str, first: int, number: int, zone_count: int) -> None:
@@ -111,16 +111,16 @@
         self._probe = LoopProbe()
 
     async def start(self) -> None:
-        """Do nothing: there is nothing to listen on."""
+        """Do nothing: this role does not listen on a port."""
 
     async def open_watches(self, port: int) -> None:
-        """Open all watches on discovery at this port, a little apart."""
+        """Open the watches of all gateways at this port of discovery, WATCH_START_GAP_S apart."""
         for gateway in self._gateways:
             gateway.discovery.watch(("127.0.0.1", port))
             await asyncio.sleep(WATCH_START_GAP_S)
 
     async def await_version(self, version: int, within_s: float) -> UpdateCoverage:
-        """Wait until all gateways have this version or a later one, or the time is over."""
+        """Wait until all gateways have this version or a later one, for at most ``within_s``."""
         until_s = time.monotonic() + within_s
         total = len(self._gateways)
         updated = self._count_with_version(version)
@@ -133,7 +133,10 @@
         return sum(gateway.has_version(version) for gateway in self._gateways)
 
     async def take_received(self) -> list[list[tuple[int, float]]]:
-        """Return for each gateway the versions since the last call, and when each was in force."""
+        """Return the versions of each gateway since the last call, with the time when each came into force.
+
+        The latest version of the previous call is returned again as the first one.
+        """
         received = [gateway.received for gateway in self._gateways]
         for gateway in self._gateways:
             gateway.received = gateway.received[-1:]
@@ -142,17 +145,17 @@
     async def run_load(
         self, rate: float, seconds: float, seed: int, tenants: int, skew: float
     ) -> dict[str, int]:
-        """Submit requests without clients' sockets, each at a gateway chosen at random.
+        """Submit requests without client sockets, each to a randomly chosen gateway.
 
         Args:
-            rate: Requests a second at each gateway.
-            seconds: How long to submit for.
-            seed: The seed of arrivals and of the choice of gateways.
-            tenants: How many customers there are.
-            skew: The exponent of the Zipf distribution over the customers.
+            rate: Mean requests per second at each gateway.
+            seconds: Duration of the load.
+            seed: Seed of arrivals and of the choice of gateways.
+            tenants: Number of customers.
+            skew: Exponent of the Zipf distribution over the customers.
 
         Returns:
-            The number of requests by outcome.
+            Number of requests by outcome.
         """
         replies: Counter[str] = Counter()
         source = random.Random(f"hollow {seed}")
@@ -167,7 +170,7 @@
 
     @staticmethod
     def _submit(driver: Driver, request_id: str, customer: int, number: int, replies: Counter[str]) -> None:
-        """Submit a request; the first five bytes of its reply are counted."""
+        """Submit a request and count its reply by the first five bytes."""
         command = encode_request(REQUEST_CLASS, PLAN, TIMEOUT_MS, customer, number, 1)
         active = ActiveRequest(
             request_id,
@@ -178,16 +181,16 @@
         driver.submit(active, request, TIMEOUT_MS)
 
     async def begin_probe(self) -> None:
-        """Measure the loop's stalls from now on."""
+        """Start measuring the event loop's stalls."""
         self._probe.begin()
 
     async def end_probe(self) -> LoopStalls:
-        """Return the longest stalls since then."""
+        """Stop measuring and return the longest stalls since `begin_probe`."""
         return self._probe.end()
 
 
 def _count_outcomes(replies: Counter[str]) -> dict[str, int]:
-    """Count requests by outcome, from the beginnings of their replies."""
+    """Return the number of requests by outcome, derived from the first bytes of their replies."""
     served = sum(number for word, number in replies.items() if word.startswith("$"))
     rejected = replies["-BUSY"]
     return {
--- a/scale/load/__init__.py
+++ b/scale/load/__init__.py
@@ -1,1 +1,1 @@
-"""The load: arrivals, client connections, their statistics."""
+"""The load generator: arrivals, client connections and statistics."""
--- a/scale/load/arrivals.py
+++ b/scale/load/arrivals.py
@@ -1,4 +1,4 @@
-"""Requests of an open-loop load: Poisson arrivals from customers by Zipf, and their form on the wire."""
+"""Requests of an open-loop load: Poisson arrivals of Zipf-distributed customers, and their encoding."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Arrival(NamedTuple):
-    """A request: when it is due, in seconds from the start, and the customer's number from 0."""
+    """A request: its due time in seconds from the start, and its customer's number, counted from 0."""
 
     due_s: float
     customer: int
@@ -23,14 +23,14 @@
     customers: int,
     skew: float,
 ) -> Iterator[Arrival]:
-    """Yield the arrivals of so many seconds; the same seed gives the same arrivals.
+    """Yield the arrivals of a load in order of their times; the same seed gives the same arrivals.
 
     Args:
-        seed: The seed of times and customers.
-        requests_per_s: The mean rate.
-        seconds: How long the load lasts.
-        customers: How many customers there are.
-        skew: The exponent of the Zipf distribution over the customers.
+        seed: Seed of times and customers.
+        requests_per_s: Mean rate.
+        seconds: Duration of the load.
+        customers: Number of customers.
+        skew: Exponent of the Zipf distribution over the customers.
     """
     source = random.Random(f"load {seed}")
     due_s = 0.0
--- a/scale/load/client.py
+++ b/scale/load/client.py
@@ -1,4 +1,4 @@
-"""Load in an open loop: requests are sent when they are due, whatever became of those before."""
+"""Open-loop load generator: requests are sent when they are due, regardless of earlier replies."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 from scale.messages import PhaseReports
 
 SPIN_S = 0.0015
-"""Time before a request is due in which the loop does not sleep: its timers are whole milliseconds."""
+"""Time before a due request in which the event loop doesn't sleep, as its timers are whole milliseconds."""
 
 START_DELAY_S = 0.1
-"""Time before the first request can be due."""
+"""Earliest due time of the first request, after the start of a phase."""
 
 REPLY_GRACE_S = 0.5
-"""Time after the last request's timeout in which a reply still counts."""
+"""Additional time after the last request's timeout in which a reply still counts."""
 
 REPLY_POLL_S = 0.01
 
 
 class LoadGenerator:
-    """Sends load; a child's role whose methods are the run's commands.
+    """Role of a child process that sends load; the run calls its public methods.
 
     Args:
-        plan: The plan of all requests.
-        class_name: The class of all requests.
-        deadline_ms: The timeout of a request.
-        spread: How many gateways share a customer.
+        plan: Plan of all requests.
+        class_name: Class of all requests.
+        deadline_ms: Timeout of a request.
+        spread: Number of gateways that serve the same customer.
     """
 
     def __init__(self, plan: str, class_name: str, deadline_ms: float, spread: int) -> None:
@@ -42,7 +42,7 @@
         self._sent_count = 0
 
     async def start(self) -> None:
-        """Do nothing: there is nothing to listen on."""
+        """Do nothing: this role does not listen on a port."""
 
     async def run(
         self,
@@ -54,19 +54,19 @@
         tenants: int,
         skew: float,
     ) -> PhaseReports:
-        """Send load for so many seconds, each request to one of the ports, then wait for the replies.
+        """Send one phase of load, each request to a randomly chosen port, then wait for the replies.
 
         Args:
-            label: What the phase's statistics are added to.
+            label: Label whose totals the phase is added to.
             ports: Ports on loopback.
-            seed: The seed of arrivals and of the choice of ports.
-            rate: Requests a second.
-            seconds: How long to send for.
-            tenants: How many customers there are.
-            skew: The exponent of the Zipf distribution over the customers.
+            seed: Seed of arrivals and of the choice of ports.
+            rate: Mean requests per second.
+            seconds: Duration of the phase.
+            tenants: Number of customers.
+            skew: Exponent of the Zipf distribution over the customers.
 
         Returns:
-            The report of this phase and that of all phases with this label.
+            Reports on this phase and on all phases with this label so far.
         """
         statistics = LoadStatistics()
         pools = [ConnectionPool(statistics, port) for port in ports]
@@ -85,9 +85,9 @@
         return PhaseReports(statistics.report(), total.report())
 
     async def _await_replies(self, statistics: LoadStatistics) -> None:
-        """Wait until nothing is pending or the last timeout is over; what is pending then has no reply."""
+        """Wait until no request is pending or the last one has timed out; count the rest as unanswered."""
         until_s = time.monotonic() + self._timeout_ms / 1000.0 + REPLY_GRACE_S
-        while statistics.pending and time.monotonic() < until_s:  # noqa: ASYNC110 - no event on each reply's way
+        while statistics.pending and time.monotonic() < until_s:  # noqa: ASYNC110 - an event would cost time per reply
             await asyncio.sleep(REPLY_POLL_S)
         while statistics.pending > 0:
             statistics.record_outcome(LoadOutcome.UNANSWERED)
@@ -97,7 +97,7 @@
         delay_s = due_s - time.monotonic()
         if delay_s > SPIN_S:
             await asyncio.sleep(delay_s - SPIN_S)
-        while time.monotonic() < due_s:  # noqa: ASYNC110 - turns the loop until then, finer than its timers
+        while time.monotonic() < due_s:  # noqa: ASYNC110 - loop timers are too coarse
             await asyncio.sleep(0)
 
     def _encode(self, customer: int) -> bytes:
--- a/scale/load/connections.py
+++ b/scale/load/connections.py
@@ -1,4 +1,4 @@
-"""A client's connections to one address, each with one request at a time."""
+"""Connections of a client to one address, each with one request at a time."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from scale.load.statistics import ErrorReply, LoadOutcome, LoadStatistics
 
 MAXIMUM_CONNECTIONS = 200
-"""Connections to one address; further requests wait for one to become idle."""
+"""Maximum number of connections to one address; further requests wait for an idle connection."""
 
 
 class PendingCommand:
-    """A request that has no reply yet; ``due_s`` on the monotonic clock."""
+    """A request without a reply yet; ``due_s`` is on the monotonic clock."""
 
     __slots__ = ("command", "due_s", "is_retry")
 
@@ -36,21 +36,21 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether requests can be sent on it."""
+        """Whether requests can be sent on the connection."""
         return self._transport is not None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport."""
+        """Store the transport."""
         self._transport = cast(asyncio.Transport, transport)
 
     def send(self, pending: PendingCommand) -> None:
-        """Write a request; the pool gets the reply."""
+        """Write a request, whose reply is passed to the pool."""
         assert self._transport
         self._pending = pending
         self._transport.write(pending.command)
 
     def data_received(self, data: bytes) -> None:
-        """Parse replies."""
+        """Parse replies and pass each to the pool."""
         self._parser.feed(data)
         while (reply := self._parser.gets()) is not False:
             pending = self._pending
@@ -59,7 +59,7 @@
                 self._pool.handle_reply(self, pending, reply)
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - asyncio.Protocol's signature
-        """Hand the request that has no reply back to the pool."""
+        """Tell the pool about the lost connection and its request without a reply, if there is one."""
         pending = self._pending
         self._pending = None
         self._transport = None
@@ -72,7 +72,7 @@
 
 
 class ConnectionPool:
-    """A client's connections to one port on loopback, opened when all others are busy."""
+    """Connections of a client to one port on loopback; a new one is opened if all others are busy."""
 
     def __init__(self, statistics: LoadStatistics, port: int) -> None:
         self._statistics = statistics
@@ -85,7 +85,7 @@
         self._is_closed = False
 
     def submit(self, pending: PendingCommand) -> None:
-        """Send a request on an idle connection, or on a new one, or once one becomes idle."""
+        """Send a request on an idle connection; otherwise queue it and open a connection if allowed."""
         if self._idle:
             self._idle.pop().send(pending)
             return
@@ -117,13 +117,13 @@
             self._idle.append(connection)
 
     def handle_reply(self, connection: LoadConnection, pending: PendingCommand, reply: object) -> None:
-        """Record the reply and use the connection again."""
+        """Record the reply and reuse the connection."""
         self._statistics.record_reply(pending.due_s, reply)
         if connection.is_open:
             self._send_next(connection)
 
     def handle_connection_lost(self, connection: LoadConnection, pending: PendingCommand | None) -> None:
-        """Retry once what was sent on a connection as it ended (PROTOCOL, Clients)."""
+        """Retry a lost connection's request without a reply once (PROTOCOL, Clients)."""
         self._open_count -= 1
         self._connections.discard(connection)
         if self._is_closed:
@@ -137,7 +137,7 @@
             self._statistics.record_outcome(LoadOutcome.LOST)
 
     def close(self) -> None:
-        """Close all connections; requests that have no reply yet get none."""
+        """Close all connections; requests without a reply are not sent again."""
         self._is_closed = True
         for connection in self._connections:
             connection.abort()
--- a/scale/load/statistics.py
+++ b/scale/load/statistics.py
@@ -11,7 +11,7 @@
 from scale.messages import LoadReport
 
 LATENCY_PERCENTILES = {"p50_ms": 50.0, "p99_ms": 99.0, "p99.9_ms": 99.9}
-"""The percentiles that are reported, by the names of the result files."""
+"""Reported percentiles, by their names in the result files."""
 
 MAXIMUM_LATENCY_US = 60_000_000
 SIGNIFICANT_DIGITS = 3
@@ -20,7 +20,7 @@
 
 
 class LoadOutcome(StrEnum):
-    """What became of a request, by the words of the result files."""
+    """Outcome of a request, with the names used in the result files."""
 
     SERVED = "served"
     REJECTED = "refused"
@@ -29,15 +29,15 @@
     UNANSWERED = "silent"
 
 
-class ErrorReply(Exception):  # noqa: N818 - a reply of the protocol, which hiredis wants as an exception
-    """An error reply, which the parser returns and does not raise."""
+class ErrorReply(Exception):  # noqa: N818 - hiredis requires an exception class for error replies
+    """An error reply of the protocol; the parser returns it instead of raising it."""
 
 
 class LoadStatistics:
-    """The outcomes of the requests of one label, with the latencies of those that were served.
+    """Outcomes of requests, and the latencies of the served ones.
 
     Attributes:
-        pending: Requests that have no outcome yet.
+        pending: Number of requests without an outcome yet.
     """
 
     def __init__(self) -> None:
@@ -46,12 +46,12 @@
         self._outcomes: Counter[LoadOutcome] = Counter()
 
     def record_outcome(self, outcome: LoadOutcome) -> None:
-        """Count a pending request's outcome."""
+        """Count the outcome of a pending request."""
         self._outcomes[outcome] += 1
         self.pending -= 1
 
     def record_reply(self, due_s: float, reply: object) -> None:
-        """Count a reply; the latency runs from when the request was due, on the monotonic clock."""
+        """Count a reply; latency is measured from the request's due time on the monotonic clock."""
         if isinstance(reply, ErrorReply):
             is_rejected = str(reply).startswith("BUSY")
             self.record_outcome(LoadOutcome.REJECTED if is_rejected else LoadOutcome.FAILED)
@@ -61,12 +61,12 @@
         self._latencies_us.record_value(max(1, round(latency_us)))
 
     def merge(self, other: LoadStatistics) -> None:
-        """Add the outcomes and latencies of other statistics."""
+        """Add the outcomes and latencies of another instance."""
         self._latencies_us.add(other._latencies_us)
         self._outcomes += other._outcomes
 
     def report(self) -> LoadReport:
-        """Return the outcomes and the latency at each of the percentiles."""
+        """Return the number of requests by outcome and the latency at each reported percentile."""
         latencies_ms = {
             name: self._latencies_us.get_value_at_percentile(percentile) / MICROSECONDS_PER_MILLISECOND
             for name, percentile in LATENCY_PERCENTILES.items()
--- a/scale/measurements/__init__.py
+++ b/scale/measurements/__init__.py
@@ -1,1 +1,1 @@
-"""The measurements of a scale run, one module for each quantity that cost is measured by."""
+"""Measurements of a scale run, one module for each variable that costs are measured by."""
--- a/scale/measurements/added_latency.py
+++ b/scale/measurements/added_latency.py
@@ -1,4 +1,4 @@
-"""Latency that a gateway adds: the same load straight to the servers and through the gateway, in turn."""
+"""Latency added by a gateway: the same load alternates between the servers and the gateway."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 from scale.testbed import Testbed
 
 MAXIMUM_UNSERVED_SHARE = 0.1
-"""Share of requests that are not served, beyond which the latency of the others says nothing."""
+"""Share of unserved requests above which the latency of the served ones is meaningless and not recorded."""
 
 PHASE_SEED_FACTOR = 1000
-"""Distance between the phases' seeds of two runs with consecutive seeds."""
+"""Difference between the seeds of the same phase in two runs with consecutive seeds."""
 
 
 class AddedLatency(msgspec.Struct, frozen=True):
-    """Latency straight and through a gateway.
+    """Latency of a load without and with a gateway.
 
     Attributes:
-        straight: All phases straight to the servers.
-        through: All phases through the gateway.
-        added_ms: By percentile what the gateway adds, phase by phase.
-        opened_connections: Connections to servers that were opened in the phases through the gateway.
+        straight: Report on all phases sent straight to the servers.
+        through: Report on all phases sent through the gateway.
+        added_ms: Latency added by the gateway in each phase, by percentile.
+        opened_connections: Connections to servers opened in the phases through the gateway.
     """
 
     straight: LoadReport
@@ -31,15 +31,15 @@
     opened_connections: int
 
     def reports(self) -> tuple[tuple[str, LoadReport], ...]:
-        """Return both reports with their names in the result files."""
+        """Return both reports, each with its name in the result files."""
         return ("straight", self.straight), ("through", self.through)
 
 
 async def measure_added_latency(testbed: Testbed, label: str, port: int, rate: float) -> AddedLatency:
-    """Send the same load straight to the servers and through the gateway at this port, phase by phase.
+    """Alternate phases of the same load straight to the servers and through the gateway at a port.
 
-    The machine is used by others too, and its latency tails come and go: the median over phases says more
-    than one phase.
+    On a machine with other users, tail latencies vary over time, so the median over several phases is more
+    reliable than a single phase.
     """
     added_ms: dict[str, list[float]] = {name: [] for name in LATENCY_PERCENTILES}
     server_ports = testbed.server_ports[: testbed.config.fleet.servers]
@@ -56,7 +56,10 @@
 
 
 def record_added_latency(testbed: Testbed, latency: AddedLatency, by: str, size: float) -> None:
-    """Record the added latency, and what was not served; where that is a lot, only a note of it."""
+    """Record the added latency and the unserved requests.
+
+    Above MAXIMUM_UNSERVED_SHARE, a note takes the place of the added latency.
+    """
     measurements = testbed.measurements
     for way, report in latency.reports():
         measurements.add(f"load.{way}_p99", by, "ms", size, [report.latencies_ms["p99_ms"]])
@@ -76,5 +79,5 @@
 
 
 def format_counts(counts: dict[str, int]) -> str:
-    """Return counts as text, by name in alphabetical order."""
+    """Return the counts as text, sorted by name."""
     return ", ".join(f"{name} {number}" for name, number in sorted(counts.items()))
--- a/scale/measurements/fleet_size.py
+++ b/scale/measurements/fleet_size.py
@@ -1,4 +1,4 @@
-"""Discovery's cost and the propagation of its updates, by the number of gateways that watch."""
+"""Cost of discovery and propagation of its updates, by the number of gateways with a watch."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
     name: str,
     versions: tuple[int, int],
 ) -> None:
-    """Record how soon the versions, from the first to the last, were in force at 99 in 100 gateways."""
+    """Record the time until each version, from the first to the last, was in force at 99 in 100 gateways."""
     first_version, last_version = versions
     await testbed.await_version(processes, last_version)
     received = await take_received_versions(processes)
--- a/scale/measurements/gateway_count.py
+++ b/scale/measurements/gateway_count.py
@@ -1,4 +1,4 @@
-"""Connections to a server, by the number of real gateways that send load to the same servers at once."""
+"""Connections to each server, by the number of real gateways that send load to the same servers."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from scale.testbed import Testbed
 
 GATEWAY_SEED_FACTOR = 1000
-"""Distance between the seeds of two gateways' loads."""
+"""Difference between the load seeds of two consecutive gateways."""
 
 
 async def measure_by_gateway_count(testbed: Testbed) -> None:
@@ -17,7 +17,7 @@
     servers = min(config.fleet.servers, len(testbed.server_ports))
     generators = [testbed.load]
     for number in config.slopes.reals:
-        testbed.report_step(f"{number} real gateways before {servers} servers")
+        testbed.report_step(f"{number} real gateways and {servers} servers")
         discovery, port = await testbed.start_discovery(servers)
         gateways = [await testbed.start_gateway(port, servers, index) for index in range(number)]
         while len(generators) < number:
--- a/scale/measurements/list_length.py
+++ b/scale/measurements/list_length.py
@@ -1,4 +1,4 @@
-"""A real gateway's cost by the length of the list: reading it, changes, load and connections."""
+"""Costs of a real gateway by the length of the list: reading it, changes, load and connections."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 from scale.testbed import Testbed
 
 CHANGE_GAP_S = 0.02
-"""Time between two versions, where each is to be read alone."""
+"""Time between two versions, long enough for a gateway to read each one separately."""
 
 WATCH_RETURN_S = 1.5
-"""Time in which a gateway opens its watch again after it has ended."""
+"""Time that a gateway needs to open its watch again after it was dropped."""
 
 REJECTED_LIST_S = 10.0
-"""How long a gateway is measured that rejects the list and polls it again and again."""
+"""Duration of the measurement of a gateway that rejects the list and repeatedly polls it."""
 
 REJECTED_LIST_LOG_TEXT = "malformed discovery document"
-"""What a gateway logs as it rejects a list.
+"""Event that a gateway logs when it rejects a list.
 
-One that logs something else is recognized by its watches, which end again and again.
+A gateway that logs another event is recognized by its watches, which end repeatedly.
 """
 
 
@@ -35,7 +35,7 @@
         if await _measure_reading(testbed, discovery, gateway, size):
             await _measure_changes(testbed, discovery, gateway, size)
             await testbed.supervisor.end(gateway.process)
-            # Started anew, as its first list says how many requests it may have in flight.
+            # Restart the gateway, as its first list determines how many requests it may have in flight.
             gateway = await testbed.start_gateway(port, size)
             start_cpu_ms = 1000.0 * gateway.process.usage().cpu_s
             testbed.measurements.add("gateway.start_cpu", "servers", "ms", size, [start_cpu_ms])
@@ -44,7 +44,7 @@
 
 
 async def _measure_reading(testbed: Testbed, discovery: RoleProcess, gateway: RealGateway, size: int) -> bool:
-    """Measure reading a list of this size; return whether the gateway accepted it."""
+    """Measure the cost of reading a list of this size; return whether the gateway accepted the list."""
     measurements = testbed.measurements
     before = gateway.process.usage()
     ended_before = (await testbed.discovery_statistics(discovery)).count("ended")
@@ -71,7 +71,7 @@
 async def _measure_rejected_list(
     testbed: Testbed, discovery: RoleProcess, gateway: RealGateway, size: int
 ) -> None:
-    """Measure what a list that is rejected costs, as the gateway polls it again and again."""
+    """Measure the cost of a rejected list, which the gateway polls repeatedly."""
     before = gateway.process.usage()
     first = await testbed.discovery_statistics(discovery)
     await asyncio.sleep(REJECTED_LIST_S)
@@ -87,7 +87,7 @@
 
 
 async def _measure_changes(testbed: Testbed, discovery: RoleProcess, gateway: RealGateway, size: int) -> None:
-    """Measure what one change costs a real gateway, and how many bytes it is."""
+    """Measure the processor time and the bytes of one change at a real gateway."""
     versions = testbed.config.slopes.versions
     costs_ms = []
     for _ in range(testbed.config.slopes.repeats):
@@ -100,7 +100,7 @@
 
 
 async def _measure_load(testbed: Testbed, gateway: RealGateway, size: int) -> None:
-    """Measure load with a list of this size: latency added, processor time of a request, connections."""
+    """Measure added latency, processor time per request and connections with a list of this size."""
     await testbed.servers.command("reset_statistics")
     before = gateway.process.usage()
     latency = await measure_added_latency(testbed, f"{size} servers", gateway.port, testbed.config.load.rate)
--- a/scale/measurements/loop_stalls.py
+++ b/scale/measurements/loop_stalls.py
@@ -1,4 +1,4 @@
-"""How long the event loop of a hollow gateway stands still, by the size of the list and of a change."""
+"""Stalls of a hollow gateway's event loop, by the size of the list and of a change."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 
 FIRST_LIST_TIMEOUT_S = 5.0
 LIST_TIMEOUT_S = 8.0
-"""Time for a list to be in force; a gateway that takes longer has rejected it."""
+"""Maximum time until a list is in force; a gateway that takes longer has rejected the list."""
 
 
 async def measure_loop_stalls(testbed: Testbed) -> None:
-    """Measure the stalls at each size of the list, and at each size of a change of the middle list."""
+    """Measure stalls at each size of the list, and at each size of a change of the median list."""
     slopes = testbed.config.slopes
     for size in slopes.lists:
-        testbed.report_step(f"the loop's stall at {size} servers")
+        testbed.report_step(f"event loop stalls with {size} servers")
         await _measure_stalls(testbed, size, "servers", size, 1)
     middle = slopes.lists[len(slopes.lists) // 2]
     for changed in slopes.changes:
-        testbed.report_step(f"the loop's stall at changes of {changed} rows")
+        testbed.report_step(f"event loop stalls with changes of {changed} rows")
         await _measure_stalls(testbed, middle, f"rows changed of {middle}", changed, min(changed, middle))
 
 
--- a/scale/measurements/policy_benchmark.py
+++ b/scale/measurements/policy_benchmark.py
@@ -1,4 +1,4 @@
-"""What the policy engine alone costs by servers, customers and classes, without sockets."""
+"""Benchmark of the policy engine without sockets, by servers, customers and classes."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
 from scale.messages import PolicyCost
 
 SERVER_LATENCY_MS = 5.0
-"""The latency of every attempt, as the engine is told."""
+"""Latency of every attempt that the benchmark reports to the engine."""
 
 REQUEST_TIMEOUT_MS = 1000.0
 FINAL_LATENCIES = 10
-"""Latencies of a server that the clock runs on for after the last request, so that all attempts end."""
+"""Time that the clock advances after the last request, in server latencies, so that all attempts end."""
 
 ENGINE_SEED = 1
 
 
 class PolicyBenchmark:
-    """A policy engine on a simulated clock; a child's role whose methods are the run's commands.
+    """Role of a child process that runs a policy engine on a simulated clock; the run calls its methods.
 
     Args:
-        document: The settings, as a gateway is given them.
-        servers: How many servers the engine knows.
+        document: Settings in the form that gateways read.
+        servers: Number of servers that the engine knows.
     """
 
     def __init__(self, document: dict[str, Any], servers: int) -> None:
@@ -48,14 +48,14 @@
         self._handle(model.EndpointUpdate(model.UpdateKind.SNAPSHOT, endpoints, 1))
 
     async def start(self) -> None:
-        """Do nothing: there is nothing to listen on."""
+        """Do nothing: this role does not listen on a port."""
 
     async def run(self, tenants: int, requests: int, gap_ms: float) -> PolicyCost:
-        """Make requests of the customers in turn, over all classes and plans in turn.
+        """Submit requests, cycling through the customers and through all pairs of class and plan.
 
         Args:
-            tenants: How many customers there are.
-            requests: How many requests they make.
+            tenants: Number of customers.
+            requests: Total number of requests.
             gap_ms: Simulated time between two requests.
         """
         gc.collect()
--- a/scale/measurements/policy_cost.py
+++ b/scale/measurements/policy_cost.py
@@ -1,4 +1,4 @@
-"""What the policy engine alone costs, by customers seen and by classes."""
+"""Cost of the policy engine alone, by customers seen and by classes."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 
 PLAN_UNITS_PER_S = 100.0
 BURST_GAP_MS = 0.01
-"""Time between two requests of customers that come all at once."""
+"""Time between two requests when all customers arrive in one burst."""
 
 REQUESTS_BY_CLASSES = 4_000
 CUSTOMERS_BY_CLASSES = 100
-"""Requests and customers for each number of classes."""
+"""Numbers of requests and customers in each measurement by classes."""
 
 SERVERS = 20
 RUN_TIMEOUT_S = 600.0
 
 
 async def measure_policy_cost(testbed: Testbed) -> None:
-    """Measure by customers, and by classes, the nearest that the gateway has to routes.
+    """Measure by customers and by classes; classes stand for routes, which the gateway doesn't have.
 
-    Customers come at the load's rate, and all at once: the first shows how many a gateway holds, the second
-    how much memory one of them takes.
+    Customers arrive once at the load's rate, which shows how many of them a gateway keeps, and once in a
+    burst, which shows the memory that each one takes.
     """
     measurements = testbed.measurements
     gap_ms = 1000.0 / testbed.config.load.rate
@@ -52,7 +52,7 @@
     requests: int,
     gap_ms: float,
 ) -> PolicyCost:
-    """Return what so many requests cost the policy engine, in a process of its own."""
+    """Run the policy benchmark in a separate process and return its result."""
     policy, _ = await testbed.supervisor.start_role("policy", NoneType, document=settings, servers=SERVERS)
     cost = await policy.call(
         "run", PolicyCost, timeout_s=RUN_TIMEOUT_S, tenants=customers, requests=requests, gap_ms=gap_ms
--- a/scale/measurements/propagation.py
+++ b/scale/measurements/propagation.py
@@ -1,4 +1,4 @@
-"""How soon a version that discovery publishes is in force at 99 in 100 gateways."""
+"""Delay from a version's publication by discovery until it is in force at 99 in 100 gateways."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 from scale.testbed import Testbed
 
 COVERED_SHARE = 0.99
-"""Share of the gateways at which a version has to be in force."""
+"""Share of the gateways where a version must be in force to count as propagated."""
 
 ReceivedVersions = Sequence[tuple[int, float]]
-"""A gateway's versions in order, and when each was in force, in seconds."""
+"""Versions that a gateway has received, in order, and the time when each came into force, in seconds."""
 
 
 def propagation_delays(
@@ -23,11 +23,11 @@
     """Return for each version the seconds until it, or a later one, was in force at 99 in 100 gateways.
 
     Args:
-        published_s: The versions, and when each was published.
-        received: For each gateway its versions, and when each was in force.
+        published_s: Versions and the time when each was published.
+        received: For each gateway its versions and the time when each came into force.
 
     Returns:
-        The delays in the order of the versions; infinite where 99 in 100 gateways never had the version.
+        Delays in the order of the versions; infinite if a version never was in force at 99 in 100 gateways.
     """
     delays = []
     for version, version_published_s in published_s:
@@ -40,7 +40,7 @@
 
 
 async def take_received_versions(processes: Sequence[RoleProcess]) -> list[ReceivedVersions]:
-    """Return for each hollow gateway of these processes its versions since the last call."""
+    """Return the versions that each hollow gateway of these processes has received since the last call."""
     received: list[ReceivedVersions] = []
     for process in processes:
         received += await process.call("take_received", list[list[tuple[int, float]]])
@@ -48,7 +48,7 @@
 
 
 async def forget_received_versions(processes: Sequence[RoleProcess]) -> None:
-    """Drop the versions so far, so that the next call of `take_received_versions` has only later ones."""
+    """Discard the versions received so far, so that `take_received_versions` returns only later ones."""
     await asyncio.gather(
         *(process.call("take_received", list[list[tuple[int, float]]]) for process in processes)
     )
--- a/scale/measurements/request_rate.py
+++ b/scale/measurements/request_rate.py
@@ -1,4 +1,4 @@
-"""Latency that one real gateway adds and its processor time, by the requests a second that come to it."""
+"""Added latency and processor time of one real gateway, by its requests per second."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 async def measure_by_request_rate(testbed: Testbed) -> None:
-    """Measure one real gateway at each rate."""
+    """Measure one real gateway at each request rate."""
     config = testbed.config
     measurements = testbed.measurements
     servers = min(config.fleet.servers, len(testbed.server_ports))
--- a/scale/subsets/__init__.py
+++ b/scale/subsets/__init__.py
@@ -1,1 +1,1 @@
-"""Comparison of ways to choose each gateway's subset of servers."""
+"""Comparison of strategies that choose each gateway's subset of servers."""
--- a/scale/subsets/comparison.py
+++ b/scale/subsets/comparison.py
@@ -1,6 +1,6 @@
-"""Compare strategies for each gateway to choose its servers: balance, churn, lost zones, and time for a row.
+"""Compares strategies that choose each gateway's subset by balance, churn, lost zones and processing time.
 
-All strategies get the size that `quota_gateway.policy.subset` gives, the same servers and the same shares of
+All strategies use the subset size of `quota_gateway.policy.subset`, the same servers and the same shares of
 traffic for the gateways. `scale.subsets.metrics` documents the metrics.
 """
 
@@ -23,18 +23,18 @@
 from scale.subsets.timing import time_strategies
 
 VERIFIED_GATEWAYS = 5
-"""About how many gateways the array implementation is compared with the gateway's own on."""
+"""Approximate number of gateways for which both implementations of the chosen strategy are compared."""
 
 
 class Comparison(msgspec.Struct):
-    """The metrics of every strategy, as the JSON file holds them.
+    """Metrics of all strategies, in the format of the JSON file.
 
     Attributes:
-        gateways: Gateways in the fleet.
-        servers: Servers that are listed.
-        seed: The seed of all random numbers.
-        size: Servers in a gateway's subset.
-        ways: The metrics by name, by the strategy's name.
+        gateways: Number of gateways in the fleet.
+        servers: Number of listed servers.
+        seed: Seed of all random numbers.
+        size: Number of servers in a gateway's subset.
+        ways: Metrics by the name of the strategy, then by the name of the metric.
     """
 
     gateways: int
@@ -45,10 +45,10 @@
 
 
 def verify_chosen_strategy(topology: Topology, subsets: FleetSubsets) -> None:
-    """Check that the array implementation and the gateway's own choose the same servers.
+    """Check that the array implementation chooses the same servers as the gateway's implementation.
 
     Raises:
-        RuntimeError: They differ for some gateway.
+        RuntimeError: The implementations choose different servers for a gateway.
     """
     for gateway in range(0, topology.gateways, max(1, topology.gateways // VERIFIED_GATEWAYS)):
         nearest = NearestEndpoints(subset.Subset(topology.gateways, gateway, topology.minimum_size))
@@ -62,7 +62,7 @@
 
 
 def make_topology(gateways: int, servers: int, seed: int, minimum_size: int) -> Topology:
-    """Make so many listed servers with random names, and spare ones that can be added later."""
+    """Return a topology of listed servers with random names, and spare ones that can be added later."""
     source = random.Random(seed)
     spare = max(SINGLE_SERVER_CHANGES, servers // 100)
     names: set[str] = set()
@@ -79,7 +79,7 @@
     minimum_size: int,
     strategies: list[str],
 ) -> Comparison:
-    """Measure these strategies on the same servers; the same seed gives the same metrics but for times."""
+    """Measure strategies on the same servers; the same seed gives the same metrics except for times."""
     topology = make_topology(gateways, servers, seed, minimum_size)
     times = time_strategies(topology)
     result = Comparison(gateways, servers, seed, topology.subset_size(), {})
@@ -99,7 +99,7 @@
 
 
 def format_table(result: Comparison) -> str:
-    """Return the metrics as text, a strategy a column."""
+    """Return the metrics as a text table with a column for each strategy."""
     names = list(dict.fromkeys(name for metrics in result.ways.values() for name in metrics))
     lines = [
         f"{result.gateways} gateways, {result.servers} servers, seed {result.seed}: "
--- a/scale/subsets/metrics.py
+++ b/scale/subsets/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of a fleet's subsets: balance of load, capacity left when a failure domain is lost, and churn."""
+"""Metrics of a fleet's subsets: load balance, capacity left after losing a failure domain, and churn."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 
 ZONES = 15
 REGIONS = 4
-"""Regions that the zones lie in."""
+"""Number of regions that the zones belong to."""
 
 SERVERS_PER_RACK = 40
 
 UNEVEN_TRAFFIC_DRAWS = 20
-"""Draws of uneven traffic: gamma with shape 1, by which one gateway in a hundred has 4.6 times the mean."""
+"""Number of draws of gamma-distributed traffic, shape 1: one gateway in a hundred has 4.6 times the mean."""
 
 SETTLED_TRAFFIC_DRAWS = 4
-"""Draws after which gateways shift their traffic; fewer, since each takes SETTLING_STEPS steps."""
+"""Number of draws of settled traffic; fewer, because each one needs SETTLING_STEPS steps."""
 
 SETTLING_STEPS = 40
-"""Steps, each of half the way, until gateways have shifted their traffic to servers with less load."""
+"""Number of steps until traffic is settled on less loaded servers; each step goes half the way."""
 
 SINGLE_SERVER_CHANGES = 5
-"""Servers that are removed, and that are added, one at a time."""
+"""Number of servers to remove and number of servers to add, one at a time."""
 
 
 def balance_metrics(
@@ -31,13 +31,13 @@
     topology: Topology,
     generator: np.random.Generator,
 ) -> dict[str, float]:
-    """Measure the servers' loads relative to their mean, with even, uneven and settled traffic.
+    """Measure the loads of servers relative to their mean, with even, uneven and settled traffic.
 
     A server's load is the sum, over its gateways, of the gateway's traffic divided by the size of its subset.
 
     Returns:
-        The highest load and the 99.9th percentile of each kind of traffic, how many gateways share a server,
-        and the subsets' sizes, by the names of the result files.
+        Maximum and 99.9th percentile of the load with each kind of traffic, the number of gateways that share
+        a server, and the sizes of subsets, by their names in the result files.
     """
     gateways = len(subsets)
     even = _server_loads(subsets, topology, np.ones(gateways))
@@ -59,7 +59,7 @@
 
 
 def _mean_peaks(traffic: str, draws: list[NDArray[np.float64]]) -> dict[str, float]:
-    """Return the highest load and the 99.9th percentile of a kind of traffic, as means over its draws."""
+    """Return the means over all draws of the maximum and the 99.9th percentile of the load."""
     return {
         f"{traffic} max": float(np.mean([load.max() for load in draws])),
         f"{traffic} p99.9": float(np.mean([np.quantile(load, 0.999) for load in draws])),
@@ -67,7 +67,7 @@
 
 
 def _size_metrics(subsets: FleetSubsets, topology: Topology) -> dict[str, float]:
-    """Return how many gateways share a server, and the subsets' sizes."""
+    """Return the numbers of gateways that share a server, and the sizes of subsets."""
     sizes = [len(servers) for servers in subsets]
     gateways_per_server = np.bincount(np.concatenate(subsets), minlength=len(topology.names))[topology.listed]
     return {
@@ -83,7 +83,7 @@
     topology: Topology,
     traffic: NDArray[np.float64],
 ) -> NDArray[np.float64]:
-    """Return each listed server's load relative to the mean, with traffic spread evenly."""
+    """Return each listed server's load relative to the mean, with traffic spread evenly over each subset."""
     sizes = np.array([len(servers) for servers in subsets])
     portions = np.repeat(traffic / np.maximum(1, sizes), sizes)
     loads = np.bincount(np.concatenate(subsets), portions, len(topology.names))[topology.listed]
@@ -95,9 +95,10 @@
     topology: Topology,
     traffic: NDArray[np.float64],
 ) -> NDArray[np.float64]:
-    """Return the servers' loads once gateways have shifted traffic to those of their servers with less load.
+    """Return the listed servers' loads after gateways have shifted traffic to their less loaded servers.
 
-    Gateways that choose by what replies show do so; neighbors that share all servers have no such server.
+    Gateways that choose servers by the load in replies do this. Neighbors that share all their servers can't,
+    as none of those is less loaded.
     """
     servers = np.concatenate(subsets)
     owners = np.repeat(np.arange(len(subsets)), [len(own) for own in subsets])
@@ -115,10 +116,10 @@
     topology: Topology,
     generator: np.random.Generator,
 ) -> dict[str, float]:
-    """Measure the least part of its subset that any gateway keeps when a zone, region or rack is lost.
+    """Measure the smallest share of its subset that a gateway keeps when a zone, region or rack is lost.
 
     Returns:
-        For each kind of failure domain that part, relative to the part of all servers that is left.
+        For each kind of failure domain that share, relative to the share of all servers that is left.
     """
     server_count = len(topology.names)
     zones = generator.permutation(server_count) % ZONES
@@ -136,7 +137,10 @@
 
 
 def churn(before: FleetSubsets, after: FleetSubsets) -> float:
-    """Return the share of pairs of gateway and server that are new, for gateways that are in both fleets."""
+    """Return the number of new pairs of gateway and server as a share of the old ones.
+
+    Only gateways that are in both fleets count.
+    """
     common = min(len(before), len(after))
     added = sum(
         len(new) - len(np.intersect1d(old, new, assume_unique=True))
@@ -151,13 +155,13 @@
     subsets: FleetSubsets,
     generator: np.random.Generator,
 ) -> dict[str, float]:
-    """Measure the churn of each kind of change, by the names of the result files."""
+    """Return the churn caused by each kind of change, by its name in the result files."""
     listed = topology.listed_indexes()
     spare = np.flatnonzero(~topology.listed)
     one_percent = max(1, len(listed) // 100)
     down = generator.choice(listed, one_percent, replace=False)
     without_down = topology.with_servers(down, False)
-    # Servers that are down stay listed, so the subset keeps its size.
+    # Servers that are down stay listed, so the subset size does not change.
     down_but_listed = Topology(topology.names, without_down.listed, topology.gateways, topology.subset_size())
     removed = generator.choice(listed, SINGLE_SERVER_CHANGES, replace=False)
 
--- a/scale/subsets/strategies.py
+++ b/scale/subsets/strategies.py
@@ -1,4 +1,4 @@
-"""Strategies by which each gateway of a fleet chooses the servers it works with, over NumPy arrays."""
+"""Strategies that choose the subset of servers for each gateway of a fleet, implemented with NumPy arrays."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 """The fractional part of the golden ratio: its multiples spread evenly over a ring for any fleet size."""
 
 RING_STEPS = (GOLDEN_RATIO_STEP, sqrt(2.0) - 1.0, sqrt(3.0) - 1.0, (sqrt(13.0) - 3.0) / 2.0)
-"""How far apart gateways stand on each ring; the steps differ so that neighbors differ from ring to ring."""
+"""Distance between consecutive gateways on each ring; the steps differ so that neighbors differ per ring."""
 
 ServerIndexes = NDArray[np.int64]
 FleetSubsets = list[ServerIndexes]
@@ -27,13 +27,13 @@
 
 @dataclass
 class Topology:
-    """All servers that exist at any time of a comparison, and the gateways before them.
+    """All servers that exist at any time of a comparison, and the number of gateways.
 
     Attributes:
-        names: The servers' names, sorted.
-        listed: Whether discovery lists the server of that index.
-        gateways: How many gateways choose a subset.
-        minimum_size: The smallest subset, in servers.
+        names: Names of the servers, sorted.
+        listed: For each server whether discovery lists it, in the order of the names.
+        gateways: Number of gateways that choose a subset.
+        minimum_size: Minimum number of servers in a subset.
     """
 
     names: list[str]
@@ -42,7 +42,7 @@
     minimum_size: int
 
     def subset_size(self) -> int:
-        """Return how many servers each gateway works with."""
+        """Return the number of servers in each gateway's subset."""
         return subset.Subset(self.gateways, 0, self.minimum_size).size(int(self.listed.sum()))
 
     def listed_indexes(self) -> ServerIndexes:
@@ -50,13 +50,13 @@
         return np.flatnonzero(self.listed)
 
     def with_servers(self, servers: Iterable[int], listed: bool) -> Topology:
-        """Return the same topology in which these servers are listed, or are not."""
+        """Return a copy of the topology in which these servers are listed or not listed."""
         changed = self.listed.copy()
         changed[list(servers)] = listed
         return Topology(self.names, changed, self.gateways, self.minimum_size)
 
     def with_gateways(self, gateways: int) -> Topology:
-        """Return the same servers before another number of gateways."""
+        """Return a topology of the same servers with another number of gateways."""
         return Topology(self.names, self.listed, gateways, self.minimum_size)
 
 
@@ -81,10 +81,10 @@
 
 
 class RingStrategy:
-    """The nearest servers on one or more hash rings, as in `quota_gateway.policy.subset`.
+    """Chooses the nearest servers on one or more hash rings, as `quota_gateway.policy.subset` does.
 
     Args:
-        steps: For each ring how far the next gateway stands from the one before, as a part of the ring.
+        steps: Distance between consecutive gateways on each ring, as a fraction of the ring.
     """
 
     def __init__(self, steps: tuple[float, ...]) -> None:
@@ -110,7 +110,7 @@
         return subsets
 
     def _server_positions(self, names: list[str]) -> NDArray[np.float64]:
-        """Return each server's position on each ring; cached, as topologies share the names."""
+        """Return each server's position on each ring, cached because topologies share the names."""
         if len(self._positions) != len(names):
             rings = len(self.steps)
             digests = b"".join(blake2b(name.encode(), digest_size=4 * rings).digest() for name in names)
@@ -130,7 +130,7 @@
         sorted_positions: list[NDArray[np.float64]],
         size: int,
     ) -> ServerIndexes:
-        """Return the union of the next servers after the gateway on each ring."""
+        """Return the union of the next ``size`` servers after the gateway on each ring."""
         rings = []
         for start, order, positions in zip(starts, orders, sorted_positions, strict=True):
             first = int(np.searchsorted(positions, start))
@@ -139,7 +139,7 @@
 
 
 def rendezvous_by_gateway(topology: Topology) -> FleetSubsets:
-    """Let each gateway take the servers with the lowest hash of the pair (rendezvous hashing)."""
+    """Choose for each gateway the servers with the lowest hash of the pair (rendezvous hashing)."""
     listed = topology.listed_indexes()
     size = topology.subset_size()
     if size == len(listed):
@@ -152,7 +152,7 @@
 
 
 def rendezvous_by_server(topology: Topology) -> FleetSubsets:
-    """Give each server to the same number of gateways, those with the lowest hash of the pair."""
+    """Assign each server to the same number of gateways, those with the lowest hash of the pair."""
     listed = topology.listed_indexes()
     size = topology.subset_size()
     if size == len(listed):
@@ -171,12 +171,12 @@
 
 
 def shuffled_rounds(topology: Topology) -> FleetSubsets:
-    """Deal a shuffle of the whole list to the gateways of each round, with the round's number as seed."""
+    """Split the shuffled list among the gateways of each round; the round's number is the shuffle's seed."""
     return _deal_rounds(topology, lambda number, listed: np.random.default_rng(number).permutation(listed))
 
 
 def hashed_rounds(topology: Topology) -> FleetSubsets:
-    """Deal as `shuffled_rounds` in an order by hash, so that one server moves the others by one place."""
+    """Like `shuffled_rounds`, but in hash order, so that one server moves the others by only one place."""
     servers = hash_names(topology.names)
 
     def order_by_hash(number: int, listed: ServerIndexes) -> ServerIndexes:
@@ -203,7 +203,7 @@
 
 
 def random_draw(topology: Topology) -> FleetSubsets:
-    """Let each gateway draw from the list, with its index as seed."""
+    """Choose random servers for each gateway, whose index is the seed."""
     listed = topology.listed_indexes()
     size = topology.subset_size()
     return [
@@ -224,7 +224,7 @@
     "hashed rounds": hashed_rounds,
     "random draw": random_draw,
 }
-"""All strategies by the names that the command line and the result files use."""
+"""All strategies, by their names on the command line and in result files."""
 
 CHOSEN_STRATEGY = "two rings"
-"""The strategy that the gateway itself uses."""
+"""Name of the strategy that real gateways use."""
--- a/scale/subsets/timing.py
+++ b/scale/subsets/timing.py
@@ -1,4 +1,4 @@
-"""Time that each strategy takes in plain Python, as a gateway would run it."""
+"""Processing time of each strategy in pure Python, as a gateway would run it."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 from scale.subsets.strategies import CHOSEN_STRATEGY, Topology
 
 TIMED_ROWS = 200
-"""Rows that are timed of a strategy whose rows take milliseconds each."""
+"""Number of rows to time for a strategy that takes milliseconds for each row."""
 
 
 class TimedStrategy(NamedTuple):
-    """A strategy as a call to time.
+    """A strategy prepared for timing.
 
     Attributes:
-        rows: How many rows of the list the call reads.
-        needs_whole_list: Whether one change makes it read the whole list again.
-        run: The call.
+        rows: Number of rows of the list that ``run`` reads.
+        needs_whole_list: Whether a single change requires reading the whole list again.
+        run: Function to time.
     """
 
     rows: int
@@ -67,10 +67,10 @@
 
 
 def time_strategies(topology: Topology) -> dict[str, dict[str, float]]:
-    """Time the strategies once each; the machine may be busy.
+    """Time each strategy once; other load on the machine affects the result.
 
     Returns:
-        By strategy the time of a row and of a change in microseconds, and of the whole list in milliseconds.
+        For each strategy the time for a row and a change in microseconds, and for the list in milliseconds.
     """
     list_length = int(topology.listed.sum())
     times = {}
--- a/tests/scale/measurements/test_list_length.py
+++ b/tests/scale/measurements/test_list_length.py
@@ -1,4 +1,4 @@
-"""The measurement by list length recognizes a rejected list by what gateways log today."""
+"""The measurement by list length recognizes a rejected list by an event that gateways log."""
 
 from scale.measurements.list_length import REJECTED_LIST_LOG_TEXT
 from tests.support.log_events import read_logged_events
--- a/tests/scale/measurements/test_propagation.py
+++ b/tests/scale/measurements/test_propagation.py
@@ -1,4 +1,4 @@
-"""How soon a version is in force over a fleet."""
+"""Propagation delay of a version over a fleet."""
 
 import pytest
 
--- a/tests/scale/stubs/__init__.py
+++ b/tests/scale/stubs/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the stand-ins for discovery and servers."""
+"""Tests of the stubs of discovery and servers."""
--- a/tests/scale/stubs/test_discovery.py
+++ b/tests/scale/stubs/test_discovery.py
@@ -15,7 +15,7 @@
 
 
 class DiscoveryReader:
-    """A call of discovery, and the lines that it is sent."""
+    """A test client that sends one HTTP request to discovery and reads the lines of its response."""
 
     def __init__(self) -> None:
         self.parser = httptools.HttpResponseParser(self)
@@ -23,26 +23,26 @@
         self.status = 0
 
     async def open(self, port: int, query: str) -> "DiscoveryReader":
-        """Connect and send the call."""
+        """Connect and send the request."""
         self.stream, self.writer = await asyncio.open_connection("127.0.0.1", port)
         self.writer.write(f"GET /discovery/hosts{query} HTTP/1.1\r\nHost: d\r\n\r\n".encode())
         return self
 
     def on_headers_complete(self) -> None:
-        """Take the status from the parser."""
+        """Store the status; called by the parser."""
         self.status = self.parser.get_status_code()
 
     def on_body(self, body: bytes) -> None:
-        """Take a part of the body from the parser."""
+        """Append a part of the body; called by the parser."""
         self.body += body
 
     async def read_until(self, is_done: Callable[[], bool]) -> None:
-        """Read until then, or until the connection ends."""
+        """Read until the condition is true or the connection is closed."""
         while not is_done() and (data := await self.stream.read(65536)):
             self.parser.feed_data(data)
 
     async def read_line(self) -> dict:
-        """Read the next line that is not empty."""
+        """Read and decode the next line that is not empty."""
         while True:
             await self.read_until(lambda: b"\n" in self.body)
             line, _, self.body = self.body.partition(b"\n")
@@ -93,7 +93,7 @@
         stub.state.publish([draining])
         stub.state.publish([msgspec.structs.replace(draining, weight=2.0)])
         assert [(await watch.read_line())["generation"] for _ in range(2)] == [3, 4]
-        # Both changes of one endpoint are sent as one.
+        # Two changes of the same endpoint are merged into one.
         late_delta = await (await open_watch(port, "1")).read_line()
         assert (late_delta["generation"], late_delta["reset"]) == (4, False)
         assert dict(lifecycles(late_delta)) == {
@@ -119,11 +119,13 @@
         waiting = await open_watch(port)
         await asyncio.sleep(0)
         stub.state.publish([listed_endpoints(stub)[0]])
-        await stub.events.play_fault(Fault(0.0, "silent"))  # it ends at once
+        # This fault has no duration, so it ends the silence immediately.
+        await stub.events.play_fault(Fault(0.0, "silent"))
         assert (await watch.read_line())["generation"] == 2
         assert (await waiting.read_line())["generation"] == 2
         stub.state.drop_watches()
-        await watch.read_until(lambda: False)  # until it ends
+        # The dropped watch is read until its connection is closed.
+        await watch.read_until(lambda: False)
         stub.state.is_refusing = True
         refused = await open_watch(port)
         await refused.read_until(lambda: refused.status > 0)
--- a/tests/scale/test_capacity.py
+++ b/tests/scale/test_capacity.py
@@ -1,4 +1,4 @@
-"""docs/CAPACITY.md: its table is what the committed results give, by arithmetic that is checked here."""
+"""The table of docs/CAPACITY.md is generated from the committed results; the calculation is tested here."""
 
 from pathlib import Path
 
@@ -13,7 +13,7 @@
 def result_of(
     *points: tuple[float, float], name="memory", by="servers", role="gateway", started="1", noted_sizes=()
 ):
-    """Make a result of one series."""
+    """Return a result with one series."""
     series = results.Series(name, role, by, "MB")
     for size, value in points:
         series.add(size, [value])
