--- a/scale/__main__.py
+++ b/scale/__main__.py
@@ -230,7 +230,7 @@
     """Calculate from result files what the target fleet would need."""
     table = capacity.make_table([_read_result(path) for path in files])
     if page is None:
-        click.echo(f"{capacity.BEGIN}\n{table}\n{capacity.END}")
+        click.echo(f"{capacity.BEGIN_MARKER}\n{table}\n{capacity.END_MARKER}")
         return
     try:
         page.write_text(capacity.replace_table(page.read_text(), table))
--- a/scale/capacity.py
+++ b/scale/capacity.py
@@ -8,8 +8,8 @@
 from scale.child_process import MEBIBYTE
 from scale.results import Fit, Result, Series
 
-BEGIN = "<!-- table: begin -->"
-END = "<!-- table: end -->"
+BEGIN_MARKER = "<!-- table: begin -->"
+END_MARKER = "<!-- table: end -->"
 """Markers that enclose the table on the page."""
 
 HEADER = (
@@ -244,10 +244,10 @@
     Raises:
         ValueError: A marker is missing or occurs more than once.
     """
-    for mark in (BEGIN, END):
-        if page.count(mark) != 1:
-            raise ValueError(f"page must contain the marker {mark} exactly once")
-    return page.partition(BEGIN)[2].partition(END)[0].strip()
+    for marker in (BEGIN_MARKER, END_MARKER):
+        if page.count(marker) != 1:
+            raise ValueError(f"page must contain the marker {marker} exactly once")
+    return page.partition(BEGIN_MARKER)[2].partition(END_MARKER)[0].strip()
 
 
 def replace_table(page: str, table: str) -> str:
@@ -257,5 +257,5 @@
         ValueError: A marker is missing or occurs more than once.
     """
     extract_table(page)
-    before, _, rest = page.partition(BEGIN)
-    return f"{before}{BEGIN}\n{table}\n{END}{rest.partition(END)[2]}"
+    before, _, rest = page.partition(BEGIN_MARKER)
+    return f"{before}{BEGIN_MARKER}\n{table}\n{END_MARKER}{rest.partition(END_MARKER)[2]}"
--- a/tests/scale/test_capacity.py
+++ b/tests/scale/test_capacity.py
@@ -124,8 +124,11 @@
 
 
 def test_table_goes_between_the_marks_and_nothing_else_changes():
-    page = f"before\n{capacity.BEGIN}\nold\n{capacity.END}\nafter\n"
-    assert capacity.replace_table(page, "new") == f"before\n{capacity.BEGIN}\nnew\n{capacity.END}\nafter\n"
+    page = f"before\n{capacity.BEGIN_MARKER}\nold\n{capacity.END_MARKER}\nafter\n"
+    assert (
+        capacity.replace_table(page, "new")
+        == f"before\n{capacity.BEGIN_MARKER}\nnew\n{capacity.END_MARKER}\nafter\n"
+    )
     assert capacity.extract_table(capacity.replace_table(page, "new")) == "new"
     with pytest.raises(ValueError, match="mark"):
-        capacity.replace_table(f"{capacity.BEGIN} only", "new")
+        capacity.replace_table(f"{capacity.BEGIN_MARKER} only", "new")
