--- a/scale/supervisor.py
+++ b/scale/supervisor.py
@@ -87,7 +87,7 @@
         self._log = log
         self._children: list[ChildProcess] = []
         self._task: asyncio.Task[Any] | None = None
-        self._memory_guard: asyncio.Task[None] | None = None
+        self._memory_limit_task: asyncio.Task[None] | None = None
         self._scratch_folder: tempfile.TemporaryDirectory[str] | None = None
 
     @property
@@ -102,7 +102,7 @@
         for number in (signal.SIGINT, signal.SIGTERM):
             loop.add_signal_handler(number, self._stop, f"received {number.name}")
         self._scratch_folder = tempfile.TemporaryDirectory(prefix="scale-")
-        self._memory_guard = loop.create_task(self._guard_memory(), name="guard memory")
+        self._memory_limit_task = loop.create_task(self._enforce_memory_limit(), name="enforce memory limit")
         return self
 
     async def __aexit__(
@@ -111,9 +111,9 @@
         error: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        assert self._memory_guard
+        assert self._memory_limit_task
         assert self._scratch_folder
-        self._memory_guard.cancel()
+        self._memory_limit_task.cancel()
         ending = asyncio.ensure_future(asyncio.gather(*(child.end() for child in self._children)))
         while not ending.done():
             # Another signal or the deadline must not interrupt the shutdown.
@@ -128,7 +128,7 @@
             assert self._task
             self._task.cancel()
 
-    async def _guard_memory(self) -> None:
+    async def _enforce_memory_limit(self) -> None:
         """Stop the run when its child processes use more memory than the configuration allows."""
         while True:
             rss_bytes = sum(child.rss_bytes() for child in self._children)
