--- a/scale/loop_probe.py
+++ b/scale/loop_probe.py
@@ -18,28 +18,28 @@
     """
 
     def __init__(self) -> None:
-        self._is_on = False
+        self._is_active = False
         self._longest_wall_ns = 0
         self._longest_cpu_ns = 0
 
     def begin(self) -> None:
         """Start measuring."""
-        self._is_on = True
+        self._is_active = True
         self._longest_wall_ns = 0
         self._longest_cpu_ns = 0
-        self._turn(time.monotonic_ns(), time.thread_time_ns())
+        self._record_iteration(time.monotonic_ns(), time.thread_time_ns())
 
-    def _turn(self, last_wall_ns: int, last_cpu_ns: int) -> None:
+    def _record_iteration(self, last_wall_ns: int, last_cpu_ns: int) -> None:
         wall_ns = time.monotonic_ns()
         cpu_ns = time.thread_time_ns()
         self._longest_wall_ns = max(self._longest_wall_ns, wall_ns - last_wall_ns)
         self._longest_cpu_ns = max(self._longest_cpu_ns, cpu_ns - last_cpu_ns)
-        if self._is_on:
-            asyncio.get_running_loop().call_soon(self._turn, wall_ns, cpu_ns)
+        if self._is_active:
+            asyncio.get_running_loop().call_soon(self._record_iteration, wall_ns, cpu_ns)
 
     def end(self) -> LoopStalls:
         """Stop measuring and return the longest stalls."""
-        self._is_on = False
+        self._is_active = False
         return LoopStalls(
             wall_ms=self._longest_wall_ns / NANOSECONDS_PER_MILLISECOND,
             cpu_ms=self._longest_cpu_ns / NANOSECONDS_PER_MILLISECOND,
--- a/scale/stubs/discovery.py
+++ b/scale/stubs/discovery.py
@@ -67,9 +67,9 @@
         names = list(catalog.endpoints)
         counts_before = self.state.counts.copy()
         first_version = catalog.version + 1
-        for turn in range(versions):
-            chosen = [names[(turn * endpoints + index) % len(names)] for index in range(endpoints)]
-            self.state.publish([with_new_weight(catalog.endpoints[name], turn) for name in chosen])
+        for version_index in range(versions):
+            chosen = [names[(version_index * endpoints + index) % len(names)] for index in range(endpoints)]
+            self.state.publish([with_new_weight(catalog.endpoints[name], version_index) for name in chosen])
             await asyncio.sleep(gap_s)
         sent = self.state.counts - counts_before
         return PublishedChanges(first_version, catalog.version, sent["change_bytes"])
