--- a/scale/subsets/metrics.py
+++ b/scale/subsets/metrics.py
@@ -101,7 +101,7 @@
     as none of those is less loaded.
     """
     servers = np.concatenate(subsets)
-    owners = np.repeat(np.arange(len(subsets)), [len(own) for own in subsets])
+    owners = np.repeat(np.arange(len(subsets)), [len(indexes) for indexes in subsets])
     portions = np.ones(len(servers))
     for _ in range(SETTLING_STEPS + 1):
         portions *= (traffic / np.maximum(1e-12, np.bincount(owners, portions, len(subsets))))[owners]
--- a/scale/subsets/strategies.py
+++ b/scale/subsets/strategies.py
@@ -157,22 +157,22 @@
     size = topology.subset_size()
     if size == len(listed):
         return [listed] * topology.gateways
-    sharers = ceil(topology.gateways * size / len(listed))
+    gateways_per_server = ceil(topology.gateways * size / len(listed))
     gateways = _hash_gateways(topology.gateways)
     owners = np.array(
         [
-            np.argpartition(mix_bits(server ^ gateways), sharers - 1)[:sharers]
+            np.argpartition(mix_bits(server ^ gateways), gateways_per_server - 1)[:gateways_per_server]
             for server in hash_names(topology.names)[listed]
         ]
     ).ravel()
     order = np.argsort(owners, kind="stable")
     boundaries = np.searchsorted(owners[order], np.arange(1, topology.gateways))
-    return [np.sort(part) for part in np.split(np.repeat(listed, sharers)[order], boundaries)]
+    return [np.sort(part) for part in np.split(np.repeat(listed, gateways_per_server)[order], boundaries)]
 
 
 def shuffled_rounds(topology: Topology) -> FleetSubsets:
     """Split the shuffled list among the gateways of each round; the round's number is the shuffle's seed."""
-    return _deal_rounds(topology, lambda number, listed: np.random.default_rng(number).permutation(listed))
+    return _split_rounds(topology, lambda number, listed: np.random.default_rng(number).permutation(listed))
 
 
 def hashed_rounds(topology: Topology) -> FleetSubsets:
@@ -183,10 +183,10 @@
         round_hash = mix_bits(np.array([number + 1], dtype=np.uint64))[0]
         return listed[np.argsort(mix_bits(servers[listed] ^ round_hash))]
 
-    return _deal_rounds(topology, order_by_hash)
+    return _split_rounds(topology, order_by_hash)
 
 
-def _deal_rounds(
+def _split_rounds(
     topology: Topology,
     order_for_round: Callable[[int, ServerIndexes], ServerIndexes],
 ) -> FleetSubsets:
--- a/scale/subsets/timing.py
+++ b/scale/subsets/timing.py
@@ -42,7 +42,7 @@
     rows = len(names)
     own_subset = subset.Subset(topology.gateways, topology.gateways // 2, topology.minimum_size)
     size = own_subset.size(rows)
-    sharers = min(topology.gateways, ceil(own_subset.gateways_per_server(rows)))
+    gateways_per_server = min(topology.gateways, ceil(own_subset.gateways_per_server(rows)))
 
     def offer_all() -> None:
         nearest = NearestEndpoints(own_subset)
@@ -51,7 +51,7 @@
 
     def rendezvous_by_server() -> None:
         for name in names[:TIMED_ROWS]:
-            nsmallest(sharers, range(topology.gateways), key=partial(_pair_hash, name))
+            nsmallest(gateways_per_server, range(topology.gateways), key=partial(_pair_hash, name))
 
     def hash_with_one(name: str) -> bytes:
         return _pair_hash(name, 1)
