--- a/scale/measurements/fleet_size.py
+++ b/scale/measurements/fleet_size.py
@@ -68,10 +68,10 @@
     await testbed.await_version(processes, last_version)
     received = await take_received_versions(processes)
     delays_s = await delays_between(testbed, discovery, received, first_version, last_version)
-    known_ms = [1000.0 * delay_s for delay_s in delays_s if isfinite(delay_s)]
-    missing = len(delays_s) - len(known_ms)
+    finite_delays_ms = [1000.0 * delay_s for delay_s in delays_s if isfinite(delay_s)]
+    missing = len(delays_s) - len(finite_delays_ms)
     note = f"{missing} versions never in force" if missing else ""
-    worst_ms = [] if missing else [max(known_ms)]
+    worst_ms = [] if missing else [max(finite_delays_ms)]
     gateways = len(received)
-    testbed.measurements.add(f"fleet.{name}_99", "gateways", "ms", gateways, known_ms, note)
+    testbed.measurements.add(f"fleet.{name}_99", "gateways", "ms", gateways, finite_delays_ms, note)
     testbed.measurements.add(f"fleet.{name}_99_worst", "gateways", "ms", gateways, worst_ms, note)
--- a/scale/measurements/list_length.py
+++ b/scale/measurements/list_length.py
@@ -60,9 +60,9 @@
         for name, unit in (("list_cpu", "ms"), ("list_memory", "MB"), ("change_cpu", "ms")):
             measurements.add(f"gateway.{name}", "servers", unit, size, [], f"refused {rejected} times")
         return False
-    read_bytes = after.rss_bytes - before.rss_bytes
+    rss_growth_bytes = after.rss_bytes - before.rss_bytes
     measurements.add("gateway.list_cpu", "servers", "ms", size, [after.cpu_ms_since(before)])
-    measurements.add("gateway.list_memory", "servers", "MB", size, [read_bytes / MEBIBYTE])
+    measurements.add("gateway.list_memory", "servers", "MB", size, [rss_growth_bytes / MEBIBYTE])
     measurements.add("gateway.memory", "servers", "MB", size, [after.rss_mb])
     measurements.add("gateway.memory_peak", "servers", "MB", size, [after.peak_rss_bytes / MEBIBYTE])
     return True
--- a/scale/measurements/propagation.py
+++ b/scale/measurements/propagation.py
@@ -32,7 +32,14 @@
     delays = []
     for version, version_published_s in published_s:
         delays_by_gateway = sorted(
-            next((at_s - version_published_s for own, at_s in gateway if own >= version), inf)
+            next(
+                (
+                    at_s - version_published_s
+                    for received_version, at_s in gateway
+                    if received_version >= version
+                ),
+                inf,
+            )
             for gateway in received
         )
         delays.append(delays_by_gateway[ceil(COVERED_SHARE * len(delays_by_gateway)) - 1])
--- a/scale/play.py
+++ b/scale/play.py
@@ -196,9 +196,9 @@
     """Record the time until the versions were in force at 99 in 100 of the hollow gateways."""
     received = await take_received_versions(hollow)
     delays_s = sorted(propagation_delays(statistics.published_s, received)) if received else []
-    known_s = [delay_s for delay_s in delays_s if isfinite(delay_s)]
+    finite_delays_s = [delay_s for delay_s in delays_s if isfinite(delay_s)]
     figures = testbed.measurements.figures
-    if known_s:
-        figures["in force at 99 in 100: median ms"] = 1000.0 * known_s[len(known_s) // 2]
-        figures["in force at 99 in 100: worst ms"] = 1000.0 * known_s[-1]
-    figures["versions never in force at 99 in 100"] = len(delays_s) - len(known_s)
+    if finite_delays_s:
+        figures["in force at 99 in 100: median ms"] = 1000.0 * finite_delays_s[len(finite_delays_s) // 2]
+        figures["in force at 99 in 100: worst ms"] = 1000.0 * finite_delays_s[-1]
+    figures["versions never in force at 99 in 100"] = len(delays_s) - len(finite_delays_s)
