--- a/tests/scale/stubs/test_discovery.py
+++ b/tests/scale/stubs/test_discovery.py
@@ -110,7 +110,7 @@
         assert (snapshot["generation"], snapshot["reset"], len(snapshot["instances"])) == (5, True, 2)
 
 
-async def test_faults_silence_rejected_calls_dropped_watches_and_a_lost_zone(stub):
+async def test_injected_silence_rejection_dropped_watches_and_zone_loss(stub):
     async with asyncio.timeout(TIME_LIMIT_S):
         port = await stub.start()
         watch = await open_watch(port)
--- a/tests/scale/test_capacity.py
+++ b/tests/scale/test_capacity.py
@@ -10,19 +10,24 @@
 ROOT = Path(__file__).parent.parent.parent
 
 
-def result_of(
-    *points: tuple[float, float], name="memory", by="servers", role="gateway", started="1", noted_sizes=()
+def make_result(
+    *points: tuple[float, float],
+    name="memory",
+    by="servers",
+    role="gateway",
+    started="1",
+    sizes_without_values=(),
 ):
     """Return a result with one series."""
     series = results.Series(name, role, by, "MB")
     for size, value in points:
         series.add(size, [value])
-    for size in noted_sizes:
+    for size in sizes_without_values:
         series.add(size, [], "refused")
     return results.Result("slopes", 1, "", started, 1.0, "", {}, {}, config.Config(), [series], {})
 
 
-def row_of(table: str, quantity: str) -> list[str]:
+def table_row(table: str, quantity: str) -> list[str]:
     (line,) = [line for line in table.splitlines() if f"| {quantity} |" in line]
     return [cell.strip() for cell in line.strip("|").split("|")]
 
@@ -31,21 +36,21 @@
 
 
 @pytest.mark.parametrize(("page", "folder"), PAGES)
-def test_page_holds_the_table_that_the_committed_results_give(page, folder):
+def test_page_contains_the_table_generated_from_the_committed_results(page, folder):
     paths = sorted((ROOT / "docs" / folder).glob("*.json"))
     assert paths, "no results"
     text = (ROOT / "docs" / page).read_text()
     assert capacity.extract_table(text) == capacity.make_table([results.read_result(path) for path in paths])
 
 
-def test_page_tells_the_subset_that_the_program_works_with():
+def test_page_states_the_subset_size_that_gateways_use():
     text = (ROOT / "docs" / "CAPACITY.md").read_text()
     subset = Subset(3_800, 0)
     assert f"{subset.size(38_000)} servers" in text
     assert f"{subset.gateways_per_server(38_000):.1f} gateways" in text
 
 
-def test_committed_results_are_whole():
+def test_committed_results_are_complete_and_their_lines_match_their_points():
     for path in (ROOT / "docs" / "capacity").rglob("*-slopes-*.json"):
         result = results.read_result(path)
         assert not result.stopped, path
@@ -54,9 +59,9 @@
             assert series.fit == results.fit_line(values), (path, series.name)
 
 
-def test_figure_is_the_line_at_the_size_of_the_fleet_and_its_verdict_goes_by_the_budget():
-    within = row_of(
-        capacity.make_table([result_of((100, 20.1), (200, 20.2), (400, 20.4), (800, 20.8))]), "memory, all"
+def test_figure_is_extrapolated_to_the_fleet_size_and_compared_with_the_budget():
+    within = table_row(
+        capacity.make_table([make_result((100, 20.1), (200, 20.2), (400, 20.4), (800, 20.8))]), "memory, all"
     )
     assert within == [
         "gateway",
@@ -71,7 +76,7 @@
         "47.5 times",
     ]
     points = ((100, 20.3), (200, 20.6), (400, 21.2), (19000, 77.0))
-    over = row_of(capacity.make_table([result_of(*points, noted_sizes=[38000])]), "memory, all")
+    over = table_row(capacity.make_table([make_result(*points, sizes_without_values=[38000])]), "memory, all")
     assert over[3] == "100, 200, 400, 19000; 38000: refused"
     assert over[6:] == ["134 MB", "128 MB", "over", "2.0 times"]
 
@@ -84,26 +89,29 @@
         [(1, 1.0)],
     ],
 )
-def test_fewer_than_four_sizes_or_a_line_that_does_not_hold_leave_it_unknown(points):
-    cells = row_of(capacity.make_table([result_of(*points)]), "memory, all")
+def test_verdict_is_unknown_for_fewer_than_four_sizes_or_a_large_residual(points):
+    cells = table_row(capacity.make_table([make_result(*points)]), "memory, all")
     assert cells[8] == "unknown"
-    assert row_of(capacity.make_table([result_of(*points)]), "memory, routes as classes")[3] == "not measured"
+    assert (
+        table_row(capacity.make_table([make_result(*points)]), "memory, routes as classes")[3]
+        == "not measured"
+    )
 
 
-def test_what_was_measured_at_the_very_size_goes_before_the_line():
-    series = result_of((50, 9.0), (100, 1.0), (218, 1.2), (300, 9.0), name="added_p99", by="requests/s")
-    cells = row_of(capacity.make_table([series]), "added at p99, by load")
+def test_value_measured_at_the_fleet_size_takes_precedence_over_the_line():
+    series = make_result((50, 9.0), (100, 1.0), (218, 1.2), (300, 9.0), name="added_p99", by="requests/s")
+    cells = table_row(capacity.make_table([series]), "added at p99, by load")
     assert cells[6:] == ["1.2 ms", "1.3 ms", "within", "no"]
 
 
-def test_what_one_size_alone_shows_is_told_at_that_size_and_does_not_displace_a_line():
+def test_single_size_at_the_fleet_size_is_shown_and_does_not_replace_an_earlier_line():
     refused = "refused list asked for again, bytes"
-    first = result_of((1, 1.0), (2, 2.0), (3, 3.0), (4, 4.0), started="2026-01-01")
-    later = result_of((38000, 7000.0), name="refused_sent", started="2026-01-02")
-    later.series += result_of(noted_sizes=[38000]).series
+    first = make_result((1, 1.0), (2, 2.0), (3, 3.0), (4, 4.0), started="2026-01-01")
+    later = make_result((38000, 7000.0), name="refused_sent", started="2026-01-02")
+    later.series += make_result(sizes_without_values=[38000]).series
     assert refused not in capacity.make_table([first])
     table = capacity.make_table([first, later])
-    assert row_of(table, refused)[2:] == [
+    assert table_row(table, refused)[2:] == [
         "none",
         "38000",
         "0%",
@@ -113,17 +121,17 @@
         "over",
         "no",
     ]
-    assert row_of(table, "memory, all")[3] == "1, 2, 3, 4"
+    assert table_row(table, "memory, all")[3] == "1, 2, 3, 4"
 
 
-def test_later_result_of_the_same_quantity_counts():
-    first = result_of((1, 1.0), (2, 2.0), (3, 3.0), (4, 4.0), started="2026-01-01")
-    later = result_of((1, 5.0), (2, 5.0), (3, 5.0), (4, 5.0), started="2026-01-02")
+def test_latest_result_of_a_series_is_used():
+    first = make_result((1, 1.0), (2, 2.0), (3, 3.0), (4, 4.0), started="2026-01-01")
+    later = make_result((1, 5.0), (2, 5.0), (3, 5.0), (4, 5.0), started="2026-01-02")
     for order in ([first, later], [later, first]):
-        assert row_of(capacity.make_table(order), "memory, all")[6] == "5 MB"
+        assert table_row(capacity.make_table(order), "memory, all")[6] == "5 MB"
 
 
-def test_table_goes_between_the_marks_and_nothing_else_changes():
+def test_only_the_text_between_the_markers_is_replaced():
     page = f"before\n{capacity.BEGIN_MARKER}\nold\n{capacity.END_MARKER}\nafter\n"
     assert (
         capacity.replace_table(page, "new")
--- a/tests/scale/test_seeds.py
+++ b/tests/scale/test_seeds.py
@@ -28,6 +28,6 @@
     assert requests == list(arrivals.poisson_arrivals(7, 100.0, 20.0, 1000, 1.1))
     assert abs(len(requests) - 2000) < 200
     assert requests == sorted(requests)
-    of_first = sum(arrival.customer == 0 for arrival in requests)
-    of_tenth = sum(arrival.customer == 9 for arrival in requests)
-    assert of_first > 4 * of_tenth > 0
+    first_customer_requests = sum(arrival.customer == 0 for arrival in requests)
+    tenth_customer_requests = sum(arrival.customer == 9 for arrival in requests)
+    assert first_customer_requests > 4 * tenth_customer_requests > 0
