--- a/scale/capacity.py
+++ b/scale/capacity.py
@@ -43,7 +43,7 @@
 IN_FORCE_MS = 5_000.0
 ADDED_LATENCY_MS = 1.3
 LIST_STALL_MS = 5.0
-"""Budgets of the target fleet; the last one is the goal for reading a complete list."""
+"""Budgets of the target fleet; LIST_STALL_MS is the goal for the event loop's stall by a complete list."""
 
 CUSTOMER_RETENTION_S = 4.0
 """Minimum time that a gateway keeps a customer when the usage period is one second."""
@@ -58,7 +58,7 @@
     "routes": 27_000.0,
     # Customers kept at a time if every request comes from another customer; earlier ones are forgotten.
     "tenants held": 218.0 * CUSTOMER_RETENTION_S,
-    # For 200 servers, in the ratio of 3,800 gateways to 38,000 servers.
+    # Gateways for 200 servers, in the ratio of 3,800 gateways to 38,000 servers.
     "real gateways": 20.0,
 }
 """Size of the target fleet, by the variable that a series is measured by."""
@@ -172,7 +172,7 @@
 
 
 def _verdict(fit: Fit, measured: float | None, figure: float, quantity: Quantity) -> str:
-    """Compare a figure with its budget: "unknown" without a reliable line, "-" without a budget."""
+    """Return the verdict on a figure: "unknown" without a reliable line, "-" without a budget."""
     is_line_weak = len(set(fit.sizes)) < MINIMUM_SIZES or fit.residual > MAXIMUM_RESIDUAL
     if measured is None and is_line_weak:
         return "unknown"
--- a/scale/load/connections.py
+++ b/scale/load/connections.py
@@ -66,7 +66,7 @@
         self._pool.handle_connection_lost(self, pending)
 
     def abort(self) -> None:
-        """Close the connection at once."""
+        """Close the connection immediately, without sending buffered data."""
         if self._transport:
             self._transport.abort()
 
--- a/scale/stubs/discovery_connection.py
+++ b/scale/stubs/discovery_connection.py
@@ -135,6 +135,6 @@
         self._heartbeat_timer = asyncio.get_running_loop().call_later(delay_s, self._heartbeat)
 
     def abort(self) -> None:
-        """Close the connection at once."""
+        """Close the connection immediately, without sending buffered data."""
         if self._transport:
             self._transport.abort()
--- a/scale/stubs/discovery_state.py
+++ b/scale/stubs/discovery_state.py
@@ -26,7 +26,7 @@
         """Send the changes that the watch does not have yet."""
 
     def abort(self) -> None:
-        """Close the connection at once."""
+        """Close the connection immediately, without sending buffered data."""
 
 
 class DiscoveryState:
--- a/tests/scale/test_supervision.py
+++ b/tests/scale/test_supervision.py
@@ -17,7 +17,7 @@
 
 
 def run_command(out: Path) -> list[str]:
-    """Return the command of a small run with one phase of load of at least five minutes."""
+    """Return the command of a small run with phases of load of five minutes each."""
     command = [sys.executable, "-m", "scale", "run", "--out", str(out), "--hollow", "2", "--servers", "4"]
     return [*command, "--set", "load.seconds=300.0", "--set", "fleet.ports=4"]
 
