--- a/scale/measurements/fleet_size.py
+++ b/scale/measurements/fleet_size.py
@@ -1,4 +1,4 @@
-"""Discovery's cost and the propagation of its updates, by the number of gateways that watch."""
+"""Cost of discovery and propagation of its updates, by the number of gateways with a watch."""
 
 from __future__ import annotations
 
@@ -63,15 +63,15 @@
     name: str,
     versions: tuple[int, int],
 ) -> None:
-    """Record how soon the versions, from the first to the last, were in force at 99 in 100 gateways."""
+    """Record the time until each version, from the first to the last, was in force at 99 in 100 gateways."""
     first_version, last_version = versions
     await testbed.await_version(processes, last_version)
     received = await take_received_versions(processes)
     delays_s = await delays_between(testbed, discovery, received, first_version, last_version)
-    known_ms = [1000.0 * delay_s for delay_s in delays_s if isfinite(delay_s)]
-    missing = len(delays_s) - len(known_ms)
+    finite_delays_ms = [1000.0 * delay_s for delay_s in delays_s if isfinite(delay_s)]
+    missing = len(delays_s) - len(finite_delays_ms)
     note = f"{missing} versions never in force" if missing else ""
-    worst_ms = [] if missing else [max(known_ms)]
+    worst_ms = [] if missing else [max(finite_delays_ms)]
     gateways = len(received)
-    testbed.measurements.add(f"fleet.{name}_99", "gateways", "ms", gateways, known_ms, note)
+    testbed.measurements.add(f"fleet.{name}_99", "gateways", "ms", gateways, finite_delays_ms, note)
     testbed.measurements.add(f"fleet.{name}_99_worst", "gateways", "ms", gateways, worst_ms, note)
--- a/tests/scale/test_seeds.py
+++ b/tests/scale/test_seeds.py
@@ -13,7 +13,8 @@
     assert events == sorted(events)
     assert all(0.0 <= event.draw < 1.0 for event in events)
     counts = {kind: sum(event.kind == kind for event in events) for kind in ("change", "restart", "failure")}
-    assert counts == {"change": 2036, "restart": 11043, "failure": 47}  # 2,100, 11,000 and 61 expected
+    # The expected means are 2,100, 11,000 and 61.
+    assert counts == {"change": 2036, "restart": 11043, "failure": 47}
 
 
 def test_same_seed_gives_the_same_endpoints():
@@ -27,6 +28,6 @@
     assert requests == list(arrivals.poisson_arrivals(7, 100.0, 20.0, 1000, 1.1))
     assert abs(len(requests) - 2000) < 200
     assert requests == sorted(requests)
-    of_first = sum(arrival.customer == 0 for arrival in requests)
-    of_tenth = sum(arrival.customer == 9 for arrival in requests)
-    assert of_first > 4 * of_tenth > 0
+    first_customer_requests = sum(arrival.customer == 0 for arrival in requests)
+    tenth_customer_requests = sum(arrival.customer == 9 for arrival in requests)
+    assert first_customer_requests > 4 * tenth_customer_requests > 0
