--- a/quota_gateway/policy/clock.py
+++ b/quota_gateway/policy/clock.py
@@ -33,7 +33,7 @@
             ValueError: The time is before that of the last event, or is not a number.
         """
         if not now_ms >= self.now_ms:
-            raise ValueError(f"now_ms: {now_ms!r} is not at or after the last event at {self.now_ms!r}")
+            raise ValueError(f"now_ms: {now_ms!r} is before {self.now_ms!r}")
         self.now_ms = now_ms
         self.started_at_ms = min(self.started_at_ms, now_ms)
 
--- a/scale/__main__.py
+++ b/scale/__main__.py
@@ -62,7 +62,7 @@
             for measure in measurements:
                 await measure(testbed)
     except TimeoutError:
-        return f"run exceeded deadline_s of {config.deadline_s:g}"
+        return f"deadline_s of {config.deadline_s:g} is over"
     except (ChildError, LimitError) as error:
         return str(error)
     except asyncio.CancelledError:
--- a/scale/supervisor.py
+++ b/scale/supervisor.py
@@ -100,7 +100,7 @@
         loop = asyncio.get_running_loop()
         self._task = asyncio.current_task()
         for number in (signal.SIGINT, signal.SIGTERM):
-            loop.add_signal_handler(number, self._stop, f"received {number.name}")
+            loop.add_signal_handler(number, self._stop, f"{number.name} came")
         self._scratch_folder = tempfile.TemporaryDirectory(prefix="scale-")
         self._memory_limit_task = loop.create_task(self._enforce_memory_limit(), name="enforce memory limit")
         return self
@@ -134,7 +134,7 @@
             rss_bytes = sum(child.rss_bytes() for child in self._children)
             self.peak_rss_bytes = max(self.peak_rss_bytes, rss_bytes)
             if rss_bytes > self._config.memory_mb * MEBIBYTE:
-                self._stop(f"child processes use more than memory_mb: {rss_bytes // MEBIBYTE} MiB")
+                self._stop(f"the children hold more than memory_mb: {rss_bytes // MEBIBYTE}")
             await asyncio.sleep(MEMORY_CHECK_INTERVAL_S)
 
     async def _start(
--- a/soak/faults/processes.py
+++ b/soak/faults/processes.py
@@ -93,7 +93,7 @@
         await gateway.kill_new_version(old, new)
         await asyncio.sleep(RESUME_S)
         if not await self._serves_on(old, killed_s + READY_TIMEOUT_S):
-            gateway.record_start_violation(old, "not ready again after the new version was killed")
+            gateway.record_start_violation(old, "does not serve on after the new version died")
 
     async def _serves_on(self, old: GatewayProcess, until_s: float) -> bool:
         while not await old.is_ready() and time.monotonic() < until_s:  # noqa: ASYNC110 - no event to wait for
--- a/tests/scale/test_supervision.py
+++ b/tests/scale/test_supervision.py
@@ -58,15 +58,15 @@
     assert not alive
     if number != signal.SIGKILL:
         assert process.returncode == 130
-        assert f"received {number.name}" in output.decode()
+        assert f"{number.name} came" in output.decode()
         (path,) = tmp_path.glob("*.json")
-        assert results.read_result(path).stopped == f"received {number.name}"
+        assert results.read_result(path).stopped == f"{number.name} came"
 
 
 @pytest.mark.parametrize(
     ("flag", "reason"),
     [
-        ("deadline_s=4.0", "run exceeded deadline_s of 4"),
+        ("deadline_s=4.0", "deadline_s of 4 is over"),
         ("memory_mb=64", "more than memory_mb"),
         ("processes=4", "`processes`"),
     ],
