--- a/quota_gateway/model/settings.py
+++ b/quota_gateway/model/settings.py
@@ -193,7 +193,7 @@
         classes: Every class of requests.
         plans: Every plan.
         limits: Limits and permissions of the site.
-        contract: Rules for draining, slow start and overload.
+        service_rules: Rules for draining, slow start and overload.
         discovery: How endpoint updates arrive.
         load_report_fields: Names of the values in a server's load report, in order.
         usage_period_ms: Period that a usage report covers.
@@ -211,7 +211,7 @@
     classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...]
     limits: GatewayLimits = GatewayLimits()
-    contract: ServiceRules = ServiceRules()
+    service_rules: ServiceRules = ServiceRules()
     discovery: DiscoveryMode = DiscoveryMode.PUSH
     load_report_fields: tuple[str, ...] = ()
     usage_period_ms: float = 0.0
--- a/quota_gateway/policy/endpoint_events.py
+++ b/quota_gateway/policy/endpoint_events.py
@@ -45,7 +45,7 @@
         return True
 
     def _arm_poll(self, kind: UpdateKind) -> None:
-        retry_ms = self._settings.contract.poll_deadline_ms * POLL_RETRY_DEADLINE_SHARE
+        retry_ms = self._settings.service_rules.poll_deadline_ms * POLL_RETRY_DEADLINE_SHARE
         delay_ms = 0.0 if kind is UpdateKind.CACHED else retry_ms
         self._output.append(self._timers.arm(delay_ms, PollDue()))
 
--- a/quota_gateway/policy/mechanisms.py
+++ b/quota_gateway/policy/mechanisms.py
@@ -39,7 +39,7 @@
         self.retry_budget = RetryBudget(settings.limits)
         self.failures = FailureTracker(clock)
         self.outliers = OutlierDetector(self.failures)
-        self.slow_start = SlowStart(settings.contract, clock)
+        self.slow_start = SlowStart(settings.service_rules, clock)
         self.balancer = LoadBalancer(settings, clock, random, self.slow_start, self.outliers)
         self.subset = Subset(settings.gateways, settings.index)
         self.endpoints = EndpointTable(clock, self.subset, self.slow_start, self.outliers)
--- a/quota_gateway/settings_format.py
+++ b/quota_gateway/settings_format.py
@@ -128,7 +128,7 @@
     "classes": Key("services", _objects(model.RequestClass, REQUEST_CLASS_KEYS)),
     "plans": Key("tariffs", _objects(model.Plan, PLAN_KEYS)),
     "limits": Key("limits", _object(model.GatewayLimits, GATEWAY_LIMITS_KEYS)),
-    "contract": Key("contract", _object(model.ServiceRules, SERVICE_RULES_KEYS)),
+    "service_rules": Key("contract", _object(model.ServiceRules, SERVICE_RULES_KEYS)),
     "discovery": Key("discovery", _choice(DISCOVERY_MODES)),
     "load_report_fields": Key("load_info.names", _load_report_fields),
     "usage_period_ms": Key("family_info.meter_ms"),
--- a/tests/policy/test_endpoints.py
+++ b/tests/policy/test_endpoints.py
@@ -15,7 +15,7 @@
 
 SUBSET_SIZE = 3
 SERVERS = 10
-WARM_UP_MS = SETTINGS.contract.warm_up_ms
+WARM_UP_MS = SETTINGS.service_rules.warm_up_ms
 
 
 @pytest.fixture
@@ -33,7 +33,7 @@
 @pytest.fixture
 def table(clock, detector) -> EndpointTable:
     """A table of ten endpoints, of which a gateway of a large fleet works with three."""
-    slow_start = SlowStart(SETTINGS.contract, clock)
+    slow_start = SlowStart(SETTINGS.service_rules, clock)
     table = EndpointTable(clock, Subset(1000, 0, SUBSET_SIZE), slow_start, detector)
     update(table, *(Endpoint(number, "a") for number in range(1, SERVERS + 1)), kind=UpdateKind.SNAPSHOT)
     return table
--- a/tests/policy/test_load_balancing.py
+++ b/tests/policy/test_load_balancing.py
@@ -48,7 +48,7 @@
 
 @pytest.fixture
 def balancer(clock, failures) -> LoadBalancer:
-    slow_start = SlowStart(SETTINGS.contract, clock)
+    slow_start = SlowStart(SETTINGS.service_rules, clock)
     return LoadBalancer(SETTINGS, clock, NoJitter(1), slow_start, OutlierDetector(failures))
 
 
@@ -151,7 +151,7 @@
 
 
 def test_cost_jitter_stays_within_its_share(clock, failures):
-    slow_start = SlowStart(SETTINGS.contract, clock)
+    slow_start = SlowStart(SETTINGS.service_rules, clock)
     balancer = LoadBalancer(SETTINGS, clock, Random(1), slow_start, OutlierDetector(failures))
     costs = [balancer.cost(pending_request(), make_endpoints(1)[0]) for _ in range(200)]
     assert 1.0 <= min(costs) < max(costs) < 1.0 + COST_JITTER_SHARE
--- a/tests/policy/test_mechanisms.py
+++ b/tests/policy/test_mechanisms.py
@@ -137,11 +137,11 @@
 
 def test_slow_start_gives_the_initial_share_then_the_full_capacity():
     clock = clock_at(1000.0)
-    slow_start = SlowStart(SETTINGS.contract, clock)
+    slow_start = SlowStart(SETTINGS.service_rules, clock)
     endpoint = EndpointState(Endpoint(1, "a", started_ms=1000.0), 0.0)
-    assert slow_start.capacity_share(endpoint) == SETTINGS.contract.initial_capacity_share
+    assert slow_start.capacity_share(endpoint) == SETTINGS.service_rules.initial_capacity_share
     assert slow_start.warming_up([endpoint]) == [endpoint]
-    clock.advance(1000.0 + SETTINGS.contract.warm_up_ms)
+    clock.advance(1000.0 + SETTINGS.service_rules.warm_up_ms)
     assert slow_start.capacity_share(endpoint) == 1.0
 
 
@@ -163,7 +163,7 @@
 
 def test_endpoint_table_keeps_an_endpoint_detached_whatever_discovery_lists():
     clock = clock_at(1000.0)
-    slow_start, detector = SlowStart(SETTINGS.contract, clock), OutlierDetector(FailureTracker(clock))
+    slow_start, detector = SlowStart(SETTINGS.service_rules, clock), OutlierDetector(FailureTracker(clock))
     table = EndpointTable(clock, Subset(1, 0), slow_start, detector)
     table.detach(1)
     table.update(EndpointUpdate(UpdateKind.SNAPSHOT, (Endpoint(1, "a"), Endpoint(2, "a"))))
--- a/tests/policy/test_protocol_rules.py
+++ b/tests/policy/test_protocol_rules.py
@@ -597,7 +597,7 @@
 
 def harness_with_four_warming() -> EngineHarness:
     """A harness with one warm endpoint, and four that stay at a fifth of their capacity."""
-    harness = make_harness(contract=LONG_WARM_UP_FROM_A_FIFTH)
+    harness = make_harness(service_rules=LONG_WARM_UP_FROM_A_FIFTH)
     warming = [make_endpoint(number, started_ms=harness.now) for number in (2, 3, 4, 5)]
     harness.servers(make_endpoint(1), *warming)
     return harness
@@ -647,7 +647,7 @@
 
 def test_draw_ranges_of_warming_endpoints_stay_while_they_warm_up():
     # If ranges moved, a request that is queued or retried could fall into the range of a second endpoint.
-    harness = make_harness(contract=EIGHTEEN_SECOND_WARM_UP)
+    harness = make_harness(service_rules=EIGHTEEN_SECOND_WARM_UP)
     harness.servers(*(make_endpoint(number, started_ms=harness.now) for number in range(1, 12)))
     endpoints = harness.gateway.endpoints
     slow_start = harness.gateway.mechanisms.slow_start
@@ -670,7 +670,7 @@
     warming = range(25, 61)
     counts: Counter[int] = Counter()
     for index in range(40):
-        settings = replace(SETTINGS, gateways=40, index=index, contract=LONG_WARM_UP_FROM_HALF)
+        settings = replace(SETTINGS, gateways=40, index=index, service_rules=LONG_WARM_UP_FROM_HALF)
         harness = EngineHarness(settings, seed=index)
         harness.servers(
             *(make_endpoint(number) for number in warm),
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -113,7 +113,7 @@
     return replace(
         SETTINGS,
         gateways=gateway_count,
-        contract=RULES,
+        service_rules=RULES,
         limits=GatewayLimits(max_attempts=4, can_cancel=True, may_duplicate=True),
         classes=classes,
     )
--- a/tests/support/engine_harness.py
+++ b/tests/support/engine_harness.py
@@ -74,7 +74,7 @@
     classes=CLASSES,
     plans=PLANS,
     limits=GatewayLimits(max_attempts=3, can_cancel=True),
-    contract=ServiceRules(8.0, 500.0, 0.2, 10_000.0, 3.0, 2000.0, 10_000.0),
+    service_rules=ServiceRules(8.0, 500.0, 0.2, 10_000.0, 3.0, 2000.0, 10_000.0),
     usage_period_ms=1000.0,
     max_request_units=4,
     tick_ms=2.0,
--- a/tests/support/gateway_node.py
+++ b/tests/support/gateway_node.py
@@ -52,7 +52,7 @@
     ),
     plans=(Plan("free"), Plan("tiny", rate=0.001, burst=2.0)),
     limits=GatewayLimits(max_attempts=3, can_cancel=True, connect_timeout_ms=2000.0),
-    contract=ServiceRules(8.0, 1000.0, 0.2, 10_000.0, 3.0, 2000.0, 10_000.0),
+    service_rules=ServiceRules(8.0, 1000.0, 0.2, 10_000.0, 3.0, 2000.0, 10_000.0),
     load_report_fields=("utilisation", "queue"),
     usage_period_ms=1000.0,
     tick_ms=2.0,
--- a/tests/unit/test_config.py
+++ b/tests/unit/test_config.py
@@ -167,7 +167,10 @@
     assert request_class.idempotency_scope is IdempotencyScope.ALL
     assert (plan.rate, plan.burst, plan.max_in_flight) == (2.0, 4.0, 0)
     assert (settings.limits.max_attempts, settings.limits.connection_idle_ms) == (3, 30_000.0)
-    assert (settings.contract.overload_factor, settings.contract.overload_window_ms) == (3.0, 2000.0)
+    assert (settings.service_rules.overload_factor, settings.service_rules.overload_window_ms) == (
+        3.0,
+        2000.0,
+    )
 
 
 def test_addresses_in_the_environment_take_precedence_over_the_file(tmp_path):
--- a/tests/unit/test_settings_format.py
+++ b/tests/unit/test_settings_format.py
@@ -226,7 +226,7 @@
         ),
         plans=(Plan(name="basic", rate=2.0, burst=4.0, excess_cost=1.0),),
         limits=GatewayLimits(max_attempts=3, can_cancel=True, max_open=1000, connect_timeout_ms=250.0),
-        contract=ServiceRules(8.0, 1000.0, 0.2, 10_000.0, 3.0, 2000.0, 10_000.0),
+        service_rules=ServiceRules(8.0, 1000.0, 0.2, 10_000.0, 3.0, 2000.0, 10_000.0),
         discovery=DiscoveryMode.PUSH,
         load_report_fields=("utilisation", "queue"),
         usage_period_ms=1000.0,
