--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -11,6 +11,6 @@
 @pytest.fixture
 def harness() -> EngineHarness:
     """A policy engine with two endpoints, on a scripted clock."""
-    engine = EngineHarness()
-    engine.servers(make_endpoint(1), make_endpoint(2))
-    return engine
+    engine_harness = EngineHarness()
+    engine_harness.update_endpoints(make_endpoint(1), make_endpoint(2))
+    return engine_harness
--- a/tests/model/test_snapshot.py
+++ b/tests/model/test_snapshot.py
@@ -40,12 +40,14 @@
 def test_engine_restores_and_exports_the_snapshot_of_4431b5a_without_a_change():
     recorded = json.loads(RECORDED_BY_4431B5A.read_text())
     harness = EngineHarness()
-    harness.servers(make_endpoint(1), make_endpoint(2), make_endpoint(3, started_ms=900.0), make_endpoint(4))
+    harness.update_endpoints(
+        make_endpoint(1), make_endpoint(2), make_endpoint(3, started_ms=900.0), make_endpoint(4)
+    )
     harness.run(LATER_MS)
-    harness.do(RestoreState(recorded))
-    (action,) = [a for a in harness.do(ExportState()) if isinstance(a, StateSnapshot)]
+    harness.handle(RestoreState(recorded))
+    (action,) = [a for a in harness.handle(ExportState()) if isinstance(a, StateSnapshot)]
     assert json.dumps(action.state) == json.dumps(recorded)
-    assert not harness.gateway.endpoints.by_id[2].is_ready
+    assert not harness.engine.endpoints.by_id[2].is_ready
 
 
 @pytest.mark.parametrize("key", ["customers", "servers", "marks", "sends", "pool", "retries", "started_at"])
@@ -54,9 +56,9 @@
     del recorded[key]
     harness = EngineHarness()
     with pytest.raises(StateError, match=key):
-        harness.do(RestoreState(recorded))
-    assert not harness.gateway.customers
-    assert not harness.gateway.has_peer_process
+        harness.handle(RestoreState(recorded))
+    assert not harness.engine.customers
+    assert not harness.engine.has_peer_process
 
 
 def test_times_ahead_of_the_clock_are_read_as_now():
@@ -116,9 +118,9 @@
 
 def test_engine_writes_the_snapshot_of_4abec57_after_the_same_events(recorded_by_4abec57):
     harness = EngineHarness()
-    harness.servers(*(make_endpoint(number) for number in (1, 2, 3)), kind=UpdateKind.CACHED)
+    harness.update_endpoints(*(make_endpoint(number) for number in (1, 2, 3)), kind=UpdateKind.CACHED)
     replay(harness)
-    (action,) = [a for a in harness.do(ExportState()) if isinstance(a, StateSnapshot)]
+    (action,) = [a for a in harness.handle(ExportState()) if isinstance(a, StateSnapshot)]
     written = json.loads(json.dumps(action.state))
     assert list(written) == list(recorded_by_4abec57)
     assert shape(written) == shape(recorded_by_4abec57)
--- a/tests/net/admin/test_detachments.py
+++ b/tests/net/admin/test_detachments.py
@@ -24,19 +24,24 @@
 
 FAILING_SERVER = "s-fault"  # admin calls for this server fail
 DISCOVERY_UPDATES = [
-    lambda harness: harness.servers(make_endpoint(1), make_endpoint(2)),
-    lambda harness: harness.servers(make_endpoint(1, started_ms=harness.now), kind=UpdateKind.DELTA),
-    lambda harness: (harness.servers(make_endpoint(2)), harness.servers(make_endpoint(1), make_endpoint(2))),
+    lambda harness: harness.update_endpoints(make_endpoint(1), make_endpoint(2)),
+    lambda harness: harness.update_endpoints(
+        make_endpoint(1, started_ms=harness.now_ms), kind=UpdateKind.DELTA
+    ),
+    lambda harness: (
+        harness.update_endpoints(make_endpoint(2)),
+        harness.update_endpoints(make_endpoint(1), make_endpoint(2)),
+    ),
     lambda harness: (
-        harness.servers(make_endpoint(1, state=EndpointLifecycle.GONE), kind=UpdateKind.DELTA),
-        harness.servers(make_endpoint(1), kind=UpdateKind.DELTA),
+        harness.update_endpoints(make_endpoint(1, state=EndpointLifecycle.GONE), kind=UpdateKind.DELTA),
+        harness.update_endpoints(make_endpoint(1), kind=UpdateKind.DELTA),
     ),
 ]
 
 
 def chosen_servers(harness, count: int = 60) -> list[int]:
     """Send ``count`` requests, one after the other, and return the servers that got them."""
-    names = [harness.ask(timeout_ms=100.0) for _ in range(count) if not harness.run(1.0)]
+    names = [harness.send_request(timeout_ms=100.0) for _ in range(count) if not harness.run(1.0)]
     servers = [harness.sent[name][0] for name in names if name in harness.sent]
     for name in names:
         if name in harness.sent:
@@ -46,46 +51,46 @@
 
 def capacity_share(harness, server: int) -> float:
     """Return the share of its capacity that a server is given while it is warming."""
-    return harness.gateway.mechanisms.slow_start.capacity_share(harness.gateway.endpoints.by_id[server])
+    return harness.engine.mechanisms.slow_start.capacity_share(harness.engine.endpoints.by_id[server])
 
 
 @pytest.mark.parametrize("update", DISCOVERY_UPDATES)
 def test_detached_server_gets_no_request_after_any_discovery_update(harness, update):
-    harness.do(DetachServer(1))
+    harness.handle(DetachServer(1))
     update(harness)
-    harness.do(DetachServer(1))  # a second call has no further effect
+    harness.handle(DetachServer(1))  # a second call has no further effect
     assert set(chosen_servers(harness)) == {2}
-    harness.do(AttachServer(1))
+    harness.handle(AttachServer(1))
     harness.run(20_000.0)
     assert set(chosen_servers(harness)) == {1, 2}
 
 
 @pytest.mark.parametrize("update", [DISCOVERY_UPDATES[0], DISCOVERY_UPDATES[2], lambda _: None])
 def test_attached_server_warms_up_without_an_update_of_its_start(harness, update):
-    harness.do(DetachServer(1))
+    harness.handle(DetachServer(1))
     harness.run(1000.0)
-    harness.do(AttachServer(1))
+    harness.handle(AttachServer(1))
     update(harness)
     assert 0 < chosen_servers(harness, 400).count(1) < 200 * 0.45  # an even share would be 200
     share = capacity_share(harness, 1)
     assert 0.2 <= share < 0.3
     # Discovery now reports the start.
-    harness.servers(make_endpoint(1, started_ms=harness.now - 900.0), kind=UpdateKind.DELTA)
+    harness.update_endpoints(make_endpoint(1, started_ms=harness.now_ms - 900.0), kind=UpdateKind.DELTA)
     assert capacity_share(harness, 1) > share
 
 
 def test_attaching_a_server_that_was_not_detached_has_no_effect(harness):
-    harness.do(AttachServer(1))
+    harness.handle(AttachServer(1))
     assert capacity_share(harness, 1) == 1.0
 
 
 def test_queued_requests_go_to_a_server_once_it_is_attached():
     harness = make_harness()
-    harness.servers(make_endpoint(1))
-    harness.do(DetachServer(1))
-    names = [harness.ask() for _ in range(30)]
+    harness.update_endpoints(make_endpoint(1))
+    harness.handle(DetachServer(1))
+    names = [harness.send_request() for _ in range(30)]
     assert not harness.sent
-    harness.do(AttachServer(1))
+    harness.handle(AttachServer(1))
     harness.run(2000.0)
     assert harness.sent
     assert set(harness.sent) <= set(names)
--- a/tests/net/discovery/test_large_endpoint_lists.py
+++ b/tests/net/discovery/test_large_endpoint_lists.py
@@ -301,16 +301,16 @@
     """
     harness = EngineHarness(LARGE_FLEET)
     known = make_endpoints(2 * SUBSET_SIZE)
-    harness.do(EndpointUpdate(UpdateKind.SNAPSHOT, known, 1, SERVERS))
-    harness.gateway.mechanisms.concurrency.limit = UNLIMITED
-    subset = harness.gateway.subset
+    harness.handle(EndpointUpdate(UpdateKind.SNAPSHOT, known, 1, SERVERS))
+    harness.engine.mechanisms.concurrency.limit = UNLIMITED
+    subset = harness.engine.subset
     ranked = sorted(known, key=lambda endpoint: subset.distance(endpoint.name))
     return harness, [endpoint.server for endpoint in ranked]
 
 
 def ready_servers(harness: EngineHarness) -> set[int]:
     """Return the numbers of the servers that the gateway works with."""
-    return {server.id for server in harness.gateway.endpoints.ready}
+    return {server.id for server in harness.engine.endpoints.ready}
 
 
 def test_gateway_of_a_large_fleet_works_with_the_nearest_ready_servers_alone():
@@ -318,30 +318,30 @@
     assert ready_servers(harness) == set(ranked[:SUBSET_SIZE])
     draining = ranked[3:10]
     update = [Endpoint(number, "a", state=EndpointLifecycle.DRAINING) for number in draining]
-    harness.servers(*update, kind=UpdateKind.DELTA)
-    harness.gateway.endpoints.listed_count = SERVERS
-    harness.do(EndpointUpdate(UpdateKind.DELTA, (), 2, SERVERS))
+    harness.update_endpoints(*update, kind=UpdateKind.DELTA)
+    harness.engine.endpoints.listed_count = SERVERS
+    harness.handle(EndpointUpdate(UpdateKind.DELTA, (), 2, SERVERS))
     assert ready_servers(harness) == set(ranked[: SUBSET_SIZE + 7]) - set(draining)
-    assert harness.gateway.endpoints.standby[-1].id == ranked[SUBSET_SIZE + 7]
+    assert harness.engine.endpoints.standby[-1].id == ranked[SUBSET_SIZE + 7]
 
 
 def test_gateway_where_all_servers_fit_works_with_all_of_them():
     harness = EngineHarness(replace(SETTINGS, gateways=200, index=17))
-    harness.do(EndpointUpdate(UpdateKind.SNAPSHOT, make_endpoints(200)))
-    assert len(harness.gateway.endpoints.ready) == 200
-    assert not harness.gateway.endpoints.standby
+    harness.handle(EndpointUpdate(UpdateKind.SNAPSHOT, make_endpoints(200)))
+    assert len(harness.engine.endpoints.ready) == 200
+    assert not harness.engine.endpoints.standby
 
 
 def test_concurrency_limit_depends_on_all_listed_servers_not_on_those_that_are_known():
     harness = EngineHarness(LARGE_FLEET)
-    harness.do(EndpointUpdate(UpdateKind.CACHED, make_endpoints(2 * SUBSET_SIZE), 1, SERVERS))
-    assert harness.gateway.mechanisms.concurrency.limit == pytest.approx(6.0 * SERVERS / GATEWAYS)
+    harness.handle(EndpointUpdate(UpdateKind.CACHED, make_endpoints(2 * SUBSET_SIZE), 1, SERVERS))
+    assert harness.engine.mechanisms.concurrency.limit == pytest.approx(6.0 * SERVERS / GATEWAYS)
 
 
 @contextmanager
 def only_ready_server(harness: EngineHarness, server: int):
     """Make this server the only one that requests go to."""
-    endpoints = harness.gateway.endpoints
+    endpoints = harness.engine.endpoints
     ready = endpoints.ready
     endpoints.ready = [state for state in ready if state.id == server]
     yield
@@ -351,13 +351,13 @@
 def eject(harness: EngineHarness, server: int) -> None:
     """Fail requests to this server until it is ejected as an outlier."""
     for _ in range(4):
-        harness.count += 1
-        name = f"f{harness.count}"
+        harness.request_count += 1
+        name = f"f{harness.request_count}"
         with only_ready_server(harness, server):
-            actions = harness.do(Request(name, "unsafe", "free", "c", 4000.0))
+            actions = harness.handle(Request(name, "unsafe", "free", "c", 4000.0))
         attempts = [action for action in actions if isinstance(action, StartAttempt)]
         assert [attempt.server for attempt in attempts] == [server]
-        harness.do(Outcome(name, 0, server, AttemptStatus.RESET, 10.0))
+        harness.handle(Outcome(name, 0, server, AttemptStatus.RESET, 10.0))
 
 
 def test_each_ejected_server_that_discovery_still_lists_is_replaced_from_the_reserve():
@@ -365,14 +365,14 @@
     for server in ranked[:5]:
         eject(harness, server)
     assert ready_servers(harness) == set(ranked[: SUBSET_SIZE + 5])
-    harness.do(EndpointUpdate(UpdateKind.DELTA, (), 2, SERVERS))  # Replacements stay after an update.
+    harness.handle(EndpointUpdate(UpdateKind.DELTA, (), 2, SERVERS))  # Replacements stay after an update.
     assert ready_servers(harness) == set(ranked[: SUBSET_SIZE + 5])
     harness.run(60_000.0)
     for _ in range(100):  # The other servers are healthy.
-        harness.finish(harness.ask(class_name="unsafe"))
+        harness.finish(harness.send_request(class_name="unsafe"))
     # These attempts are enough for each server to have had some since the ejection.
-    harness.gateway.mechanisms.clock.attempts += 100 * len(ranked)
-    harness.do(EndpointUpdate(UpdateKind.DELTA, (), 3, SERVERS))
+    harness.engine.mechanisms.clock.attempts += 100 * len(ranked)
+    harness.handle(EndpointUpdate(UpdateKind.DELTA, (), 3, SERVERS))
     assert ready_servers(harness) == set(ranked[:SUBSET_SIZE])
 
 
@@ -381,7 +381,7 @@
     down = set(ranked[:SUBSET_SIZE])
     served = 0
     for _ in range(1500):
-        name = harness.ask(timeout_ms=60_000.0)
+        name = harness.send_request(timeout_ms=60_000.0)
         while name not in harness.answers and harness.sent.get(name):
             server = harness.sent[name][-1]
             harness.finish(name, AttemptStatus.CONNECT_FAILED if server in down else AttemptStatus.OK)
@@ -401,7 +401,7 @@
 
     def __init__(self, seed: int) -> None:
         super().__init__(replace(SETTINGS, gateways=380, index=17), seed)
-        self.gateway.endpoints.subset = SMALL_SUBSET
+        self.engine.endpoints.subset = SMALL_SUBSET
         self.registry = EndpointRegistry(SMALL_SUBSET)
         self.random = random.Random(seed)
         self.lifecycles = dict.fromkeys(range(400), "Ready")
@@ -411,16 +411,16 @@
 
     def update_servers(self, numbers: list[int], *, is_snapshot: bool) -> None:
         """Apply an update with these servers: all servers in a snapshot, otherwise those that changed."""
-        started_ms = int(self.now) if self.random.random() < 0.3 else 0
+        started_ms = int(self.now_ms) if self.random.random() < 0.3 else 0
         instances = [
             make_instance(f"s-{number}", 1, self.lifecycles[number], started_ms) for number in numbers
         ]
         document = {"generation": 1, "reset": is_snapshot, "instances": instances}
-        self.do(self.registry.read(document).update)
+        self.handle(self.registry.read(document).update)
 
-    def do(self, event) -> list:
+    def handle(self, event) -> list:
         """Handle an event; check that each attempt goes to a server that is ready and in the subset."""
-        actions = super().do(event)
+        actions = super().handle(event)
         for action in actions:
             if isinstance(action, StartAttempt):
                 self._check_attempt(action)
@@ -436,7 +436,7 @@
         """Run one random event (a request, an outcome or a change of the list), then let time pass."""
         draw = self.random.random()
         if draw < 0.4:
-            self._ask()
+            self._send_random_request()
         elif draw < 0.7 and (in_flight := self.attempts_in_flight()):
             self._finish_one(in_flight)
         elif draw < 0.95:
@@ -449,15 +449,13 @@
     def attempts_in_flight(self) -> list[tuple[str, int]]:
         """Return the request and the number of each attempt in flight."""
         return [
-            (name, attempt)
-            for name, request in self.gateway.requests.items()
-            for attempt in request.in_flight
+            (name, attempt) for name, request in self.engine.requests.items() for attempt in request.in_flight
         ]
 
-    def _ask(self) -> None:
+    def _send_random_request(self) -> None:
         plan = self.random.choice(("free", "metered", "capped"))
         class_name = self.random.choice(("safe", "keyed", "unsafe"))
-        self.ask(plan, class_name, self.random.choice("abc"))
+        self.send_request(plan, class_name, self.random.choice("abc"))
 
     def _finish_one(self, in_flight: list[tuple[str, int]]) -> None:
         name, attempt = self.random.choice(in_flight)
@@ -479,15 +477,15 @@
     harness = ChangingFleetHarness(seed)
     for _ in range(600):
         harness.step()
-        endpoints = harness.gateway.endpoints
+        endpoints = harness.engine.endpoints
         assert {server.id for server in endpoints.by_id.values()} == set(harness.registry.numbers.values())
         assert len(endpoints.ready) <= 2 * SMALL_SUBSET.size(endpoints.listed_count)
     harness.run(10_000.0)
-    for name, request in list(harness.gateway.requests.items()):
+    for name, request in list(harness.engine.requests.items()):
         for attempt in list(request.in_flight):
             harness.finish(name, AttemptStatus.CANCELLED, attempt)
-    assert not harness.gateway.requests
-    assert len(harness.answers) == harness.count
+    assert not harness.engine.requests
+    assert len(harness.answers) == harness.request_count
     assert harness.attempts_outside_first_subset >= 10
 
 
--- a/tests/policy/test_leaky_bucket.py
+++ b/tests/policy/test_leaky_bucket.py
@@ -26,16 +26,16 @@
 
 def test_burst_is_forwarded_then_excess_is_delayed_then_rejected(harness):
     # Each of two gateways has rate 5/s and burst 4; the first request already leaves an excess of one unit.
-    request_ids = [harness.ask("metered") for _ in range(10)]
+    request_ids = [harness.send_request("metered") for _ in range(10)]
     assert [request_id in harness.sent for request_id in request_ids] == [True] * 4 + [False] * 6
     assert [request_id in harness.answers for request_id in request_ids] == [False] * 8 + [True] * 2
 
 
 def test_delay_is_the_excess_over_burst_at_the_rate(harness):
     for _ in range(4):
-        harness.ask("metered")
+        harness.send_request("metered")
     # An excess of 5000 milliunits is 1000 over the burst of 4000, a delay of 200 ms at 5 units a second.
-    delayed = harness.ask("metered")
+    delayed = harness.send_request("metered")
     harness.run(199.0)
     assert delayed not in harness.sent
     harness.run(1.0)
@@ -44,74 +44,74 @@
 
 def test_rejection_does_not_change_the_excess(harness):
     for _ in range(20):
-        harness.ask("metered")
-    customer = harness.gateway.customers["metered", "c"]
+        harness.send_request("metered")
+    customer = harness.engine.customers["metered", "c"]
     assert customer.excess == 8000.0
 
 
 def test_excess_drains_at_the_rate_and_not_below_zero(harness):
-    harness.ask("metered", units=3)
+    harness.send_request("metered", units=3)
     harness.run(400.0)  # 2000 milliunits drain at 5 units a second; the next request adds 1000
-    harness.ask("metered")
-    assert harness.gateway.customers["metered", "c"].excess == 2000.0
+    harness.send_request("metered")
+    assert harness.engine.customers["metered", "c"].excess == 2000.0
     harness.run(5000.0)
-    harness.ask("metered")
-    assert harness.gateway.customers["metered", "c"].excess == 0.0
+    harness.send_request("metered")
+    assert harness.engine.customers["metered", "c"].excess == 0.0
 
 
 def test_delay_past_the_deadline_rejects_the_request_and_adds_no_excess(harness):
     for _ in range(4):
-        harness.ask("metered")
-    assert harness.answers.get(harness.ask("metered", timeout_ms=200.0)) == "Reject"
-    assert harness.gateway.customers["metered", "c"].excess == 4000.0
+        harness.send_request("metered")
+    assert harness.answers.get(harness.send_request("metered", timeout_ms=200.0)) == "Reject"
+    assert harness.engine.customers["metered", "c"].excess == 4000.0
 
 
 def test_burst_is_never_below_the_largest_request(harness):
-    assert harness.ask("metered", units=6) in harness.sent  # the burst of the local quota is 4
+    assert harness.send_request("metered", units=6) in harness.sent  # the burst of the local quota is 4
 
 
 def test_quota_is_split_over_three_gateways_and_complete_at_a_gateway_set_of_one():
     harness = make_harness(gateways=3)
-    harness.servers(make_endpoint(1), make_endpoint(2), make_endpoint(3))
-    forwarded = [harness.ask("metered", gateway_set_size=3) in harness.sent for _ in range(4)]
+    harness.update_endpoints(make_endpoint(1), make_endpoint(2), make_endpoint(3))
+    forwarded = [harness.send_request("metered", gateway_set_size=3) in harness.sent for _ in range(4)]
     assert forwarded == [True, True, False, False]  # the local burst is 8 / 3 = 2.67 units
     forwarded = []
     for _ in range(9):
-        request_id = harness.ask("metered", customer="one", gateway_set_size=1)
+        request_id = harness.send_request("metered", customer="one", gateway_set_size=1)
         forwarded.append(finish_if_forwarded(harness, request_id))
     assert forwarded == [True] * 8 + [False]
 
 
 def test_quota_share_grows_by_the_headroom_and_falls_back(harness):
-    quota_share = harness.gateway.mechanisms.quota.share
-    harness.finish(harness.ask("metered"), used=40.0)
-    customer = harness.gateway.customers["metered", "c"]
+    quota_share = harness.engine.mechanisms.quota.share
+    harness.finish(harness.send_request("metered"), used=40.0)
+    customer = harness.engine.customers["metered", "c"]
     assert quota_share(customer) == (1.0 + 0.1 * 0.6) / 2
-    harness.finish(harness.ask("metered"), used=120.0)
+    harness.finish(harness.send_request("metered"), used=120.0)
     assert quota_share(customer) == 0.5
-    harness.finish(harness.ask("metered"), used=0.0)
+    harness.finish(harness.send_request("metered"), used=0.0)
     assert quota_share(customer) == 0.55
     harness.run(4001.0)  # no usage report has come for more than four usage periods
-    harness.ask("free")
+    harness.send_request("free")
     assert quota_share(customer) == 0.5
 
 
 def test_estimated_units_are_settled_on_the_answer(harness):
-    request_id = harness.ask("metered", units=2)
+    request_id = harness.send_request("metered", units=2)
     harness.finish(request_id, units=5.0)
-    assert harness.gateway.customers["metered", "c"].excess == 5000.0
+    assert harness.engine.customers["metered", "c"].excess == 5000.0
 
 
 def test_delayed_request_whose_client_disconnected_gives_its_units_back(harness):
-    request_ids = [harness.ask("metered") for _ in range(6)]
-    harness.do(ClientDisconnected(request_ids[5]))
-    assert harness.gateway.customers["metered", "c"].excess == 5000.0
+    request_ids = [harness.send_request("metered") for _ in range(6)]
+    harness.handle(ClientDisconnected(request_ids[5]))
+    assert harness.engine.customers["metered", "c"].excess == 5000.0
     harness.run(4000.0)
     assert request_ids[5] not in harness.sent
 
 
 def test_in_flight_cap_is_divided_between_gateways_and_queues_requests_beyond_the_share(harness):
-    request_ids = [harness.ask("capped") for _ in range(3)]
+    request_ids = [harness.send_request("capped") for _ in range(3)]
     assert [request_id in harness.sent for request_id in request_ids] == [True, True, False]
     harness.finish(request_ids[0])
     assert request_ids[2] in harness.sent
@@ -119,62 +119,66 @@
 
 def test_in_flight_share_is_at_least_one():
     harness = make_harness(gateways=4)
-    harness.servers(make_endpoint(1))
-    assert harness.ask("only-cap", gateway_set_size=4) in harness.sent
-    assert harness.ask("only-cap", gateway_set_size=4) not in harness.sent
+    harness.update_endpoints(make_endpoint(1))
+    assert harness.send_request("only-cap", gateway_set_size=4) in harness.sent
+    assert harness.send_request("only-cap", gateway_set_size=4) not in harness.sent
 
 
 def test_plan_without_limits_is_not_delayed(harness):
-    assert all(finish_if_forwarded(harness, harness.ask("free")) for _ in range(50))
+    assert all(finish_if_forwarded(harness, harness.send_request("free")) for _ in range(50))
 
 
 def test_unknown_plan_or_class_is_rejected_and_logged_once(harness):
-    unknown = [harness.ask("nope"), harness.ask("nope"), harness.ask("free", class_name="nope")]
+    unknown = [
+        harness.send_request("nope"),
+        harness.send_request("nope"),
+        harness.send_request("free", class_name="nope"),
+    ]
     assert [harness.answers[request_id] for request_id in unknown] == ["Reject"] * 3
 
 
 def test_customer_state_is_dropped_once_it_equals_that_of_a_new_customer(harness):
     for number in range(3000):
-        request_id = harness.ask("metered", customer=f"c{number}")
+        request_id = harness.send_request("metered", customer=f"c{number}")
         harness.finish(request_id, AttemptStatus.OK)
         harness.run(10.0)
-    assert len(harness.gateway.customers) < 600
-    assert len(harness.gateway.requests) == 0
+    assert len(harness.engine.customers) < 600
+    assert len(harness.engine.requests) == 0
 
 
 def test_customer_state_that_must_be_kept_does_not_keep_that_of_later_customers(harness):
-    harness.ask("metered", customer="in flight")
+    harness.send_request("metered", customer="in flight")
     for number in range(3000):
-        request_id = harness.ask("metered", customer=f"c{number}")
+        request_id = harness.send_request("metered", customer=f"c{number}")
         harness.finish(request_id, AttemptStatus.OK)
         harness.run(10.0)
-    assert len(harness.gateway.customers) < 600
-    assert ("metered", "in flight") in harness.gateway.customers
+    assert len(harness.engine.customers) < 600
+    assert ("metered", "in flight") in harness.engine.customers
 
 
 def test_finished_request_leaves_no_timer_behind(harness):
     for _ in range(20):
-        request_id = harness.ask("free")
+        request_id = harness.send_request("free")
         harness.finish(request_id)
-    assert not harness.gateway.timers.armed
-    assert not harness.gateway.requests
+    assert not harness.engine.timers.armed
+    assert not harness.engine.requests
 
 
 def test_delay_past_the_shortest_latency_objective_rejects_the_request():
     # The latency objective is 500 ms and the initial mean latency 100 ms. So a delay may last 400 ms, in
     # which two units drain at 5 units a second.
     harness = make_harness(classes=(*CLASSES, BRIEF))
-    harness.servers(make_endpoint(1), make_endpoint(2))
+    harness.update_endpoints(make_endpoint(1), make_endpoint(2))
     for _ in range(4):
-        harness.ask("metered")
-    assert harness.ask("metered", "brief", units=2) in harness.answers
-    assert harness.ask("metered", "brief", units=1) not in harness.answers
+        harness.send_request("metered")
+    assert harness.send_request("metered", "brief", units=2) in harness.answers
+    assert harness.send_request("metered", "brief", units=1) not in harness.answers
 
 
 def harness_with_priority_class() -> EngineHarness:
     """A harness with an additional class "dear", which has four times the priority weight."""
     harness = make_harness(classes=(*CLASSES, DEAR))
-    harness.servers(make_endpoint(1), make_endpoint(2))
+    harness.update_endpoints(make_endpoint(1), make_endpoint(2))
     return harness
 
 
@@ -182,8 +186,8 @@
     # The burst is 4 for the lowest priority weight and 4 x (1 + 0.25 x 3 / 4) = 4.75 for the highest. The
     # fifth unit exceeds it by 0.25, a delay of 50 ms at 5 units a second.
     harness = harness_with_priority_class()
-    assert all(harness.ask("metered") in harness.sent for _ in range(4))
-    delayed = harness.ask("metered", "dear")
+    assert all(harness.send_request("metered") in harness.sent for _ in range(4))
+    delayed = harness.send_request("metered", "dear")
     assert delayed not in harness.sent
     harness.run(51.0)
     assert delayed in harness.sent
@@ -194,11 +198,12 @@
     # most, in which half a unit drains at 5 units a second.
     harness = harness_with_priority_class()
     for _ in range(4):
-        harness.ask("metered")
-    assert harness.answers[harness.ask("metered")] == "Reject"
+        harness.send_request("metered")
+    assert harness.answers[harness.send_request("metered")] == "Reject"
     harness.run(150.0)
-    assert harness.ask("metered") not in harness.answers  # the excess is a quarter of a unit over the burst
-    assert harness.ask("metered", "dear") not in harness.answers
+    # The excess is a quarter of a unit over the burst.
+    assert harness.send_request("metered") not in harness.answers
+    assert harness.send_request("metered", "dear") not in harness.answers
 
 
 # Local quotas below one request: with burst 8 and rate 10 over 60 gateways, each gateway has a burst of
@@ -208,19 +213,19 @@
 def harness_with_share_below_one_request(gateway_set_size: int = 60) -> EngineHarness:
     """A harness of one of 60 gateways, whose customer has a gateway set of this size."""
     harness = EngineHarness(replace(SETTINGS, gateways=60))
-    harness.servers(make_endpoint(1), make_endpoint(2))
+    harness.update_endpoints(make_endpoint(1), make_endpoint(2))
     harness.gateway_set_size = gateway_set_size
     return harness
 
 
 def ask_with_share_below_one_request(harness, **request_fields) -> str:
     """Send a request of one unit with the gateway set size of the harness; return its id."""
-    harness.count += 1
-    request_id = f"r{harness.count}"
+    harness.request_count += 1
+    request_id = f"r{harness.request_count}"
     request = Request(
         request_id, "safe", "metered", "c", 4000.0, 1, harness.gateway_set_size, **request_fields
     )
-    harness.do(request)
+    harness.handle(request)
     return request_id
 
 
@@ -259,7 +264,7 @@
     forwarded = 0
     for index in range(60):
         harness = EngineHarness(replace(SETTINGS, gateways=60, index=index), seed=index)
-        harness.servers(make_endpoint(1), make_endpoint(2))
+        harness.update_endpoints(make_endpoint(1), make_endpoint(2))
         harness.gateway_set_size = 60
         for step in range(100):
             request_id = ask_with_share_below_one_request(harness, is_retry=step % 2 == 1)
@@ -278,8 +283,8 @@
         for index in range(3)
     ]
     for harness in harnesses:
-        harness.servers(make_endpoint(1), make_endpoint(2))
-        harness.finish(harness.ask("only-cap", gateway_set_size=3), used=usage_percent)
+        harness.update_endpoints(make_endpoint(1), make_endpoint(2))
+        harness.finish(harness.send_request("only-cap", gateway_set_size=3), used=usage_percent)
     return harnesses
 
 
@@ -287,7 +292,7 @@
     """The indexes of the gateways that forward a request of the customer at once; each is finished."""
     forwarding = []
     for index, harness in enumerate(harnesses):
-        request_id = harness.ask("only-cap", "brief", gateway_set_size=3)
+        request_id = harness.send_request("only-cap", "brief", gateway_set_size=3)
         if request_id in harness.sent:
             forwarding.append(index)
             harness.finish(request_id)
@@ -321,14 +326,14 @@
 
 def test_request_without_a_slot_is_rejected_at_once_unless_the_rotation_gives_one_in_time():
     harness = EngineHarness(replace(SETTINGS, gateways=3, index=2, classes=(*CLASSES, BRIEF)))
-    harness.servers(make_endpoint(1), make_endpoint(2))
+    harness.update_endpoints(make_endpoint(1), make_endpoint(2))
     # A rotation period begins at this time, and the last gateway of the set has a slot in the next one.
-    harness.now = 3000.0
-    harness.finish(harness.ask("only-cap", gateway_set_size=3), used=150.0)
+    harness.now_ms = 3000.0
+    harness.finish(harness.send_request("only-cap", gateway_set_size=3), used=150.0)
     # The rotation gives this gateway a slot in 1000 ms, after the latency objective.
-    assert harness.ask("only-cap", "brief", gateway_set_size=3) in harness.answers
+    assert harness.send_request("only-cap", "brief", gateway_set_size=3) in harness.answers
     harness.run(800.0)
-    queued = harness.ask("only-cap", "brief", gateway_set_size=3)
+    queued = harness.send_request("only-cap", "brief", gateway_set_size=3)
     assert queued not in harness.sent
     assert queued not in harness.answers
     harness.run(210.0)
@@ -337,8 +342,8 @@
 
 def test_request_that_finds_the_slot_occupied_starts_the_rotation_before_a_usage_report():
     harnesses = harnesses_of_three_gateways(usage_percent=100.0)
-    first = [harness.ask("only-cap", "brief", gateway_set_size=3) for harness in harnesses]
-    second = [harness.ask("only-cap", "brief", gateway_set_size=3) for harness in harnesses]
+    first = [harness.send_request("only-cap", "brief", gateway_set_size=3) for harness in harnesses]
+    second = [harness.send_request("only-cap", "brief", gateway_set_size=3) for harness in harnesses]
     assert all(request_id in harness.sent for harness, request_id in zip(harnesses, first, strict=True))
     for harness, request_id in zip(harnesses, first, strict=True):
         harness.finish(request_id)
@@ -383,7 +388,7 @@
             for index in range(self.GATEWAYS)
         ]
         for harness in self.harnesses:
-            harness.servers(make_endpoint(1), make_endpoint(2))
+            harness.update_endpoints(make_endpoint(1), make_endpoint(2))
 
     def run(self, mean_interval_ms: float) -> None:
         """Send requests at random times with this mean interval."""
@@ -393,7 +398,7 @@
             now_ms += self.random.expovariate(1.0 / mean_interval_ms)
             self._finish_until(now_ms)
             harness = self.random.choices(self.harnesses, weights)[0]
-            self._ask(harness, now_ms)
+            self._send_request(harness, now_ms)
 
     def _finish_until(self, now_ms: float) -> None:
         """Finish the attempts that are due, each with the usage report of the period before the last."""
@@ -405,10 +410,10 @@
             harness.finish(request_id, used=usage_percent, latency=self.LATENCY_MS)
         self.in_flight = [attempt for attempt in self.in_flight if attempt[0] > now_ms]
 
-    def _ask(self, harness: EngineHarness, now_ms: float) -> None:
+    def _send_request(self, harness: EngineHarness, now_ms: float) -> None:
         """Send a request to a gateway, and count it as forwarded or rejected."""
         self._advance(harness, now_ms)
-        request_id = harness.ask("wide-cap", gateway_set_size=self.GATEWAYS)
+        request_id = harness.send_request("wide-cap", gateway_set_size=self.GATEWAYS)
         if request_id not in harness.sent:
             self.rejected += 1
             return
@@ -419,7 +424,7 @@
         self.most_in_flight[second] = max(self.most_in_flight[second], len(self.in_flight))
 
     def _advance(self, harness: EngineHarness, now_ms: float) -> None:
-        harness.run(max(0.0, self.START_MS + now_ms - harness.now))
+        harness.run(max(0.0, self.START_MS + now_ms - harness.now_ms))
 
 
 def test_contention_at_a_cap_is_detected_by_each_gateway_of_a_large_set():
--- a/tests/policy/test_properties.py
+++ b/tests/policy/test_properties.py
@@ -128,11 +128,11 @@
         self.closed: set[str] = set()  # requests that are answered or whose client has disconnected
         self.ceiling_usage: list[CeilingUsage] = []
 
-    def do(self, event):
+    def handle(self, event):
         """Pass an event to the engine, and check the attempts and answers that follow."""
         attempts_before = {request_id: len(servers) for request_id, servers in self.sent.items()}
         answered_before = set(self.answers)
-        actions = super().do(event)
+        actions = super().handle(event)
         for request_id, servers in self.sent.items():
             before = attempts_before.get(request_id, 0)
             if len(servers) > before:
@@ -148,11 +148,11 @@
         assert request_id not in self.in_flight
         assert request_id not in self.closed
         assert servers[-1] in self.ready
-        assert self.now < record.deadline_ms
+        assert self.now_ms < record.deadline_ms
         self.check_idempotency(request_id)
-        self.in_flight[request_id] = AttemptRecord(attempts_before, servers[-1], self.now)
+        self.in_flight[request_id] = AttemptRecord(attempts_before, servers[-1], self.now_ms)
         if attempts_before == 0 and record.plan == "ceiling":
-            self.ceiling_usage.append(CeilingUsage(self.now, record.units))
+            self.ceiling_usage.append(CeilingUsage(self.now_ms, record.units))
             self.check_ceiling()
 
     def check_idempotency(self, request_id):
@@ -163,19 +163,19 @@
         request_class = self.requests[request_id].request_class
         assert request_class.idempotency is not Idempotency.NON_IDEMPOTENT
         if request_class.idempotency is Idempotency.KEYED:
-            assert self.now - executed_at < request_class.idempotency_window_ms
+            assert self.now_ms - executed_at < request_class.idempotency_window_ms
 
     def check_ceiling(self):
         """Check that the units used in each period until now are within the burst and rate of the ceiling."""
         for first in self.ceiling_usage:
             used = sum(usage.units for usage in self.ceiling_usage if usage.time_ms >= first.time_ms)
-            refilled = CEILING_UNITS_PER_SECOND * (self.now - first.time_ms) / 1000.0
+            refilled = CEILING_UNITS_PER_SECOND * (self.now_ms - first.time_ms) / 1000.0
             assert used <= CEILING_BURST_UNITS + refilled + ROUNDING_UNITS
 
     def check_answer(self, request_id):
         """Check that an answer is in time and the only one, and that a rejected request is safe to retry."""
         record = self.requests[request_id]
-        assert self.now <= record.deadline_ms + ANSWER_SLACK_MS
+        assert self.now_ms <= record.deadline_ms + ANSWER_SLACK_MS
         assert request_id not in self.closed
         self.closed.add(request_id)
         possibly_executed = request_id in self.possibly_executed_at or request_id in self.in_flight
@@ -187,7 +187,7 @@
         """Carry out one generated step."""
         match step:
             case SendRequest():
-                self.send_request(step)
+                self.record_and_send(step)
             case EndAttempt(index, status):
                 self.end_some_attempt(index, status)
             case Wait(duration_ms):
@@ -197,13 +197,13 @@
             case DisconnectClient(index):
                 self.disconnect_client(index)
 
-    def send_request(self, step):
+    def record_and_send(self, step):
         """Record a new request and send it."""
-        request_id = f"r{self.count + 1}"
+        request_id = f"r{self.request_count + 1}"
         request_class = next(item for item in self.settings.classes if item.name == step.class_name)
-        deadline_ms = self.now + step.timeout_ms
+        deadline_ms = self.now_ms + step.timeout_ms
         self.requests[request_id] = RequestRecord(request_class, step.plan, step.units, deadline_ms)
-        self.ask(step.plan, step.class_name, timeout_ms=step.timeout_ms, units=step.units)
+        self.send_request(step.plan, step.class_name, timeout_ms=step.timeout_ms, units=step.units)
 
     def update_endpoint(self, number, lifecycle):
         """Deliver an update of one endpoint."""
@@ -211,7 +211,7 @@
             self.ready.add(number)
         else:
             self.ready.discard(number)
-        self.servers(make_endpoint(number, "ab"[number % 2], state=lifecycle), kind=UpdateKind.DELTA)
+        self.update_endpoints(make_endpoint(number, "ab"[number % 2], state=lifecycle), kind=UpdateKind.DELTA)
 
     def disconnect_client(self, index):
         """Disconnect the client of one open request, if there is any."""
@@ -219,7 +219,7 @@
         if open_requests:
             request_id = open_requests[index % len(open_requests)]
             self.closed.add(request_id)
-            self.do(ClientDisconnected(request_id))
+            self.handle(ClientDisconnected(request_id))
 
     def end_some_attempt(self, index, status):
         """End one of the attempts in flight, if there is any."""
@@ -235,8 +235,8 @@
         is_closed = status is AttemptStatus.OK or request_id in self.closed
         if is_closed:
             self.closed.add(request_id)
-        latency_ms = self.now - attempt.started_ms
-        self.do(Outcome(request_id, attempt.number, attempt.server, status, latency_ms, is_closed))
+        latency_ms = self.now_ms - attempt.started_ms
+        self.handle(Outcome(request_id, attempt.number, attempt.server, status, latency_ms, is_closed))
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
--- a/tests/policy/test_quota_over_fleet.py
+++ b/tests/policy/test_quota_over_fleet.py
@@ -62,7 +62,7 @@
             for index in range(GATEWAYS)
         ]
         for harness in self.harnesses:
-            harness.servers(*(make_endpoint(number) for number in range(1, SERVERS + 1)))
+            harness.update_endpoints(*(make_endpoint(number) for number in range(1, SERVERS + 1)))
         self.requested: Counter[str] = Counter()
         self.forwarded: Counter[str] = Counter()
         self.beyond_quota = 0
@@ -73,7 +73,7 @@
 
     def run(self, rates: dict[str, float]) -> None:
         """Simulate requests of each customer, at its rate a second, at random times and random gateways."""
-        start_ms = max(harness.now for harness in self.harnesses) + 1000.0
+        start_ms = max(harness.now_ms for harness in self.harnesses) + 1000.0
         self._events = [
             FleetEvent(start_ms + 1000.0 * (second + self.random.random()), MAX_ATTEMPTS, customer)
             for second in range(DURATION_S)
@@ -86,15 +86,15 @@
             if event.harness:
                 self._finish(event, event.harness)
             else:
-                self._ask(event)
+                self._send_request(event)
 
-    def _ask(self, event: FleetEvent) -> None:
+    def _send_request(self, event: FleetEvent) -> None:
         """Send a request to a random gateway; schedule its end, or a retry if it is rejected."""
         harness = self.random.choice(self.harnesses)
-        harness.run(event.time_ms - harness.now)
+        harness.run(event.time_ms - harness.now_ms)
         customer = event.customer
         self.requested[customer] += event.attempts_left == MAX_ATTEMPTS
-        request_id = harness.ask(
+        request_id = harness.send_request(
             self.plan.name, customer=customer, units=REQUEST_UNITS, gateway_set_size=GATEWAYS
         )
         if request_id in harness.sent:
@@ -134,7 +134,7 @@
 
     def _finish(self, event: FleetEvent, harness: EngineHarness) -> None:
         """Finish a request successfully, with a usage report of an earlier second."""
-        harness.run(event.time_ms - harness.now)
+        harness.run(event.time_ms - harness.now_ms)
         reported_second = int(event.time_ms / 1000.0) - USAGE_REPORT_DELAY_S
         quota = self.plan.rate or self.plan.max_in_flight
         usage_percent = 100.0 * self._usage[event.customer, reported_second] / quota
@@ -177,20 +177,20 @@
 
 def export_state(harness: EngineHarness) -> dict[str, object]:
     """The state snapshot that a harness hands over."""
-    actions = harness.do(ExportState())
+    actions = harness.handle(ExportState())
     (state,) = (action.state for action in actions if isinstance(action, StateSnapshot))
     return state
 
 
 def test_admitted_share_is_handed_over_to_the_next_process():
     previous_process = make_fleet_member()
-    previous_process.gateway.mechanisms.unknown_customers.admitted_shares["cap"] = 0.5
+    previous_process.engine.mechanisms.unknown_customers.admitted_shares["cap"] = 0.5
     state = export_state(previous_process)
     next_process = make_fleet_member()
-    next_process.do(RestoreState(state))
-    assert next_process.gateway.mechanisms.unknown_customers.admitted_shares["cap"] == 0.5
+    next_process.handle(RestoreState(state))
+    assert next_process.engine.mechanisms.unknown_customers.admitted_shares["cap"] == 0.5
     older_state = {name: value for name, value in state.items() if name != "open"}
     upgraded_process = make_fleet_member()
-    upgraded_process.do(RestoreState(older_state))  # older versions hand over no shares
-    assert upgraded_process.gateway.has_peer_process
-    assert upgraded_process.gateway.mechanisms.unknown_customers.admitted_shares["cap"] < 0.5
+    upgraded_process.handle(RestoreState(older_state))  # older versions hand over no shares
+    assert upgraded_process.engine.has_peer_process
+    assert upgraded_process.engine.mechanisms.unknown_customers.admitted_shares["cap"] < 0.5
--- a/tests/policy/test_shutdown.py
+++ b/tests/policy/test_shutdown.py
@@ -11,10 +11,10 @@
 
 
 def test_pending_and_later_requests_are_all_answered_before_the_shutdown_ends(harness):
-    pending = [harness.ask(class_name=class_name) for class_name in ("safe", "unsafe")]
+    pending = [harness.send_request(class_name=class_name) for class_name in ("safe", "unsafe")]
     harness.run(100.0)
-    harness.do(ShutdownStarted(1000.0))
-    later = harness.ask(class_name="safe")
+    harness.handle(ShutdownStarted(1000.0))
+    later = harness.send_request(class_name="safe")
     harness.run(990.0)
     assert not harness.answers
     harness.run(10.0)
@@ -22,8 +22,8 @@
 
 
 def test_shutdown_does_not_prolong_a_shorter_timeout(harness):
-    harness.do(ShutdownStarted(1000.0))
-    request_id = harness.ask(timeout_ms=100.0)
+    harness.handle(ShutdownStarted(1000.0))
+    request_id = harness.send_request(timeout_ms=100.0)
     harness.run(100.0)
     assert harness.answers == {request_id: "Reject"}
 
@@ -33,7 +33,7 @@
     safe_class = RequestClass("safe", latency_objective_ms, 4000.0, Idempotency.IDEMPOTENT)
     limits = GatewayLimits(can_send_retry_after=True, max_retry_after_ms=max_retry_after_ms)
     harness = make_harness(classes=(safe_class,), limits=limits, plans=(METERED,))
-    harness.servers(make_endpoint(1), make_endpoint(2))
+    harness.update_endpoints(make_endpoint(1), make_endpoint(2))
     return harness
 
 
@@ -50,7 +50,7 @@
     assert rejection.request_id == "r4"
     assert rejection.retry_after_ms == pytest.approx(560.0)
     harness.run(rejection.retry_after_ms + 1.0)
-    retried = harness.ask("metered")
+    retried = harness.send_request("metered")
     assert retried not in harness.answers
     assert retried not in harness.sent
     harness.run(1440.0)
@@ -61,22 +61,22 @@
     bounded = make_harness_with_retry_after(1800.0, max_retry_after_ms=7.0)
     assert first_rejection(bounded).retry_after_ms == 7.0
     harness = make_harness(limits=GatewayLimits(), plans=(METERED,))
-    harness.servers(make_endpoint(1), make_endpoint(2))
+    harness.update_endpoints(make_endpoint(1), make_endpoint(2))
     assert first_rejection(harness).retry_after_ms == 0.0
 
 
 def first_rejection(harness: EngineHarness) -> Reject:
     """Send requests of one customer at the same time until one is rejected; return its rejection."""
     rejections: list[Reject] = []
-    handle_event = harness.do
+    handle_event = harness.handle
 
     def handle_and_collect(event):
         actions = handle_event(event)
         rejections.extend(action for action in actions if isinstance(action, Reject))
         return actions
 
-    harness.do = handle_and_collect
+    harness.handle = handle_and_collect
     while not rejections:
-        harness.ask("metered")
-    harness.do = handle_event
+        harness.send_request("metered")
+    harness.handle = handle_event
     return rejections[0]
--- a/tests/process/test_recorded_handover.py
+++ b/tests/process/test_recorded_handover.py
@@ -38,37 +38,37 @@
 
 def export(harness: EngineHarness) -> dict:
     """Export the engine's state, in the form that the channel delivers."""
-    (snapshot,) = [action for action in harness.do(ExportState()) if isinstance(action, StateSnapshot)]
+    (snapshot,) = [action for action in harness.handle(ExportState()) if isinstance(action, StateSnapshot)]
     return json.loads(json.dumps(snapshot.state))
 
 
 def restore(record: dict) -> EngineHarness:
     """Make a harness whose engine has restored the recorded state."""
     harness = EngineHarness()
-    harness.now = record["restored_at_ms"]
-    harness.servers(make_endpoint(1), make_endpoint(2), make_endpoint(3))
-    harness.do(RestoreState(recorded_offer(record).state))
+    harness.now_ms = record["restored_at_ms"]
+    harness.update_endpoints(make_endpoint(1), make_endpoint(2), make_endpoint(3))
+    harness.handle(RestoreState(recorded_offer(record).state))
     return harness
 
 
 def replay(harness: EngineHarness) -> None:
     """Send the events that led to the recorded state."""
-    harness.servers(make_endpoint(1), make_endpoint(2), make_endpoint(3))
+    harness.update_endpoints(make_endpoint(1), make_endpoint(2), make_endpoint(3))
     for step in range(120):
         plan = ("free", "metered", "ceiling", "capped")[step % 4]
         class_name = ("safe", "keyed", "unsafe")[step % 3]
-        name = harness.ask(plan, class_name, f"c-{step % 5}", 4000.0, 1 + step % 2)
+        name = harness.send_request(plan, class_name, f"c-{step % 5}", 4000.0, 1 + step % 2)
         if name in harness.sent:
             status = AttemptStatus.ERROR if step % 17 == 0 else AttemptStatus.OK
             harness.finish(name, status, None, float(step % 90), 1 + step % 2, 20.0 + step % 7)
         harness.run(30.0)
-    harness.do(DetachServer(1))
-    harness.do(DetachServer(2))
+    harness.handle(DetachServer(1))
+    harness.handle(DetachServer(2))
     harness.run(100.0)
-    harness.do(AttachServer(2))
+    harness.handle(AttachServer(2))
     for _ in range(4):
-        harness.ask("metered", "safe", "waiting")
-    harness.ask("only-cap", "safe", "in-flight")
+        harness.send_request("metered", "safe", "waiting")
+    harness.send_request("only-cap", "safe", "in-flight")
     harness.run(10.0)
 
 
@@ -92,7 +92,7 @@
 def test_same_events_lead_to_the_recorded_state(record):
     harness = EngineHarness()
     replay(harness)
-    assert harness.now == record["exported_at_ms"]
+    assert harness.now_ms == record["exported_at_ms"]
     state = export(harness)
     assert list(state) == list(record["body"]["state"])
     assert state == record["body"]["state"]
@@ -104,18 +104,18 @@
     assert recorded_excess["metered", "waiting"] > recorded_excess["metered", "c-1"]
     restored_excess = {tuple(customer[:2]): customer[3] for customer in export(harness)["customers"]}
     assert restored_excess == recorded_excess
-    first = harness.ask("only-cap", "safe", "in-flight")
+    first = harness.send_request("only-cap", "safe", "in-flight")
     assert first not in harness.sent  # The previous process has the one request that may be in flight.
-    assert harness.ask("only-cap", "safe", "somebody-else") in harness.sent
+    assert harness.send_request("only-cap", "safe", "somebody-else") in harness.sent
 
 
 def test_restored_detachment_holds_until_the_server_is_attached(record):
     harness = restore(record)
-    harness.servers(make_endpoint(1))
-    name = harness.ask("free")
+    harness.update_endpoints(make_endpoint(1))
+    name = harness.send_request("free")
     harness.run(100.0)
     assert name not in harness.sent
-    harness.do(AttachServer(1))
+    harness.handle(AttachServer(1))
     harness.run(2000.0)
     assert harness.sent[name][0] == 1
 
--- a/tests/process/test_upgrade.py
+++ b/tests/process/test_upgrade.py
@@ -302,72 +302,72 @@
 
 def successor_of(harness: EngineHarness, **changes) -> tuple[EngineHarness, dict]:
     """Make an engine that takes over from this one; return it and the state that it restored."""
-    (snapshot,) = [action for action in harness.do(ExportState()) if isinstance(action, StateSnapshot)]
+    (snapshot,) = [action for action in harness.handle(ExportState()) if isinstance(action, StateSnapshot)]
     successor = make_harness(**changes)
-    successor.now = harness.now
-    successor.servers(make_endpoint(1), make_endpoint(2))
-    successor.do(RestoreState(json.loads(json.dumps(snapshot.state))))
+    successor.now_ms = harness.now_ms
+    successor.update_endpoints(make_endpoint(1), make_endpoint(2))
+    successor.handle(RestoreState(json.loads(json.dumps(snapshot.state))))
     return successor, snapshot.state
 
 
 def capacity_share(harness: EngineHarness, server: int) -> float:
     """Return the share of its capacity that a server is given while it warms up."""
-    return harness.gateway.mechanisms.slow_start.capacity_share(harness.gateway.endpoints.by_id[server])
+    return harness.engine.mechanisms.slow_start.capacity_share(harness.engine.endpoints.by_id[server])
 
 
 def is_ready(harness: EngineHarness, server: int) -> bool:
     """Return whether the engine may choose a server."""
-    return harness.gateway.endpoints.by_id[server].is_ready
+    return harness.engine.endpoints.by_id[server].is_ready
 
 
 def ready_servers(harness: EngineHarness) -> list[int]:
     """Return the numbers of the servers that the engine chooses from."""
-    return [server.id for server in harness.gateway.endpoints.ready]
+    return [server.id for server in harness.engine.endpoints.ready]
 
 
 def test_buckets_and_in_flight_limits_hold_over_both_processes(harness):
-    admitted = [harness.ask("metered", timeout_ms=50.0) for _ in range(4)]
-    in_flight = [harness.ask("only-cap") for _ in range(1)]
+    admitted = [harness.send_request("metered", timeout_ms=50.0) for _ in range(4)]
+    in_flight = [harness.send_request("only-cap") for _ in range(1)]
     successor, _ = successor_of(harness)
-    before = successor.gateway.customers["metered", "c"].excess
-    assert before == harness.gateway.customers["metered", "c"].excess > 0.0
-    rejected = [successor.ask("metered", timeout_ms=50.0) for _ in range(2)]
+    before = successor.engine.customers["metered", "c"].excess
+    assert before == harness.engine.customers["metered", "c"].excess > 0.0
+    rejected = [successor.send_request("metered", timeout_ms=50.0) for _ in range(2)]
     assert not any(name in successor.sent for name in rejected)
-    second = successor.ask("only-cap")
+    second = successor.send_request("only-cap")
     assert second not in successor.sent  # The other process has the one request that may be in flight.
     notifications = [
         action.usage for action in harness.finish(in_flight[0]) if isinstance(action, NotifyPeerProcess)
     ]
     assert notifications == [PeerProcessUsage("only-cap", "c", 0)]
-    successor.do(notifications[0])
+    successor.handle(notifications[0])
     assert second in successor.sent
     assert admitted[0] in harness.sent
 
 
 def test_requests_in_flight_in_a_process_that_ended_are_no_longer_counted(harness):
-    harness.ask("only-cap")
+    harness.send_request("only-cap")
     successor, _ = successor_of(harness)
-    name = successor.ask("only-cap")
+    name = successor.send_request("only-cap")
     assert name not in successor.sent
-    successor.do(PeerProcessExited())
+    successor.handle(PeerProcessExited())
     assert name in successor.sent
     assert not [a for a in successor.finish(name) if isinstance(a, NotifyPeerProcess)]
 
 
 def test_detachments_and_warm_up_progress_are_handed_over(harness):
-    harness.do(DetachServer(1))
-    harness.do(DetachServer(2))
+    harness.handle(DetachServer(1))
+    harness.handle(DetachServer(2))
     harness.run(100.0)
-    harness.do(AttachServer(2))
+    harness.handle(AttachServer(2))
     harness.run(1000.0)
     successor, _ = successor_of(harness)
     assert not is_ready(successor, 1)
     share = capacity_share(successor, 2)
     assert share == capacity_share(harness, 2) < 1.0
-    successor.servers(make_endpoint(1), make_endpoint(2))
+    successor.update_endpoints(make_endpoint(1), make_endpoint(2))
     assert ready_servers(successor) == [2]
     assert capacity_share(successor, 2) == share
-    successor.do(AttachServer(1))
+    successor.handle(AttachServer(1))
     assert 1 in ready_servers(successor)
 
 
@@ -387,17 +387,17 @@
     ],
 )
 def test_malformed_state_is_rejected_as_a_whole(harness, damage):
-    harness.ask("metered")
+    harness.send_request("metered")
     _, state = successor_of(harness)
     successor = make_harness()
-    successor.servers(make_endpoint(1), make_endpoint(2))
+    successor.update_endpoints(make_endpoint(1), make_endpoint(2))
     state = json.loads(json.dumps(state))
     state["barred"] = [[1, 1000.0]]
     damage(state)
     with pytest.raises(ValueError):  # noqa: PT011 - the error may name any field; the effect is checked below
-        successor.do(RestoreState(state))
-    assert not successor.gateway.customers
-    assert not successor.gateway.has_peer_process
+        successor.handle(RestoreState(state))
+    assert not successor.engine.customers
+    assert not successor.engine.has_peer_process
     assert is_ready(successor, 1) or "barred" not in state
 
 
--- a/tests/support/engine_harness.py
+++ b/tests/support/engine_harness.py
@@ -85,29 +85,29 @@
     """A policy engine with a scripted clock and a record of its actions.
 
     Attributes:
-        gateway: The engine under test.
-        now: Time of the clock in milliseconds.
+        engine: The engine under test.
+        now_ms: Time of the clock in milliseconds.
         settings: Settings of the engine.
         timers: Due time in milliseconds and token of each timer that has not fired.
         sent: Servers of the attempts of each request, in order, by request id.
         answers: Name of the action that answered each request, or ``Ok``, by request id.
-        count: Number of requests sent to the engine.
+        request_count: Number of requests sent to the engine.
     """
 
     def __init__(self, settings: Settings = SETTINGS, seed: int = 1) -> None:
-        self.gateway, self.now = PolicyEngine(settings, seed), 1000.0
+        self.engine, self.now_ms = PolicyEngine(settings, seed), 1000.0
         self.settings = settings
         self.timers: list[tuple[float, int]] = []
         self.sent: dict[str, list[int]] = {}
         self.answers: dict[str, str] = {}
-        self.count = 0
+        self.request_count = 0
 
-    def do(self, event: Event) -> list[Action]:
+    def handle(self, event: Event) -> list[Action]:
         """Pass an event to the engine; record timers, attempts and answers, and return all actions."""
-        actions = self.gateway.handle(self.now, event)
+        actions = self.engine.handle(self.now_ms, event)
         for action in actions:
             if isinstance(action, SetTimer):
-                self.timers.append((self.now + action.delay_ms, action.token))
+                self.timers.append((self.now_ms + action.delay_ms, action.token))
             elif isinstance(action, StartAttempt):
                 assert action.request_id not in self.answers, "attempt started after the answer"
                 self.sent.setdefault(action.request_id, []).append(action.server)
@@ -116,11 +116,11 @@
                 self.answers[action.request_id] = type(action).__name__
         return actions
 
-    def servers(self, *endpoints: Endpoint, kind: UpdateKind = UpdateKind.SNAPSHOT) -> list[Action]:
+    def update_endpoints(self, *endpoints: Endpoint, kind: UpdateKind = UpdateKind.SNAPSHOT) -> list[Action]:
         """Send an endpoint update to the engine and return its actions."""
-        return self.do(EndpointUpdate(kind, endpoints))
+        return self.handle(EndpointUpdate(kind, endpoints))
 
-    def ask(
+    def send_request(
         self,
         plan: str = "free",
         class_name: str = "safe",
@@ -130,9 +130,9 @@
         gateway_set_size: int = 2,
     ) -> str:
         """Send a new request to the engine and return the request's id."""
-        self.count += 1
-        request_id = f"r{self.count}"
-        self.do(Request(request_id, class_name, plan, customer, timeout_ms, units, gateway_set_size))
+        self.request_count += 1
+        request_id = f"r{self.request_count}"
+        self.handle(Request(request_id, class_name, plan, customer, timeout_ms, units, gateway_set_size))
         return request_id
 
     def finish(
@@ -149,19 +149,19 @@
         server = self.sent[request_id][attempt]
         if status is AttemptStatus.OK:
             self.answers.setdefault(request_id, "Ok")
-        return self.do(
+        return self.handle(
             Outcome(request_id, attempt, server, status, latency, status is AttemptStatus.OK, used, units)
         )
 
     def run(self, ms: float) -> None:
         """Advance the clock by ``ms`` milliseconds and fire the timers that become due."""
-        end = self.now + ms
+        end = self.now_ms + ms
         while due := [timer for timer in self.timers if timer[0] <= end]:
             next_timer = min(due)
             self.timers.remove(next_timer)
-            self.now = max(self.now, next_timer[0])
-            self.do(TimerFired(next_timer[1]))
-        self.now = end
+            self.now_ms = max(self.now_ms, next_timer[0])
+            self.handle(TimerFired(next_timer[1]))
+        self.now_ms = end
 
 
 def make_endpoint(number: int, zone: str = "a", **fields: Any) -> Endpoint:
--- a/tests/unit/test_library.py
+++ b/tests/unit/test_library.py
@@ -19,9 +19,9 @@
         self.subscriptions: list[Subscribe] = []
         super().__init__(settings)
 
-    def do(self, event: Event) -> list[Action]:
+    def handle(self, event: Event) -> list[Action]:
         """Pass an event to the engine and record the subscriptions among its actions."""
-        actions = super().do(event)
+        actions = super().handle(event)
         self.subscriptions.extend(action for action in actions if isinstance(action, Subscribe))
         return actions
 
@@ -34,19 +34,19 @@
 
 def test_discovery_that_must_be_polled_is_subscribed_to_again_after_a_failure():
     harness = SubscriptionRecorder(replace(SETTINGS, discovery=DiscoveryMode.ASK))
-    harness.servers(make_endpoint(1), kind=UpdateKind.CACHED)
+    harness.update_endpoints(make_endpoint(1), kind=UpdateKind.CACHED)
     harness.run(10.0)
     assert len(harness.subscriptions) == 1
-    harness.servers(kind=UpdateKind.FAILED)
+    harness.update_endpoints(kind=UpdateKind.FAILED)
     harness.run(5000.0)  # half of the poll deadline
     assert len(harness.subscriptions) == 2
-    assert harness.ask() in harness.sent
+    assert harness.send_request() in harness.sent
 
 
 def test_quota_is_divided_evenly_without_usage_reports():
     harness = make_harness(usage_period_ms=0.0)
-    harness.servers(make_endpoint(1), make_endpoint(2))
-    forwarded = [harness.ask("metered") in harness.sent for _ in range(5)]
+    harness.update_endpoints(make_endpoint(1), make_endpoint(2))
+    forwarded = [harness.send_request("metered") in harness.sent for _ in range(5)]
     assert forwarded == [True] * 4 + [False]
 
 
