--- a/tests/policy/test_leaky_bucket.py
+++ b/tests/policy/test_leaky_bucket.py
@@ -12,7 +12,14 @@
 import pytest
 
 from quota_gateway import AttemptStatus, ClientDisconnected, Idempotency, Plan, Request, RequestClass
-from tests.support.engine_harness import CLASSES, DEAR, SETTINGS, EngineHarness, make_endpoint, make_harness
+from tests.support.engine_harness import (
+    CLASSES,
+    HIGH_PRIORITY,
+    SETTINGS,
+    EngineHarness,
+    make_endpoint,
+    make_harness,
+)
 
 BRIEF = RequestClass("brief", 500.0, 4000.0, Idempotency.IDEMPOTENT)
 
@@ -177,7 +184,7 @@
 
 def harness_with_priority_class() -> EngineHarness:
     """A harness with an additional class "dear", which has four times the priority weight."""
-    harness = make_harness(classes=(*CLASSES, DEAR))
+    harness = make_harness(classes=(*CLASSES, HIGH_PRIORITY))
     harness.update_endpoints(make_endpoint(1), make_endpoint(2))
     return harness
 
--- a/tests/policy/test_protocol_rules.py
+++ b/tests/policy/test_protocol_rules.py
@@ -24,7 +24,7 @@
 from quota_gateway.policy.scheduling import Scheduler
 from tests.support.engine_harness import (
     CLASSES,
-    DEAR,
+    HIGH_PRIORITY,
     PLANS,
     SETTINGS,
     EngineHarness,
@@ -273,7 +273,7 @@
 
 
 def test_concurrency_limit_queues_requests_and_sheds_the_least_valuable():
-    harness = make_harness(classes=(*CLASSES, DEAR))
+    harness = make_harness(classes=(*CLASSES, HIGH_PRIORITY))
     harness.update_endpoints(make_endpoint(1), make_endpoint(2))
     harness.engine.mechanisms.concurrency.limit = 6.0
     request_ids = [harness.send_request() for _ in range(6)]
@@ -562,7 +562,7 @@
 
 
 def test_request_queued_under_an_in_flight_cap_waits_until_its_own_latency_objective():
-    harness = make_harness(classes=(*CLASSES, DEAR))
+    harness = make_harness(classes=(*CLASSES, HIGH_PRIORITY))
     harness.update_endpoints(make_endpoint(1), make_endpoint(2))
     first = harness.send_request("only-cap")
     second = harness.send_request("only-cap")
--- a/tests/support/engine_harness.py
+++ b/tests/support/engine_harness.py
@@ -58,7 +58,7 @@
     RequestClass("unsafe", 2000.0, 4000.0, Idempotency.NON_IDEMPOTENT),
 )
 # Tests that need this class add it to CLASSES.
-DEAR = RequestClass("dear", 1000.0, 4000.0, Idempotency.NON_IDEMPOTENT, priority_weight=4.0)
+HIGH_PRIORITY = RequestClass("dear", 1000.0, 4000.0, Idempotency.NON_IDEMPOTENT, priority_weight=4.0)
 PLANS = (
     Plan("metered", rate=10.0, burst=8.0),
     Plan("capped", rate=10.0, burst=100.0, max_in_flight=4),
