--- a/quota_gateway/net/handover/rendezvous.py
+++ b/quota_gateway/net/handover/rendezvous.py
@@ -46,7 +46,7 @@
     """
     try:
         with _short_name(path) as name:
-            return _connected(name)
+            return _open_connection(name)
     except OSError as error:
         if error.errno in SHORTAGE_ERRORS:
             raise
@@ -55,7 +55,7 @@
         return None
 
 
-def _connected(name: str) -> socket.socket:
+def _open_connection(name: str) -> socket.socket:
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     try:
         sock.setblocking(False)
@@ -77,7 +77,7 @@
     """
     try:
         with _short_name(path) as name:
-            return _listening(name)
+            return _open_listener(name)
     except OSError as error:
         if error.errno in BIND_ERRORS:
             raise
@@ -85,7 +85,7 @@
         return None
 
 
-def _listening(name: str) -> socket.socket:
+def _open_listener(name: str) -> socket.socket:
     """Bind to a temporary name first, then rename it, so that the path always has a listener."""
     temporary_name = Path(f"{name}.{os.getpid()}")
     with suppress(FileNotFoundError):
--- a/tests/net/test_transient_faults.py
+++ b/tests/net/test_transient_faults.py
@@ -96,7 +96,9 @@
 async def test_handover_listener_is_created_once_its_folder_is_writable(tmp_path, monkeypatch):
     monkeypatch.setattr(handover_sender, "LISTEN_RETRY_S", 0.01)
     monkeypatch.setattr(
-        rendezvous, "_listening", FailingCall(rendezvous._listening, errno.ENOSPC, errno.EIO, errno.ENFILE)
+        rendezvous,
+        "_open_listener",
+        FailingCall(rendezvous._open_listener, errno.ENOSPC, errno.EIO, errno.ENFILE),
     )
     async with run_gateway() as gateway:
         gateway.handover.sender.path = tmp_path / "rendezvous"
