--- a/quota_gateway/net/upstream/reply_parser.py
+++ b/quota_gateway/net/upstream/reply_parser.py
@@ -1,4 +1,4 @@
-"""Parses a server's reply into its status, value, usage figures and load report."""
+"""Parses a server's reply into its status, value, usage report and load report."""
 
 from __future__ import annotations
 
