--- a/quota_gateway/model/events.py
+++ b/quota_gateway/model/events.py
@@ -132,7 +132,7 @@
         server: The server of the attempt.
         status: Result of the attempt.
         latency_ms: Time from the start of the attempt to its end.
-        closed: Whether the client has received the final answer of the request.
+        closed: Whether an answer was given or has begun, or the client has disconnected.
         usage_percent: The customer's usage over all gateways, reported late, in percent of its quota.
         final_units: Units that the request actually took.
         load: The server's load report, one value for each of ``Settings.load_report_fields``.
