--- a/quota_gateway/policy/admission.py
+++ b/quota_gateway/policy/admission.py
@@ -26,7 +26,7 @@
 
     Attributes:
         reason: Why the request is rejected.
-        retry_after_ms: Time after which the request would be admitted; None means no Retry-After is sent.
+        retry_after_ms: Time after which the client may retry; None means no Retry-After is sent.
     """
 
     reason: AnswerReason
--- a/quota_gateway/policy/attempt_feedback.py
+++ b/quota_gateway/policy/attempt_feedback.py
@@ -1,4 +1,4 @@
-"""Feedback from attempts to the mechanisms: at the start, when slow, and by the outcome."""
+"""Feedback from attempts to the mechanisms: when one starts, when it becomes slow and when it ends."""
 
 from quota_gateway.model.endpoint_state import DetectedOutlier, EndpointState
 from quota_gateway.model.events import AttemptStatus, Outcome
@@ -8,7 +8,7 @@
 
 
 class AttemptFeedback:
-    """Updates the mechanisms by attempts; logs each detected outlier and adds a standby endpoint for it."""
+    """Updates the mechanisms as attempts proceed; logs each outlier and adds a standby endpoint for it."""
 
     def __init__(self, mechanisms: Mechanisms, log: DecisionLog) -> None:
         self._clock = mechanisms.clock
@@ -22,7 +22,10 @@
         self._log = log
 
     def on_start(self, pending: PendingRequest, endpoint: EndpointState, is_free: bool) -> int:
-        """Charge a new attempt to the hard ceiling, retry budget and concurrency limit; return its number."""
+        """Record a new attempt, and return its number.
+
+        It counts in the retry budget and the concurrency limit. A first attempt is charged to the ceiling.
+        """
         number = pending.start_attempt(endpoint, self._clock.now_ms)
         if number == 0:
             self._ceiling.charge(pending)
@@ -40,7 +43,7 @@
         self._on_outlier(self._outliers.on_slow_attempt(pending, endpoint))
 
     def on_outcome(self, pending: PendingRequest, attempt: RunningAttempt, event: Outcome) -> None:
-        """Update limits, failure rates, load and latencies by the outcome of an attempt."""
+        """Update limits, failure rates, load and latencies with the outcome of an attempt."""
         endpoint = attempt.endpoint
         self._concurrency.on_end(event.request_id, event.attempt)
         self._on_outlier(self._outliers.on_outcome(pending, endpoint, event.status))
--- a/quota_gateway/policy/clock.py
+++ b/quota_gateway/policy/clock.py
@@ -46,7 +46,7 @@
         self.endpoint_count = endpoint_count
 
     def restore(self, attempts: int, started_at_ms: float) -> None:
-        """Restore the counts of the previous process."""
+        """Restore the number of attempts and the start time of the previous process."""
         self.attempts = attempts
         self.started_at_ms = min(self.started_at_ms, started_at_ms)
 
--- a/quota_gateway/policy/concurrency.py
+++ b/quota_gateway/policy/concurrency.py
@@ -8,9 +8,10 @@
 INITIAL_CONCURRENCY_PER_SERVER = 6.0  # attempts in flight at one server, summed over all gateways
 LIMIT_INCREASE_PER_FAST_RESPONSE = 0.035  # attempts
 LIMIT_DECREASE_PER_SLOW_RESPONSE = 0.3  # attempts; a limit below 1 is lowered by this share of it
-MIN_LIMIT_ATTEMPTS = 0.3  # above 0, as only responses can raise the limit again
+MIN_LIMIT_ATTEMPTS = 0.3  # the limit stays above 0, as only responses can raise it again
 SLOW_RESPONSE_OBJECTIVE_SHARE = 0.5  # share of the latency objective; slower responses lower the limit
-LIMIT_USED_UP_MARGIN_ATTEMPTS = 2  # covers the attempt that has just ended, and one that would not fit
+# Attempts counted besides those in flight: the one that has just ended, and one that would start next.
+LIMIT_USED_UP_MARGIN_ATTEMPTS = 2
 
 
 class ConcurrencyLimit:
@@ -50,7 +51,7 @@
         self.in_flight.discard((request_id, attempt))
 
     def on_response(self, request_class: RequestClass, latency_ms: float) -> None:
-        """Move the limit by the latency of a successful response.
+        """Lower the limit after a slow successful response; raise it after a fast one if it is used up.
 
         Args:
             request_class: The class of the request, with its latency objective.
--- a/quota_gateway/policy/customer_table.py
+++ b/quota_gateway/policy/customer_table.py
@@ -7,11 +7,11 @@
 from quota_gateway.policy.hard_ceiling import HardCeiling
 from quota_gateway.policy.quota import LocalQuota
 
-MAX_EVICTIONS_PER_REQUEST = 2  # above the one customer that a request may add, so that the table can shrink
+MAX_EVICTIONS_PER_REQUEST = 2  # more than the one customer that a request may add, so the table can shrink
 
 
 class CustomerTable:
-    """An LRU table of customer states. It evicts states equal to a new one, as their loss changes nothing."""
+    """An LRU table of customer states; evicts those equivalent to a new one, whose loss changes nothing."""
 
     def __init__(
         self, settings: Settings, clock: DecayClock, quota: LocalQuota, ceiling: HardCeiling
--- a/quota_gateway/policy/engine.py
+++ b/quota_gateway/policy/engine.py
@@ -93,7 +93,7 @@
             event: The event.
 
         Raises:
-            ValueError: The time is before that of an earlier event.
+            ValueError: The time is before that of an earlier event, or is not a number.
             StateError: The event restores a malformed state.
         """
         self._clock.advance(now_ms)
--- a/quota_gateway/policy/in_flight_limit.py
+++ b/quota_gateway/policy/in_flight_limit.py
@@ -7,10 +7,11 @@
 from quota_gateway.model.settings import Plan, Settings
 from quota_gateway.policy.clock import DecayClock
 
-SMALL_GATEWAY_SET_SIZE = 4  # gateways; in larger sets, reports and slot rotation come too late for a client
+# In a larger gateway set, usage reports and slots of the rotation come too late for a waiting client.
+SMALL_GATEWAY_SET_SIZE = 4
 ROTATION_PERIOD_USAGE_PERIODS = 1.0  # length of a rotation period
 CONTENTION_AFTER_REPORT_USAGE_PERIODS = 10.0  # assumed duration of contention after a report over the cap
-CONTENTION_AFTER_OCCUPIED_SLOT_USAGE_PERIODS = 1.0  # short, as requests may overlap by chance
+CONTENTION_AFTER_OCCUPIED_SLOT_USAGE_PERIODS = 1.0  # a short contention, as requests may overlap by chance
 # Time in which the count of arrivals decays by a factor of e, equal to the delay of a usage report.
 ARRIVALS_DECAY_MS = 2000.0
 # Recent arrivals at this gateway that imply contention, at a headroom of 1 (the cap is not used at all).
@@ -26,7 +27,7 @@
         self._clock = clock
 
     def has_free_slot(self, pending: PendingRequest, quota_share: float) -> bool:
-        """Return whether an attempt fits into this gateway's share of the cap, at least one attempt."""
+        """Return whether an attempt fits into this gateway's share of the cap, which is at least 1."""
         cap = pending.plan.max_in_flight
         return not cap or pending.customer.total_in_flight() < max(1, int(cap * quota_share))
 
@@ -73,7 +74,7 @@
         return 0.0 if periods_ahead < cap else (periods_ahead - cap + 1) * period_ms - elapsed_ms
 
     def _are_slots_contended(self, pending: PendingRequest) -> bool:
-        """Return whether slots rotate.
+        """Return whether contention for the customer's slots is assumed.
 
         This is judged by arrivals in a large gateway set, else by usage reports and occupied slots.
         """
--- a/quota_gateway/policy/latency.py
+++ b/quota_gateway/policy/latency.py
@@ -10,7 +10,8 @@
 INITIAL_LATENCY_OBJECTIVE_SHARE = 0.2  # mean latency before any response, as a share of the objective
 MIN_LATENCY_SAMPLE_WEIGHT = 0.03  # lowest weight of one response in a mean latency; the first ones weigh more
 RELATIVE_LATENCY_SAMPLE_WEIGHT = 0.15  # weight of one response in an endpoint's relative latency
-ATTEMPT_LOST_AFTER_MEAN_LATENCIES = 8.0  # time in flight, in mean latencies of the request
+# Time in flight after which an attempt is presumed lost, in mean latencies of its request's class and size.
+ATTEMPT_LOST_AFTER_MEAN_LATENCIES = 8.0
 # A response below this share of the latency objective is fast, and raises the concurrency limit.
 FAST_RESPONSE_OBJECTIVE_SHARE = 0.3
 AVERAGE_RELATIVE_LATENCY = 1.0  # relative latency of an endpoint that is as fast as the mean
@@ -46,7 +47,7 @@
         return self._clock.now_ms - started_ms >= ATTEMPT_LOST_AFTER_MEAN_LATENCIES * self.mean_ms(pending)
 
     def record(self, pending: PendingRequest, endpoint: EndpointState, latency_ms: float) -> None:
-        """Update the mean of class and size and the endpoint's relative latency by a successful response."""
+        """Update the mean latency and the endpoint's relative latency with a successful response."""
         mean_ms = self._update_mean(pending, latency_ms)
         relative_latency = current_relative_latency(endpoint, self._clock)
         deviation = latency_ms / mean_ms - relative_latency
@@ -54,7 +55,7 @@
         endpoint.relative_latency_at = self._clock.moment()
 
     def _update_mean(self, pending: PendingRequest, latency_ms: float) -> float:
-        """Update the mean by a response and return it; the initial value weighs as much as one response."""
+        """Update the mean with a response and return it; the initial value weighs as much as one response."""
         mean_ms = self.mean_ms(pending)
         means = self.means[pending.request_class.name]
         responses = (means[pending.size].responses if pending.size in means else 0) + 1
--- a/quota_gateway/policy/leaky_bucket.py
+++ b/quota_gateway/policy/leaky_bucket.py
@@ -12,14 +12,16 @@
 
 # A request is delayed if the excess is above one burst, and rejected if it is above this many bursts.
 MAX_EXCESS_BURSTS = 2.0
-MAX_PRIORITY_BURST_INCREASE_SHARE = 0.25  # share of the burst, approached as the priority weight grows
-LOWEST_PRIORITY_MAX_DELAY_OBJECTIVE_SHARE = 0.1  # share of the shortest latency objective
+# Limit that the increase of the burst approaches as the priority weight grows, as a share of the burst.
+MAX_PRIORITY_BURST_INCREASE_SHARE = 0.25
+# Longest delay for the lowest priority weight, as a share of the shortest latency objective.
+LOWEST_PRIORITY_MAX_DELAY_OBJECTIVE_SHARE = 0.1
 # This many requests may arrive together by chance. Full headroom adds as many bursts.
 HEADROOM_BURST_REQUESTS = 2.0
 
 
 class LeakyBucket:
-    """Decides by a customer's excess whether a request passes now, is delayed or is rejected."""
+    """Decides from a customer's excess whether a request passes now, is delayed or is rejected."""
 
     def __init__(self, settings: Settings, clock: DecayClock, quota: LocalQuota) -> None:
         self._clock = clock
@@ -103,7 +105,7 @@
     def _max_delay_ms(self, request_class: RequestClass, mean_latency_ms: float) -> float:
         """Return the longest delay in milliseconds with which a reply still meets the shortest objective.
 
-        It is shorter for the lowest priority weight. It may be below 0.
+        For the lowest priority weight it is a fixed share of that objective. It may be below 0.
         """
         if request_class.priority_weight == self._lowest_weight:
             return LOWEST_PRIORITY_MAX_DELAY_OBJECTIVE_SHARE * self._shortest_objective_ms
@@ -114,8 +116,8 @@
     ) -> float | None:
         """Return the milliseconds until a rejected request would be admitted, with or without a delay.
 
-        Returns None if that is after the clock time ``latest_start_ms``, or if the settings permit no
-        Retry-After.
+        The result is at most ``GatewayLimits.max_retry_after_ms``. It is None if the request would not be
+        admitted by the clock time ``latest_start_ms``, or if the settings permit no Retry-After.
         """
         if not self._limits.can_send_retry_after:
             return None
--- a/quota_gateway/policy/load_balancing.py
+++ b/quota_gateway/policy/load_balancing.py
@@ -20,11 +20,11 @@
 SAMPLED_ENDPOINTS = 10  # endpoints compared for each attempt; the power of two choices compares two
 MAX_FAST_ENDPOINTS_PER_CLASS = 10
 MAX_ENDPOINTS_WITHOUT_SAMPLING = SAMPLED_ENDPOINTS + MAX_FAST_ENDPOINTS_PER_CLASS
-# A warming endpoint is chosen if its cost is in this lowest share of the ranked candidates.
+# The warming endpoint that slow start picks is chosen if it is in this cheapest share of the candidates.
 SLOW_START_MAX_RANK_SHARE = 0.75
 QUEUE_LENGTH_FIELD = "queue"  # queue length in a load report, see Settings.load_report_fields
 
-#: Checks, for each scope, that another endpoint recognizes an idempotency key first used at ``first``.
+#: For each scope, whether the second endpoint recognizes an idempotency key first used at the first one.
 IS_KEY_RECOGNIZED_BY_SCOPE: dict[IdempotencyScope, Callable[[EndpointState, EndpointState], bool]] = {
     IdempotencyScope.ALL: lambda _first, _other: True,
     IdempotencyScope.ZONE: lambda first, other: other.zone == first.zone,
@@ -139,7 +139,7 @@
         capacity_share = self._slow_start.capacity_share(endpoint)
         failure_probability = self._outliers.failure_probability(pending, endpoint)
         if capacity_share < 1.0 and failure_probability < OUTLIER_FAILURE_RATE:
-            failure_probability = 0.0  # slow start already limits its requests
+            failure_probability = 0.0  # slow start already limits the requests to a warming endpoint
         # The relative latency of a warming endpoint already reflects its reduced capacity: reduce the wait.
         wait_cost = capacity_share * (capacity_share + waiting)
         failure_cost = (1.0 + waiting) * FAILURE_COST_MEAN_LATENCIES * failure_probability
--- a/quota_gateway/policy/outliers.py
+++ b/quota_gateway/policy/outliers.py
@@ -7,8 +7,10 @@
 from quota_gateway.model.pending_request import FailureKeys, PendingRequest
 from quota_gateway.policy.clock import DecayClock
 
-PRIOR_WEIGHT_OUTCOMES = 1.0  # weight of the rate over all endpoints in that of one endpoint
-OUTLIER_FAILURE_RATE = 0.5  # failures per outcome, from 0 to 1; an endpoint with this rate is an outlier
+# Weight of the failure rate over all endpoints in the rate expected at one endpoint.
+PRIOR_WEIGHT_OUTCOMES = 1.0
+# Failures per outcome, from 0 to 1; an endpoint with this rate or a higher one is an outlier.
+OUTLIER_FAILURE_RATE = 0.5
 SLOW_ATTEMPT_REASON = "silent"  # logged for a slow attempt in flight, which has no status yet
 
 #: The key under which a failed attempt is counted, by its status: the narrowest key that the status gives
--- a/quota_gateway/policy/quota.py
+++ b/quota_gateway/policy/quota.py
@@ -5,9 +5,10 @@
 from quota_gateway.policy.clock import DecayClock
 
 MILLIUNITS_PER_UNIT = 1000.0
-# Increase at full headroom, relative to the even share; small, as all gateways act on the same late report.
+# Increase of the share at full headroom, relative to the even share. It is small, as all gateways act on the
+# same late report.
 SHARE_INCREASE_PER_HEADROOM = 0.1
-REPORT_LIFETIME_USAGE_PERIODS = 4.0  # covers the report's own period, its lateness and a gap in traffic
+REPORT_LIFETIME_USAGE_PERIODS = 4.0  # for the period of a report, its lateness and a gap in traffic
 
 
 class LocalQuota:
--- a/quota_gateway/policy/request_lifecycle.py
+++ b/quota_gateway/policy/request_lifecycle.py
@@ -69,7 +69,7 @@
 
 
 class RequestLifecycle:
-    """Moves each pending request through its states, by events and the decisions of the rules.
+    """Moves each pending request through its states, as events and the decisions of the rules demand.
 
     Attributes:
         requests: Pending requests by id, kept until they are answered and have no attempt in flight.
@@ -189,7 +189,7 @@
             self._give_up(pending, self._rules.give_up.on_late_attempt(pending, attempt))
 
     def on_outcome(self, event: events.Outcome) -> None:
-        """Record the outcome of an attempt; after a failure, retry the attempt or answer its request."""
+        """Record the outcome of an attempt; after a failure, retry the request, answer it or wait."""
         pending = self.requests.get(event.request_id)
         if pending is None or event.attempt not in pending.in_flight:
             return
--- a/quota_gateway/policy/retries.py
+++ b/quota_gateway/policy/retries.py
@@ -38,7 +38,7 @@
 
 
 class RetryRules:
-    """Decides on further attempts by idempotency, attempts left, retry budget and permitted endpoints."""
+    """Decides on further attempts, given idempotency, attempts left, retry budget and permitted endpoints."""
 
     def __init__(self, limits: GatewayLimits, mechanisms: Mechanisms) -> None:
         self._limits = limits
--- a/quota_gateway/policy/retry_budget.py
+++ b/quota_gateway/policy/retry_budget.py
@@ -22,7 +22,7 @@
             self.tokens -= 1.0
 
     def allows(self, pending: PendingRequest, is_free: bool = False) -> bool:
-        """Return whether the request has an attempt left, and the budget a token unless the retry is free."""
+        """Return whether an attempt is left and, unless the retry is free, the budget has a token."""
         return pending.attempts < self._max_attempts and (is_free or self.tokens >= 1.0)
 
     def restore(self, tokens: float) -> None:
--- a/quota_gateway/policy/scheduling.py
+++ b/quota_gateway/policy/scheduling.py
@@ -55,15 +55,16 @@
         return StartNow(endpoint) if endpoint else WAIT_FOR_CAPACITY
 
     def _is_too_long(self, pending: PendingRequest, ceiling_wait_ms: float, slot_wait_ms: float) -> bool:
-        """Return whether the ceiling's wait exceeds the deadline, or the wait for a slot the latest start."""
+        """Return whether the ceiling's wait reaches the deadline, or a slot comes after the latest start."""
         now_ms = self._clock.now_ms
         if ceiling_wait_ms >= pending.deadline_ms - now_ms:
             return True
         return slot_wait_ms > 0.0 and slot_wait_ms > self._latencies.latest_start_ms(pending) - now_ms
 
     def choose_endpoint(self, pending: PendingRequest) -> EndpointState | None:
-        """Choose the endpoint of a first attempt; return None while the concurrency limit is used up.
+        """Choose the endpoint of a first attempt.
 
+        Returns None while the concurrency limit is used up, or if the request may be sent to no endpoint.
         A fractional limit such as 4.3 is 5 for requests with a draw below the fraction, and 4 for others.
         """
         if not self._concurrency.has_capacity(pending.random_draw):
--- a/quota_gateway/policy/slow_start.py
+++ b/quota_gateway/policy/slow_start.py
@@ -8,7 +8,7 @@
 
 
 class SlowStart:
-    """Computes the capacity of warming endpoints, and picks the requests that they may be sent."""
+    """Computes the capacity of warming endpoints, and picks the one that a request may be sent to."""
 
     def __init__(self, rules: ServiceRules, clock: DecayClock) -> None:
         self._rules = rules
@@ -60,6 +60,6 @@
         return None
 
     def _usable_range_share(self, total_capacity: float, ready_count: int) -> float:
-        """Return the first part of a range, as a share of it, that fits its endpoint's overload budget."""
+        """Return the share of each range that keeps its endpoint within the overload budget."""
         load_factor = OVERLOAD_BUDGET_SHARE * self._rules.overload_factor
         return min(1.0, load_factor * total_capacity / ready_count)
--- a/quota_gateway/policy/unknown_customers.py
+++ b/quota_gateway/policy/unknown_customers.py
@@ -1,4 +1,4 @@
-"""Admission of unknown customers, of whom there is no recent usage report: docs/decisions/quota.md."""
+"""Admission of unknown customers, who have no recent usage report: docs/decisions/quota.md."""
 
 from math import exp
 from random import Random
@@ -10,9 +10,12 @@
 from quota_gateway.policy.quota import LocalQuota
 
 INITIAL_ADMITTED_SHARE = 0.2  # share of the requests of unknown customers, before any report
-MIN_ADMITTED_SHARE = 0.08  # above 0, as only reports raise it again, and only admitted customers are reported
-ADMITTED_SHARE_LOG_STEP = 0.6  # change of the logarithm of the share by a report, at a deviation of 1
-TARGET_SHARE_OF_BREAK_EVEN_REPORTS = 0.5  # half of the break-even share, as reports are late
+# The share stays above 0, as only reports raise it again, and only admitted customers are reported.
+MIN_ADMITTED_SHARE = 0.08
+# Change of the logarithm of the admitted share by a report that deviates by 1 from the target.
+ADMITTED_SHARE_LOG_STEP = 0.6
+# Target for the share of reports over quota: half of the break-even share, as reports are late.
+TARGET_SHARE_OF_BREAK_EVEN_REPORTS = 0.5
 
 
 class UnknownCustomerAdmission:
@@ -28,7 +31,8 @@
         """Return whether a request is passed on to the leaky bucket.
 
         This is decided at random for a customer without a recent usage report, in a large gateway set, under
-        a plan for which use beyond the quota costs more than it is worth.
+        a plan for which use beyond the quota costs more than it is worth, if each gateway would otherwise
+        admit at least one request.
         """
         is_excess_harmless = plan.excess_cost <= plan.excess_value
         if customer.gateway_set_size <= SMALL_GATEWAY_SET_SIZE or is_excess_harmless:
@@ -42,7 +46,7 @@
         return self._random.random() < self.admitted_shares[plan.name]
 
     def on_usage_report(self, customer: CustomerState, plan: Plan, usage: float) -> None:
-        """Adjust the admitted share of a plan by a usage report (1 is the whole quota) of one customer.
+        """Adjust the admitted share of a plan after a usage report (1 is the whole quota) of one customer.
 
         A report over quota lowers the share, any other raises it. The share is steady when the reports over
         quota are half of the break-even number, at which they cost as much as the other reports earn.
