--- a/quota_gateway/policy/retries.py
+++ b/quota_gateway/policy/retries.py
@@ -64,17 +64,21 @@
 
     def may_retry(self, pending: PendingRequest, status: AttemptStatus, attempt: RunningAttempt) -> bool:
         """Record the failed attempt in ``pending``; return whether another attempt may follow."""
-        may_have_ended = status is AttemptStatus.OVERLOADED and pending.had_error
+        is_overloaded_after_error = status is AttemptStatus.OVERLOADED and pending.had_error
         pending.had_error = pending.had_error or status is AttemptStatus.ERROR
         if status not in NEVER_EXECUTED:
             pending.first_executed = pending.first_executed or attempt
-        if may_have_ended or status is AttemptStatus.NOT_SENT or self._clock.now_ms >= pending.deadline_ms:
+        if (
+            is_overloaded_after_error
+            or status is AttemptStatus.NOT_SENT
+            or self._clock.now_ms >= pending.deadline_ms
+        ):
             return False
         return self._budget.allows(pending, is_free=_is_free_after(status))
 
     def after_slowness(self, pending: PendingRequest, attempt: RunningAttempt) -> Hedge | InFlightDecision:
         """Decide on a slow attempt in flight: one that is suspect is hedged, or cancelled and retried."""
-        if not (self._is_suspect(pending, attempt) and _may_hedge(pending)):
+        if not (self._is_suspect(pending, attempt) and _may_add_attempt(pending)):
             return InFlightDecision.KEEP_WAITING
         pending.first_executed = pending.first_executed or attempt
         if not self._budget.allows(pending) or not self._concurrency.has_capacity():
@@ -102,8 +106,8 @@
     return status is AttemptStatus.CONNECT_FAILED
 
 
-def _may_hedge(pending: PendingRequest) -> bool:
-    """Return whether a hedged request is permitted; at most two attempts are in flight at the same time."""
+def _may_add_attempt(pending: PendingRequest) -> bool:
+    """Return whether the request may be repeated now; at most two attempts are in flight at the same time."""
     is_repeatable = pending.request_class.idempotency is not Idempotency.NON_IDEMPOTENT
     return is_repeatable and not pending.is_answered and len(pending.in_flight) <= 1
 
