--- a/quota_gateway/__main__.py
+++ b/quota_gateway/__main__.py
@@ -33,13 +33,13 @@
 
 
 def main() -> int:
-    """Run the gateway until SIGTERM.
+    """Run the gateway until SIGTERM or SIGINT.
 
     Signals are blocked until their handlers are installed, as the default action of a signal that comes
     while the gateway starts would end the process.
 
     Returns:
-        0 after SIGTERM, 2 if the configuration is malformed; one line in the log then says why.
+        0 after SIGTERM or SIGINT, 2 if the configuration is malformed; one line in the log then says why.
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
     _configure_logging()
--- a/quota_gateway/config.py
+++ b/quota_gateway/config.py
@@ -21,7 +21,8 @@
 MAX_PORT = (1 << 16) - 1
 PORT_DIGITS = re.compile("0*[0-9]{1,5}")  # a longer number is not a port, and slow to convert
 SEED_BASE = 16  # the seed is a hexadecimal number
-# Attempts at the start, as the file may be half-written. A reload retries without blocking the event loop.
+# Attempts to read the file at the start, as it may be half-written. A reload retries without blocking the
+# event loop.
 MAX_START_READS = 10
 READ_RETRY_S = 0.02
 
--- a/quota_gateway/errors.py
+++ b/quota_gateway/errors.py
@@ -8,7 +8,7 @@
 
 
 class ConfigError(QuotaGatewayError, ValueError):
-    """The environment, the configuration file or the settings are malformed; the gateway does not start."""
+    """The environment, the configuration file or the settings are malformed; a start or reload fails."""
 
 
 class InvalidFieldError(ConfigError):
--- a/quota_gateway/model/actions.py
+++ b/quota_gateway/model/actions.py
@@ -22,7 +22,7 @@
 
     UNSPECIFIED = "unspecified"
     UNKNOWN_CLASS_OR_PLAN = "unknown_class_or_plan"
-    RETRY_BELOW_ONE_REQUEST = "thin_retry"  # a retry, at a quota share below one request
+    RETRY_BELOW_ONE_REQUEST = "thin_retry"  # a retry of a customer whose quota share is below one request
     UNKNOWN_CUSTOMER = "unknown_customer"
     OVER_QUOTA = "over_quota"
     NO_CAPACITY_IN_TIME = "no_place_in_time"
--- a/quota_gateway/model/customer_state.py
+++ b/quota_gateway/model/customer_state.py
@@ -11,9 +11,9 @@
     Attributes:
         excess: Milliunits in the leaky bucket, as of ``excess_at_ms``.
         largest_units: Units of the largest request seen.
-        gateway_set_size: Number of gateways through which its requests come, as given by the last one.
+        gateway_set_size: Number of gateways through which its requests come, as given by its last request.
         usage: Usage over all gateways, as last reported at ``usage_at_ms``; 1 is the whole quota.
-        contended_until_ms: Clock time until which the slots under the in-flight cap rotate.
+        contended_until_ms: Clock time until which contention for slots under the in-flight cap is assumed.
         recent_demand: Recent demand, admitted or not, as of ``recent_demand_at_ms``: in units under a rate,
             in requests under a cap.
         in_flight: Number of attempts in flight from this process.
--- a/quota_gateway/model/events.py
+++ b/quota_gateway/model/events.py
@@ -213,8 +213,7 @@
 class RestoreState:
     """The state that the previous process exported.
 
-    Raises:
-        StateError: The state is malformed; none of it is restored.
+    ``PolicyEngine.handle`` raises a ``StateError`` if it is malformed; none of it is restored then.
     """
 
     state: dict[str, Any]
--- a/quota_gateway/model/snapshot.py
+++ b/quota_gateway/model/snapshot.py
@@ -131,9 +131,9 @@
         """Read the state that another process exported; plans and classes not known here are ignored.
 
         Args:
-            state: The result of ``to_json`` of this version or an earlier one.
+            state: The result of ``to_json``, which another version may have written.
             settings: Settings of this process.
-            now_ms: Current time by the clock of this process. Later times in ``state`` are read as this time.
+            now_ms: Current time by the clock of this process. Past events with a later time are read as now.
 
         Raises:
             StateError: A part of the state is malformed.
--- a/quota_gateway/resources.py
+++ b/quota_gateway/resources.py
@@ -30,7 +30,7 @@
     + FILE_DESCRIPTORS
     + SPARE_DESCRIPTORS
 )
-# twice the connections, as an evicted one is closed a little later, and the listener
+# twice the connections, as an evicted one is closed a little later, plus the listener
 ADMIN_DESCRIPTORS = 2 * MAX_ADMIN_CONNECTIONS + 1
 # Share of the remaining descriptors. It is small, as most client connections have no request in flight.
 UPSTREAM_CONNECTION_SHARE = 0.25
--- a/quota_gateway/server.py
+++ b/quota_gateway/server.py
@@ -152,7 +152,11 @@
         return self.config.known_endpoints
 
     def _take_over(self, state: HandoverState) -> bool:
-        """Take over from the previous process; return False if its state can't be restored."""
+        """Take over from the previous process.
+
+        Returns:
+            False if the channel is closed or the state can't be restored.
+        """
         if state.channel.closed or not self.driver.restore_state(state.state):
             state.channel.close("state of the previous process can not be restored")
             state.listener.close()
@@ -165,7 +169,7 @@
     async def _start_without_previous(self) -> None:
         """Listen without a handover.
 
-        The gateway is ready with discovery's first update, or else after ``FIRST_UPDATE_TIMEOUT_S``.
+        The gateway is ready with discovery's first update, at the latest after ``FIRST_UPDATE_TIMEOUT_S``.
         """
         self.detachments.detach_again()
         await listen(self.clients, self.config.listen)
--- a/quota_gateway/settings_format.py
+++ b/quota_gateway/settings_format.py
@@ -156,7 +156,7 @@
 
 
 def _build(model_type: type[ModelType], keys: Mapping[str, Key], section: JsonObject) -> ModelType:
-    """Create an object of the model from the values of its fields' keys."""
+    """Create an object of the model from a JSON object; ``keys`` has the key of each field."""
     values = {field: _read(section, key) for field, key in keys.items()}
     try:
         return model_type(**values)
