--- a/quota_gateway/errors.py
+++ b/quota_gateway/errors.py
@@ -1,10 +1,10 @@
-"""The errors of this package. Each message says what is wrong, and with which field and value."""
+"""The common errors of this package. Each message says what is wrong, and with which field and value."""
 
 MAX_SHOWN_CHARACTERS = 100  # a longer value is cut, so that the error message stays a readable line
 
 
 class QuotaGatewayError(Exception):
-    """Base class of all errors that this package raises on purpose."""
+    """Base class of the common errors of this package."""
 
 
 class ConfigError(QuotaGatewayError, ValueError):
--- a/quota_gateway/model/settings.py
+++ b/quota_gateway/model/settings.py
@@ -87,7 +87,7 @@
     Attributes:
         name: Unique name, as clients send it.
         rate: Units per second that drain from the customer's leaky bucket.
-        burst: Units that the bucket holds.
+        burst: Units that the bucket may hold without a delay of requests.
         max_in_flight: Attempts that a customer may have in flight at once.
         weight: Factor on ``RequestClass.priority_weight`` for its customers.
         excess_value: Value of a unit served beyond the quota, relative to one within it.
--- a/quota_gateway/policy/in_flight_limit.py
+++ b/quota_gateway/policy/in_flight_limit.py
@@ -11,7 +11,9 @@
 SMALL_GATEWAY_SET_SIZE = 4
 ROTATION_PERIOD_USAGE_PERIODS = 1.0  # length of a rotation period
 CONTENTION_AFTER_REPORT_USAGE_PERIODS = 10.0  # assumed duration of contention after a report over the cap
-CONTENTION_AFTER_OCCUPIED_SLOT_USAGE_PERIODS = 1.0  # a short contention, as requests may overlap by chance
+# Assumed duration of contention after a request that comes while another is in flight. It is short, as
+# requests may overlap by chance.
+CONTENTION_AFTER_OCCUPIED_SLOT_USAGE_PERIODS = 1.0
 # Time in which the count of arrivals decays by a factor of e, equal to the delay of a usage report.
 ARRIVALS_DECAY_MS = 2000.0
 # Recent arrivals at this gateway that imply contention, at a headroom of 1 (the cap is not used at all).
--- a/quota_gateway/resources.py
+++ b/quota_gateway/resources.py
@@ -32,7 +32,8 @@
 )
 # twice the connections, as an evicted one is closed a little later, plus the listener
 ADMIN_DESCRIPTORS = 2 * MAX_ADMIN_CONNECTIONS + 1
-# Share of the remaining descriptors. It is small, as most client connections have no request in flight.
+# Share of the remaining descriptors for upstream connections. It is small, as most client connections have
+# no request in flight.
 UPSTREAM_CONNECTION_SHARE = 0.25
 MIN_CONNECTIONS = 2  # minimum of client and upstream connections together, however low the limit is
 
--- a/quota_gateway/server.py
+++ b/quota_gateway/server.py
@@ -143,7 +143,7 @@
         log.info("listening host=%s port=%d", *self.config.listen)
 
     def _initial_endpoints(self, state: HandoverState | None) -> object:
-        """Return the endpoint list of the previous process, else the known one of the configuration."""
+        """Return the endpoint list of the previous process, else the one in the configuration file."""
         if state:
             try:
                 return self.registry.restore_state(state.registry)
