--- a/soak/child.py
+++ b/soak/child.py
@@ -1,4 +1,4 @@
-"""A child process of a soak, which runs one role and is commanded like the children of a scale run."""
+"""A child process of a soak; it runs one role and takes commands as the child processes of a scale run do."""
 
 from __future__ import annotations
 
--- a/soak/clients/behaviours.py
+++ b/soak/clients/behaviours.py
@@ -24,7 +24,7 @@
     ClientBehaviour.PARTIAL_COMMAND: 3,
     ClientBehaviour.DISCONNECT_AT_ONCE: 2,
 }
-"""Relative frequency of each behaviour. The order of the behaviours decides what a seed draws."""
+"""Relative frequency of each behaviour. If the order changes, every seed draws other behaviours."""
 
 MAX_STEADY_REQUESTS = 30
 MAX_THINK_S = 0.15
@@ -36,7 +36,7 @@
 MIN_PIECES, MAX_PIECES = 2, 6
 MAX_PIECE_INTERVAL_S = 0.08
 IDLE_TIMES_S = (1.95, 2.05, 3.0, 6.0)
-"""Idle times around and above the one after which a gateway may close an idle connection."""
+"""Idle times close to the time after which a gateway may close an idle connection, and longer ones."""
 
 MALFORMED_DATA = (
     b"",
@@ -102,7 +102,7 @@
 
 
 async def _disconnect_at_once(session: ClientSession) -> None:
-    """Send a request and close at once, so that the gateway may accept a closed connection."""
+    """Send a request and close at once; the gateway may accept the connection only afterwards."""
     records = session.send([session.context.commands.make(session.connection)])
     session.connection.close(with_reset=session.context.source.random() < RESET_SHARE)
     _record_disconnect(records[0])
--- a/soak/clients/session.py
+++ b/soak/clients/session.py
@@ -27,7 +27,7 @@
 MIN_WAIT_S = 0.01
 SHOWN_VALUE_CHARACTERS = 40
 CONNECTION_ENDS = (EOFError, OSError, hiredis.ProtocolError)
-"""Exceptions of reading a reply if the gateway closes the connection or sends an invalid reply."""
+"""Exceptions that reading raises if the gateway closes the connection or sends an invalid reply."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -79,7 +79,7 @@
         return records
 
     def mark_sent(self, records: Sequence[RequestRecord]) -> None:
-        """Record that some requests have been written up to their last byte."""
+        """Record that some requests have been written completely."""
         now_s = time.monotonic()
         for record in records:
             record.sent_s = now_s
@@ -89,7 +89,7 @@
     async def read_answers(self, records: Sequence[RequestRecord]) -> None:
         """Read the answers in the order of their requests.
 
-        An answer is due a grace period after its request's timeout or the previous answer, if that is later.
+        An answer is due ANSWER_GRACE_S after its request's timeout or the previous answer, if that is later.
 
         Raises:
             EOFError: The connection has ended.
@@ -152,7 +152,7 @@
 
 
 def _describe_reply(reply: object, request_id: str) -> str:
-    """Return the first word of an error, or whether the value is the request's id (possibly repeated)."""
+    """Return the text for `RequestRecord.reply`; the right value is the request's id, once or repeated."""
     if isinstance(reply, ReplyError):
         return str(reply).split(" ")[0]
     value = reply[0] if isinstance(reply, list) and reply else reply
--- a/soak/fault_kinds.py
+++ b/soak/fault_kinds.py
@@ -8,7 +8,8 @@
 class FaultKind(StrEnum):
     """A kind of injected fault.
 
-    The order decides what a seed draws: append new kinds to their group only.
+    If the order of the kinds in the groups below changes, every seed draws other faults: append new kinds to
+    their group only.
     """
 
     # Faults at a server
--- a/soak/fault_shim.c
+++ b/soak/fault_shim.c
@@ -84,7 +84,8 @@
 static const int BROKEN_ERRORS[] = {ETIMEDOUT, EHOSTUNREACH, ECONNRESET, EPIPE};
 static const int FILE_ERRORS[] = {EIO, ENFILE, EINTR, ENOMEM};
 static const int WRITE_FILE_ERRORS[] = {ENOSPC, EIO, EDQUOT};
-/* The frequencies of these faults, as multiples of the percentage of their category. */
+/* Frequencies of failed accepts, broken connections, interrupted calls and shortened transfers, as multiples of
+ * the percentage of their category. */
 static const double ACCEPT_FACTOR = 3, BREAK_FACTOR = 0.03, INTERRUPT_FACTOR = 0.5, SHORT_FACTOR = 3;
 static const size_t MAX_SHORT_BYTES = 40;
 
@@ -196,7 +197,7 @@
 ssize_t send(int descriptor, const void *buffer, size_t size, int flags) {
   DECLARE_REAL(send);
   double percent = failing_percent(descriptor);
-  if (socket_family(descriptor) == AF_UNIX) percent = 0; /* Packets on Unix sockets are never shortened. */
+  if (socket_family(descriptor) == AF_UNIX) percent = 0; /* Packets on Unix sockets are always sent whole. */
   return fails(descriptor, percent) ? -1 : real(descriptor, buffer, shortened_size(size, percent), flags);
 }
 
@@ -225,7 +226,7 @@
   va_start(arguments, flags);
   mode_t mode = flags & (O_CREAT | O_TMPFILE) ? va_arg(arguments, mode_t) : 0;
   va_end(arguments);
-  int is_config = strstr(path, "soak-") != 0; /* deployment.py puts "soak-" into these names. */
+  int is_config = strstr(path, "soak-") != 0; /* deployment.py names configuration files so. */
   if (is_config && happens(control->file_percent)) return fail_with_one_of(FILE_ERRORS, LENGTH(FILE_ERRORS));
   return real(path, flags, mode);
 }
--- a/soak/faults/roles.py
+++ b/soak/faults/roles.py
@@ -1,4 +1,4 @@
-"""Faults that the process of a role carries out itself: those of servers and of the links to them."""
+"""Faults that a role's process injects on command: faults of servers and of the links to them."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class RoleFault:
-    """Injects a fault at one server by commands to the process of a role.
+    """Injects a fault at one server, or on the link to it, by commands to the process of a role.
 
     Args:
-        roles: The process that carries out the fault, by server name.
+        roles: The process that injects the fault, by server name.
         reservations: The reservations of servers; a server that can't be reserved gets no fault.
         is_momentary: Whether the fault ends as soon as it has begun.
     """
--- a/soak/gateways/gateway.py
+++ b/soak/gateways/gateway.py
@@ -28,12 +28,12 @@
         port: The port that clients connect to.
         config_file: Its configuration.
         launcher: Starts its processes.
-        shim_control: Sets which of its system calls fail.
+        shim_control: Controls its failing system calls and its wall clock.
 
     Attributes:
         port: The port that clients connect to.
         config_file: Its configuration.
-        shim_control: Sets which of its system calls fail.
+        shim_control: Controls its failing system calls and its wall clock.
         change_lock: Held while its processes are changed.
         processes: All its processes, the current one last.
         outages: The time spans in which a process was killed.
@@ -65,7 +65,7 @@
 
     @property
     def current(self) -> GatewayProcess:
-        """The process that was started last."""
+        """The process that was started last, or the old version after `kill_new_version`."""
         return self.processes[-1]
 
     # ---- Processes
@@ -77,7 +77,11 @@
         return process
 
     async def wait_until_ready(self, process: GatewayProcess) -> bool:
-        """Wait until a process is ready; return whether it is, and record a violation if not."""
+        """Wait until a process is ready; if it isn't, record a violation unless the soak killed it.
+
+        Returns:
+            Whether the process is ready.
+        """
         while time.monotonic() - process.started_s < READY_TIMEOUT_S and process.is_running:
             if await process.is_ready():
                 process.was_ready = True
@@ -136,7 +140,7 @@
     # ---- Detachments
 
     async def detach(self, server: str) -> None:
-        """Detach a server by an admin call; once that is answered, no attempt may begin there."""
+        """Detach a server by an admin call; once the call is answered, no attempt may begin at the server."""
         if await is_accepted(self.current.admin_port, DETACH_CALL, server.encode()):
             self._detached_since_s[server] = time.monotonic()
 
@@ -146,7 +150,7 @@
         await is_accepted(self.current.admin_port, ATTACH_CALL, server.encode())
 
     def forget_detachments(self) -> None:
-        """Record the end of all detachments, because a process without a handover knows of none."""
+        """Record the end of all detachments; a process that starts without a handover does not know them."""
         for server in list(self._detached_since_s):
             self._end_detachment(server)
 
--- a/soak/gateways/launcher.py
+++ b/soak/gateways/launcher.py
@@ -18,7 +18,7 @@
     """Starts processes, all with the same configuration, shim and temporary folder.
 
     Args:
-        supervisor: Starts and ends the run's children.
+        supervisor: Starts and ends the run's child processes.
         gateway: The gateway's index.
         config_path: The path of its configuration file.
         shim_environment: The environment variables that load the fault shim.
--- a/soak/oracle/answered.py
+++ b/soak/oracle/answered.py
@@ -40,7 +40,10 @@
 
 
 def _describe_loss(request: RequestRecord) -> str:
-    """Return how an answer was lost or late; empty if it came in time."""
+    """Return how an answer was lost or late; empty if neither.
+
+    Neither applies if the request was never sent, its client disconnected or its reply was truncated.
+    """
     if request.class_name is RequestClass.MALFORMED:
         return "client got neither an error nor a close" if request.end is RequestEnd.UNANSWERED else ""
     if request.end is RequestEnd.ANSWERED:
--- a/soak/oracle/slow_start.py
+++ b/soak/oracle/slow_start.py
@@ -25,12 +25,12 @@
 from soak.violation import Rule, Violation
 
 SMALL_BUDGET_ATTEMPTS = 30
-"""Budget below which the tolerance is wider, because chance weighs more."""
+"""Budget below which the tolerance is wider, because random variation is larger relative to the budget."""
 
 SMALL_BUDGET_DEVIATIONS = 3.0
 LARGE_BUDGET_DEVIATIONS = 2.0
 MIN_NOTIFIED_SHARE = Fraction(2, 3)
-"""Share of a window's attempts that must come from notified gateways to count as a violation."""
+"""An overload counts as a violation if more than this share of its attempts is from notified gateways."""
 
 
 def find_violations(index: RecordIndex) -> Iterator[Violation]:
--- a/soak/plan.py
+++ b/soak/plan.py
@@ -31,7 +31,7 @@
     **dict.fromkeys(SYSTEM_FAULTS, 2.5),
     **dict.fromkeys(ENDPOINT_FAULTS, 2.0),
 }
-"""Relative frequency of each kind of fault. The order of the kinds decides what a seed draws."""
+"""Relative frequency of each kind of fault. If the order changes, every seed draws other faults."""
 
 
 class PlannedFault(msgspec.Struct, frozen=True):
@@ -40,7 +40,7 @@
     Attributes:
         kind: The kind of fault.
         start_s: When the fault begins, from the start of the run.
-        duration_s: How long the fault lasts; some faults scale this, momentary ones ignore it.
+        duration_s: How long the fault lasts; some kinds scale it, others ignore it.
         server: The server at which the fault is injected; unused by faults without a server.
         gateway: The index of the gateway at which it is injected; unused by faults without a gateway.
         strength: A number from 0 to 1; its effect depends on the kind of fault.
@@ -60,7 +60,7 @@
     servers = [name for names in config.server_names for name in names]
     fault_count = round(config.duration_s * config.faults_per_s)
     kinds = source.choices(list(FAULT_WEIGHTS), list(FAULT_WEIGHTS.values()), k=fault_count)
-    # The arguments draw random numbers, so that their order decides what a seed draws.
+    # The arguments draw random numbers: if their order changes, every seed draws other faults.
     faults = [
         PlannedFault(
             kind=kind,
--- a/soak/planted.py
+++ b/soak/planted.py
@@ -30,7 +30,7 @@
 DROPPED_SHARE = 0.05
 EXTRA_TIMEOUT_MS = 400.0
 
-# The type is this general because planted faults replace methods with different signatures.
+# Planted faults replace methods with different signatures, so the type accepts any arguments.
 PatchedMethod = Callable[..., Any]
 
 
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -11,7 +11,7 @@
 READ_BYTES = 65_536
 MAX_FRAGMENT_BYTES = 9
 MAX_FRAGMENTS = 100
-"""Most fragments into which one piece of data is split; larger data gets larger fragments."""
+"""Approximate limit on the fragments of one piece of data; more data is split into larger fragments."""
 
 MAX_DELAY_S = 0.3
 TRUNCATED_SHARE = 0.3
@@ -35,7 +35,7 @@
 
     @property
     def is_listening(self) -> bool:
-        """Whether it accepts connections."""
+        """Whether the link accepts connections."""
         return self._listener is not None
 
     async def listen(self) -> None:
--- a/soak/records.py
+++ b/soak/records.py
@@ -25,7 +25,7 @@
     """Idempotent."""
 
     KEYED = "keyed"
-    """Idempotent within the window of its idempotency key."""
+    """Requests that are idempotent within the window of their idempotency key."""
 
     ORDER = "order"
     """Non-idempotent."""
@@ -92,8 +92,8 @@
         sent_s: When its last byte was written.
         timeout_s: The timeout that the client sent.
         is_first: Whether it is the first request on its connection.
-        idle_before_s: How long no answer had been owed on the connection before it.
-        due_s: When its answer is due: a grace after its timeout or the previous answer, whichever is later.
+        idle_before_s: How long no answer was owed on the connection before the request was made.
+        due_s: When its answer is due, see `ClientSession.read_answers`.
         lag_s: How late the client's process may have noticed the end.
         end: How the request ended.
         ended_s: When the request ended.
--- a/soak/servers/role.py
+++ b/soak/servers/role.py
@@ -15,7 +15,7 @@
     Args:
         names: The names of the servers.
         capacity: The number of requests that each server can process at once without slowing down.
-        mean_service_s: The service time around which the service times are drawn.
+        mean_service_s: The median of the log-normal service times; their mean is slightly larger.
         seed: The seed of the run.
     """
 
--- a/soak/servers/state.py
+++ b/soak/servers/state.py
@@ -1,4 +1,4 @@
-"""The load, fault and records of one server, and the replies that depend on them."""
+"""The load, fault and records of one server, and its replies, which depend on the fault."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedCommand:
-    """The fields of a command of PROTOCOL that a server uses."""
+    """The fields that a server uses of a command (PROTOCOL)."""
 
     request_id: bytes
     timeout_s: float
@@ -64,7 +64,7 @@
     Args:
         name: The name of the server.
         capacity: The number of requests that it can process at once without slowing down.
-        mean_service_s: The service time around which the service times are drawn.
+        mean_service_s: The median of the log-normal service times; their mean is slightly larger.
         seed: The seed of the run.
 
     Attributes:
--- a/soak/shim.py
+++ b/soak/shim.py
@@ -23,7 +23,7 @@
     """Calls on a Unix socket, and those that duplicate a descriptor."""
 
     FILE = 2
-    """Calls that open, bind or rename a file."""
+    """Calls that open a configuration file, bind a Unix socket or rename a file."""
 
 
 def build_shim(folder: Path) -> Path:
