--- a/scale/capacity.py
+++ b/scale/capacity.py
@@ -27,7 +27,7 @@
 
 MINIMUM_SIZES = 4
 MAXIMUM_RESIDUAL = 0.25
-"""A line through fewer sizes, or with a larger residual, isn't used to predict other sizes."""
+"""Minimum number of sizes and maximum residual of a line whose predictions get a verdict."""
 
 CHANGES_PER_DAY = 2_100
 RESTARTS_PER_DAY = 11_061
@@ -43,7 +43,7 @@
 IN_FORCE_MS = 5_000.0
 ADDED_LATENCY_MS = 1.3
 LIST_STALL_MS = 5.0
-"""Budgets of the target fleet; LIST_STALL_MS is the goal for the event loop's stall by a complete list."""
+"""Budgets of the target fleet; LIST_STALL_MS is the goal for an event loop stall due to a complete list."""
 
 CUSTOMER_RETENTION_S = 4.0
 """Minimum time that a gateway keeps a customer when the usage period is one second."""
@@ -172,7 +172,10 @@
 
 
 def _verdict(fit: Fit, measured: float | None, figure: float, quantity: Quantity) -> str:
-    """Return the verdict on a figure: "unknown" without a reliable line, "-" without a budget."""
+    """Return the verdict on a figure: within or over its budget, "-" without a budget.
+
+    The verdict is "unknown" if the figure was not measured and its line is not reliable.
+    """
     is_line_weak = len(set(fit.sizes)) < MINIMUM_SIZES or fit.residual > MAXIMUM_RESIDUAL
     if measured is None and is_line_weak:
         return "unknown"
--- a/scale/fleet/gateways.py
+++ b/scale/fleet/gateways.py
@@ -78,7 +78,10 @@
         return reply == b"+PONG\r\n"
 
     async def wait_until_settled(self) -> None:
-        """Wait until the gateway uses little processor time: nothing else shows that it has read a list."""
+        """Wait until the gateway uses little processor time, for at most SETTLED_TIMEOUT_S.
+
+        Nothing else shows that the gateway has read a list.
+        """
         until_s = time.monotonic() + SETTLED_TIMEOUT_S
         cpu_s = self.process.usage().cpu_s
         while time.monotonic() < until_s:
--- a/scale/fleet/hollow.py
+++ b/scale/fleet/hollow.py
@@ -34,7 +34,7 @@
 MAXIMUM_BUFFERED_BYTES = 1 << 20
 
 WATCH_START_GAP_S = 0.002
-"""Time between the openings of two gateways' watches."""
+"""Time between opening the watches of two gateways."""
 
 UPDATE_POLL_S = 0.05
 
@@ -133,7 +133,7 @@
         return sum(gateway.has_version(version) for gateway in self._gateways)
 
     async def take_received(self) -> list[list[tuple[int, float]]]:
-        """Return the versions of each gateway since the last call, with the time when each came into force.
+        """Return the versions that each gateway received since the last call, and when each came into force.
 
         The latest version of the previous call is returned again as the first one.
         """
--- a/scale/load/client.py
+++ b/scale/load/client.py
@@ -15,7 +15,7 @@
 """Time before a due request in which the event loop doesn't sleep, as its timers are whole milliseconds."""
 
 START_DELAY_S = 0.1
-"""Earliest due time of the first request, after the start of a phase."""
+"""Time from the start of a phase until its first request may be due."""
 
 REPLY_GRACE_S = 0.5
 """Additional time after the last request's timeout in which a reply still counts."""
--- a/scale/load/connections.py
+++ b/scale/load/connections.py
@@ -123,7 +123,7 @@
             self._send_next(connection)
 
     def handle_connection_lost(self, connection: LoadConnection, pending: PendingCommand | None) -> None:
-        """Retry a lost connection's request without a reply once (PROTOCOL, Clients)."""
+        """Retry the request that was in flight on a lost connection, but only once (PROTOCOL, Clients)."""
         self._open_count -= 1
         self._connections.discard(connection)
         if self._is_closed:
--- a/scale/measurements/added_latency.py
+++ b/scale/measurements/added_latency.py
@@ -9,7 +9,7 @@
 from scale.testbed import Testbed
 
 MAXIMUM_UNSERVED_SHARE = 0.1
-"""Share of unserved requests above which the latency of the served ones is meaningless and not recorded."""
+"""Share of unserved requests above which the added latency is meaningless and not recorded."""
 
 PHASE_SEED_FACTOR = 1000
 """Difference between the seeds of the same phase in two runs with consecutive seeds."""
--- a/scale/measurements/list_length.py
+++ b/scale/measurements/list_length.py
@@ -17,7 +17,7 @@
 """Time that a gateway needs to open its watch again after it was dropped."""
 
 REJECTED_LIST_S = 10.0
-"""Duration of the measurement of a gateway that rejects the list and repeatedly polls it."""
+"""Duration of the measurement of a gateway that rejects the list and repeatedly requests it."""
 
 REJECTED_LIST_LOG_TEXT = "malformed discovery document"
 """Event that a gateway logs when it rejects a list.
@@ -71,16 +71,16 @@
 async def _measure_rejected_list(
     testbed: Testbed, discovery: RoleProcess, gateway: RealGateway, size: int
 ) -> None:
-    """Measure the cost of a rejected list, which the gateway polls repeatedly."""
+    """Measure the cost of a rejected list, which the gateway requests repeatedly by new watches."""
     before = gateway.process.usage()
     first = await testbed.discovery_statistics(discovery)
     await asyncio.sleep(REJECTED_LIST_S)
     after = gateway.process.usage()
     last = await testbed.discovery_statistics(discovery)
-    polls = last.count("first_lines") - first.count("first_lines")
+    sent_lists = last.count("first_lines") - first.count("first_lines")
     sent_bytes = last.count("first_bytes") - first.count("first_bytes")
     measurements = testbed.measurements
-    measurements.add("gateway.refused_asked", "servers", "times/s", size, [polls / REJECTED_LIST_S])
+    measurements.add("gateway.refused_asked", "servers", "times/s", size, [sent_lists / REJECTED_LIST_S])
     measurements.add("gateway.refused_sent", "servers", "bytes/s", size, [sent_bytes / REJECTED_LIST_S])
     cpu_ms_per_s = after.cpu_ms_since(before) / REJECTED_LIST_S
     measurements.add("gateway.refused_cpu", "servers", "ms/s", size, [cpu_ms_per_s])
--- a/scale/measurements/policy_cost.py
+++ b/scale/measurements/policy_cost.py
@@ -22,10 +22,12 @@
 
 
 async def measure_policy_cost(testbed: Testbed) -> None:
-    """Measure by customers and by classes; classes stand for routes, which the gateway doesn't have.
+    """Measure the engine by customers and by classes.
 
-    Customers arrive once at the load's rate, which shows how many of them a gateway keeps, and once in a
-    burst, which shows the memory that each one takes.
+    Classes stand for routes, which the gateway doesn't have.
+
+    Each number of customers is measured at the load's rate, which shows how many of them a gateway keeps, and
+    in a burst, which shows the memory that each one takes.
     """
     measurements = testbed.measurements
     gap_ms = 1000.0 / testbed.config.load.rate
--- a/scale/measurements/propagation.py
+++ b/scale/measurements/propagation.py
@@ -47,7 +47,7 @@
 
 
 async def take_received_versions(processes: Sequence[RoleProcess]) -> list[ReceivedVersions]:
-    """Return the versions that each hollow gateway of these processes has received since the last call."""
+    """Return each hollow gateway's latest version of the last call, and those it has received since then."""
     received: list[ReceivedVersions] = []
     for process in processes:
         received += await process.call("take_received", list[list[tuple[int, float]]])
@@ -55,7 +55,7 @@
 
 
 async def forget_received_versions(processes: Sequence[RoleProcess]) -> None:
-    """Discard the versions received so far, so that `take_received_versions` returns only later ones."""
+    """Discard the received versions except each gateway's latest, which `take_received_versions` repeats."""
     await asyncio.gather(
         *(process.call("take_received", list[list[tuple[int, float]]]) for process in processes)
     )
--- a/scale/messages.py
+++ b/scale/messages.py
@@ -7,7 +7,7 @@
 import msgspec
 
 MAXIMUM_LINE_BYTES = 1 << 28
-"""Maximum length of a message; the longest in use are a whole fleet's received versions."""
+"""Maximum length of a message; the longest hold the received versions of all gateways of a process."""
 
 
 class ChildCommand(msgspec.Struct, frozen=True):
--- a/scale/stubs/discovery_connection.py
+++ b/scale/stubs/discovery_connection.py
@@ -59,7 +59,7 @@
         self._is_paused = True
 
     def resume_writing(self) -> None:
-        """Send the update that is due since the pause."""
+        """Send the update that became due during the pause."""
         self._is_paused = False
         self.send_update()
 
--- a/scale/stubs/discovery_state.py
+++ b/scale/stubs/discovery_state.py
@@ -11,7 +11,7 @@
 
 
 class Subscriber(Protocol):
-    """Interface of a connection for the shared state."""
+    """Interface through which the shared state uses a connection."""
 
     is_waiting: bool
     """Whether a request has not been answered yet."""
--- a/scale/subsets/comparison.py
+++ b/scale/subsets/comparison.py
@@ -1,4 +1,4 @@
-"""Compares strategies that choose each gateway's subset by balance, churn, lost zones and processing time.
+"""Compares strategies that choose the subsets: load balance, churn, lost failure domains, processing time.
 
 All strategies use the subset size of `quota_gateway.policy.subset`, the same servers and the same shares of
 traffic for the gateways. `scale.subsets.metrics` documents the metrics.
--- a/scale/subsets/metrics.py
+++ b/scale/subsets/metrics.py
@@ -14,7 +14,7 @@
 SERVERS_PER_RACK = 40
 
 UNEVEN_TRAFFIC_DRAWS = 20
-"""Number of draws of gamma-distributed traffic, shape 1: one gateway in a hundred has 4.6 times the mean."""
+"""Number of draws of gamma-distributed traffic, shape 1; 1% of the gateways have over 4.6 times the mean."""
 
 SETTLED_TRAFFIC_DRAWS = 4
 """Number of draws of settled traffic; fewer, because each one needs SETTLING_STEPS steps."""
@@ -67,7 +67,7 @@
 
 
 def _size_metrics(subsets: FleetSubsets, topology: Topology) -> dict[str, float]:
-    """Return the numbers of gateways that share a server, and the sizes of subsets."""
+    """Return the minimum and mean number of gateways that share a server, and the extreme subset sizes."""
     sizes = [len(servers) for servers in subsets]
     gateways_per_server = np.bincount(np.concatenate(subsets), minlength=len(topology.names))[topology.listed]
     return {
--- a/scale/subsets/strategies.py
+++ b/scale/subsets/strategies.py
@@ -176,7 +176,7 @@
 
 
 def hashed_rounds(topology: Topology) -> FleetSubsets:
-    """Like `shuffled_rounds`, but in hash order, so that one server moves the others by only one place."""
+    """Like `shuffled_rounds`, but in hash order: a new or lost server moves the others by only one place."""
     servers = hash_names(topology.names)
 
     def order_by_hash(number: int, listed: ServerIndexes) -> ServerIndexes:
--- a/scale/supervisor.py
+++ b/scale/supervisor.py
@@ -167,7 +167,7 @@
         """Start a child process with a role.
 
         Args:
-            role: The role's name in `scale.child.ROLES`.
+            role: The role's name in the child module; in scale runs, a key of `scale.child.ROLES`.
             reply_type: Return type of the role's ``start`` method.
             **arguments: Arguments of the role's constructor.
 
--- a/soak/oracle/answered.py
+++ b/soak/oracle/answered.py
@@ -53,7 +53,7 @@
 
 
 def _is_excused(request: RequestRecord, index: RecordIndex) -> bool:
-    """Return whether the loss of an answer is allowed.
+    """Return whether the loss or delay of an answer is allowed.
 
     An outage of the gateway excuses it, and so does an allowed close before the request was read.
     """
--- a/soak/oracle/notification.py
+++ b/soak/oracle/notification.py
@@ -39,7 +39,7 @@
 
 
 class Notifications:
-    """Computes when gateways must know of a change, from the faults around the time of the change."""
+    """Computes when gateways must know of a change, from the faults and restarts around that time."""
 
     def __init__(self, records: SoakRecords) -> None:
         self._records = records
--- a/soak/records.py
+++ b/soak/records.py
@@ -25,7 +25,7 @@
     """Idempotent."""
 
     KEYED = "keyed"
-    """Requests that are idempotent within the window of their idempotency key."""
+    """Idempotent within the window of its idempotency key."""
 
     ORDER = "order"
     """Non-idempotent."""
--- a/soak/settings.py
+++ b/soak/settings.py
@@ -78,7 +78,13 @@
 
 
 def gateway_settings(config: SoakConfig, index: int, may_duplicate: bool) -> dict[str, Any]:
-    """Return the settings of one gateway, with a class of each idempotency and a plan without a quota."""
+    """Return the settings of one gateway, with a class of each idempotency and a plan without a quota.
+
+    Args:
+        config: The sizes of the run.
+        index: The index of the gateway.
+        may_duplicate: Whether the gateway may send hedged requests.
+    """
     document = settings_document(config.gateways, index, "a")
     class_template = document["services"][0]
     document["services"] = [
