--- a/scale/measurements/policy_cost.py
+++ b/scale/measurements/policy_cost.py
@@ -22,7 +22,7 @@
 
 
 async def measure_policy_cost(testbed: Testbed) -> None:
-    """Measure the engine by customers and by classes.
+    """Measure the policy engine by customers and by classes.
 
     Classes stand for routes, which the gateway doesn't have.
 
--- a/soak/clients/role.py
+++ b/soak/clients/role.py
@@ -1,4 +1,4 @@
-"""The clients of one process, as the role of a child process."""
+"""Role of a child process that runs clients."""
 
 from __future__ import annotations
 
--- a/soak/discovery.py
+++ b/soak/discovery.py
@@ -17,7 +17,7 @@
 
 
 class SoakDiscovery:
-    """The discovery service that gateways connect to, as the role of a child process.
+    """Role of a child process that runs the discovery service of the gateways.
 
     Args:
         endpoints: The initial endpoint list, in discovery's encoding.
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -110,7 +110,7 @@
 
 
 class FaultProxy:
-    """The links to all servers, as the role of a child process.
+    """Role of a child process that runs the links to all servers.
 
     Args:
         server_ports: The port of each server, by name.
--- a/soak/servers/role.py
+++ b/soak/servers/role.py
@@ -1,4 +1,4 @@
-"""The servers of one process, as the role of a child process."""
+"""Role of a child process that runs servers."""
 
 from __future__ import annotations
 
