--- a/soak/oracle/answered.py
+++ b/soak/oracle/answered.py
@@ -40,7 +40,10 @@
 
 
 def _describe_loss(request: RequestRecord) -> str:
-    """Return how an answer was lost or late; empty if it came in time."""
+    """Return how an answer was lost or late; empty if neither.
+
+    Neither applies if the request was never sent, its client disconnected or its reply was truncated.
+    """
     if request.class_name is RequestClass.MALFORMED:
         return "client got neither an error nor a close" if request.end is RequestEnd.UNANSWERED else ""
     if request.end is RequestEnd.ANSWERED:
@@ -50,7 +53,7 @@
 
 
 def _is_excused(request: RequestRecord, index: RecordIndex) -> bool:
-    """Return whether the loss of an answer is allowed.
+    """Return whether the loss or delay of an answer is allowed.
 
     An outage of the gateway excuses it, and so does an allowed close before the request was read.
     """
