--- a/quota_gateway/net/acceptor.py
+++ b/quota_gateway/net/acceptor.py
@@ -28,7 +28,7 @@
         """Close connections so that waiting ones can be accepted."""
 
     def on_accepted(self, sock: socket.socket, waiting_since_s: float) -> None:
-        """Take a new connection, which arrived at or after a monotonic time in seconds."""
+        """Take a new connection, which arrived at ``waiting_since_s`` (monotonic time) or later."""
         raise NotImplementedError
 
     def on_accept_error(self, error: OSError) -> None:
@@ -53,7 +53,8 @@
         self.is_shared = False
         self._owner = owner
         self._loop = asyncio.get_running_loop()
-        self._waiting_since_s: float | None = None  # monotonic time since which the queue was never empty
+        # Monotonic time since which connections may have waited in the queue; None if none can have waited.
+        self._waiting_since_s: float | None = None
         self._backoff_s = INITIAL_BACKOFF_S
         self._consecutive_failures = 0  # failures in a row because of a shortage
         self._retry_timer: asyncio.TimerHandle | None = None
@@ -116,7 +117,7 @@
             self.close()
 
     def end_suspension(self) -> None:
-        """Accept again after the other process has given up the handover."""
+        """Accept again after an aborted handover."""
         self.is_suspended = False
         self.is_shared = False
         self.resume()
--- a/quota_gateway/net/active_request.py
+++ b/quota_gateway/net/active_request.py
@@ -29,7 +29,7 @@
 
 
 class RequestState(Enum):
-    """How a request has been answered. The first state may change to any other; the others are final."""
+    """Whether and how a request is answered. Every state but AWAITING_ANSWER is final."""
 
     AWAITING_ANSWER = "awaiting_answer"
     ANSWERED = "answered"  # one short reply was given
@@ -38,7 +38,10 @@
 
 
 class ExecutedAttempt(NamedTuple):
-    """An attempt that may have run: its number, start, and the zone and cell whose servers share its key."""
+    """An attempt that may have run.
+
+    Servers of the same zone or cell may share idempotency keys, so those of the attempt's server are kept.
+    """
 
     number: int
     started_ms: float
@@ -87,7 +90,7 @@
         self.is_client_waiting = is_client_waiting
         self.body_writer: BodyWriter | None = None  # set once a large value has begun
         self.deadline_ms = 0.0
-        self.attempt_count = 0  # attempts started so far, and the number of the next one
+        self.attempt_count = 0  # attempts created so far, and the number of the next one
         self.attempts: dict[int, Attempt] = {}  # attempts in flight by number
         self.executions: dict[int, ExecutedAttempt] = {}  # attempts that may have run or may still run
         self.request_class: RequestClass | None = None
@@ -123,8 +126,8 @@
         self.execution = execution
         self.server = server
         self.deadline_ms = deadline_ms
-        self.encoded_ms = execution.started_ms  # time for which the timeout in the command was computed
-        self.first_byte_latency_ms = inf  # time to the first bytes of a large value
+        self.encoded_ms = execution.started_ms  # when the timeout in the command was computed
+        self.first_byte_latency_ms = inf  # from the start to the first bytes of a large value
         self.attempt: Attempt | None = None
 
     @property
--- a/quota_gateway/net/admin/connection.py
+++ b/quota_gateway/net/admin/connection.py
@@ -16,7 +16,7 @@
 
 
 class ConnectionOwner(Protocol):
-    """The server that a connection belongs to."""
+    """The admin server that a connection belongs to."""
 
     def on_connected(self, connection: AdminConnection) -> None:
         """Handle a new connection."""
--- a/quota_gateway/net/admin/detachments.py
+++ b/quota_gateway/net/admin/detachments.py
@@ -22,7 +22,7 @@
         Args:
             name: Name of the server, as discovery has it.
             detached: True to detach the server, False to attach it again.
-            known_elsewhere: Whether the peer process knows the server; if so, it gets a number here too.
+            known_elsewhere: Whether the peer process knows the server; if so, this process gives it a number.
 
         Returns:
             Whether this process knew the server before.
@@ -51,6 +51,6 @@
         return known or known_elsewhere
 
     def detach_again(self) -> None:
-        """Detach all servers of the handed-over list in an engine that could not restore its state."""
+        """Detach the servers in the handed-over list again, as the engine could not restore its state."""
         for name in sorted(self.registry.detached):
             self.carry_out(name, detached=True)
--- a/quota_gateway/net/admin/server.py
+++ b/quota_gateway/net/admin/server.py
@@ -20,9 +20,9 @@
 
 log = logging.getLogger(__name__)
 
-MAX_CONNECTIONS = 8  # open at the same time; a new connection evicts the oldest one
+MAX_CONNECTIONS = 8  # connections open at the same time; a new one evicts the oldest
 REQUEST_TIMEOUT_S = 2.0  # from connect to the end of the call; operators wait 1 s for the response
-LISTEN_RETRY_S = 0.5  # time between two attempts while the address is not available
+LISTEN_RETRY_S = 0.5  # time between two calls of ``listen`` while the address is not available
 LISTEN_BACKLOG = 64  # connections that the kernel queues until they are accepted
 
 
--- a/quota_gateway/net/clients/command_intake.py
+++ b/quota_gateway/net/clients/command_intake.py
@@ -69,7 +69,7 @@
         self.request_count = request_count
         self.last_received_s = services.loop.time()
         self.is_read_paused = False
-        self.is_read_scheduled = False  # True while more commands are to be read after other connections
+        self.is_read_scheduled = False  # whether reading goes on after other connections had their turn
         self.arrivals = ArrivalTracker(waiting_since_s)
         self._is_reading = False
         self._consecutive_errors = 0
@@ -141,7 +141,7 @@
         replies = connection.replies
         return (
             replies.is_blocked
-            or replies.is_streaming()  # a truncated value would close the connection under later commands
+            or replies.is_streaming()  # if the value is truncated, later commands get no reply
             or self._services.is_suspended
             or len(replies.pending) >= MAX_PIPELINED_COMMANDS
             or connection.buffers.pending_bytes > MAX_PENDING_BYTES
@@ -202,7 +202,7 @@
         )
 
     def _waited_ms(self) -> float:
-        """Return how many milliseconds the command has waited to be read; count it if it came late."""
+        """Return how many milliseconds the command has waited to be read; count it if the wait was long."""
         waited_s = self.arrivals.waited_s()
         if waited_s > NEGLIGIBLE_WAIT_S:
             self._services.driver.telemetry.metrics.count(Metric.LATE_COMMANDS, "waited to be read")
--- a/quota_gateway/net/clients/commands.py
+++ b/quota_gateway/net/clients/commands.py
@@ -15,7 +15,7 @@
 
 GET_ARGUMENT_COUNT = 4  # name, customer, request id, list of fields
 POST_ARGUMENT_COUNT = 5  # name, customer, request id, list of fields, body
-CLIENT_MARGIN_MS = 10.0  # part of a client's timeout that is reserved for the network and a late event loop
+CLIENT_MARGIN_MS = 10.0  # part of a client's timeout that is reserved for the network and event loop delays
 MAX_CUSTOMER_NUMBER = (1 << 33) - 1
 CUSTOMER_PATTERN = re.compile(rb"[0-9a-fA-F]{16}")
 ID_PATTERN = re.compile(rb"[0-9A-Za-z]{1,64}")  # request ids and idempotency keys
--- a/quota_gateway/net/clients/connection.py
+++ b/quota_gateway/net/clients/connection.py
@@ -25,7 +25,7 @@
 if TYPE_CHECKING:
     from quota_gateway.net.clients.protocols import ConnectionOwner
 
-LINGER_S = 0.3  # delay before a rejected connection closes; a reset any sooner could overtake the error line
+LINGER_S = 0.3  # delay before a rejected connection closes; an earlier reset could overtake the error line
 WRITE_STALL_TIMEOUT_S = 15.0  # maximum time that a client may block writing by not reading its replies
 
 
@@ -133,14 +133,14 @@
     # ---- Disconnects and timeouts
 
     def wants_reply(self) -> bool:
-        """Whether the client is still connected; checked before an attempt for it starts.
+        """Whether the client is still connected; checked before an attempt for it is sent.
 
         See docs/decisions/client-disconnect.md for disconnects that the event loop has not noticed yet.
         """
         if not self._has_disconnected():
             return True
         self.lifecycle.finish()
-        self._owner.loop.call_soon(self._disconnect)  # deferred: a decision's actions may be under way
+        self._owner.loop.call_soon(self._disconnect)  # deferred: the driver may be carrying out actions
         return False
 
     def is_unread_with_pending_replies(self) -> bool:
--- a/quota_gateway/net/clients/connection_admission.py
+++ b/quota_gateway/net/clients/connection_admission.py
@@ -22,7 +22,7 @@
 
 
 class ConnectionAdmission(AcceptorOwner):
-    """Takes connections from the listening socket or from another process, as far as capacity allows.
+    """Takes connections from the listening socket, as far as capacity allows, and from another process.
 
     Args:
         owner: The listener, which owns each connection once it is admitted.
--- a/quota_gateway/net/clients/connection_sweeper.py
+++ b/quota_gateway/net/clients/connection_sweeper.py
@@ -17,7 +17,7 @@
     Args:
         listener: The listener whose connections are swept.
         admission: Accepts again, or evicts, after each sweep.
-        interval_s: The time between two sweeps in seconds, which is also that of the stall detector.
+        interval_s: The time between two sweeps in seconds; has to be that of the stall detector too.
     """
 
     def __init__(self, listener: SweptListener, admission: ConnectionAdmission, interval_s: float) -> None:
--- a/quota_gateway/net/clients/idle_connections.py
+++ b/quota_gateway/net/clients/idle_connections.py
@@ -12,10 +12,11 @@
 
 # Timeout for a complete command, from connecting or from the command's first byte; the protocol allows 3 s.
 COMMAND_READ_TIMEOUT_S = 2.7
-# Grace periods in which a connection is not evicted.
-SILENT_GRACE_S = 0.25  # silence outside a command; clients evicted sooner would reconnect again and again
-PARTIAL_COMMAND_GRACE_S = 0.7  # silence within a command
-IDLE_GRACE_S = 2.0  # time without a request since the last one
+# An open connection is not evicted before the end of a grace period, which depends on its state.
+# Grace period from the last byte; clients that are evicted sooner would reconnect again and again.
+SILENT_GRACE_S = 0.25
+PARTIAL_COMMAND_GRACE_S = 0.7  # grace period from the last byte of an incomplete command
+IDLE_GRACE_S = 2.0  # grace period from when a connection with earlier requests became idle
 MAX_EVICTIONS_PER_CALL = 16
 
 
@@ -154,7 +155,7 @@
                 evicted_count += 1
                 del state[connection]
             else:
-                state.move_to_end(connection)  # a received command is not read yet
+                state.move_to_end(connection)  # the connection has an unread command or an unsent reply
         return evicted_count
 
 
--- a/quota_gateway/net/clients/listener.py
+++ b/quota_gateway/net/clients/listener.py
@@ -148,7 +148,7 @@
         self.idle_connections.add(connection, command_due_for_s)
 
     def connection_closed(self, connection: ClientConnection) -> None:
-        """Remove a closed connection, whose descriptor is free."""
+        """Remove a closed connection, and free its capacity."""
         self.connections.pop(connection, None)
         self.idle_connections.discard(connection)
         connection.buffers.release_all()
@@ -163,7 +163,7 @@
             connection.intake.update_read_pause(connection)
 
     def resume(self) -> None:
-        """Accept and read again after the other process has given up the handover."""
+        """Accept and read again after an aborted handover."""
         self.acceptor.end_suspension()
         for connection in list(self.connections):
             connection.intake.read_commands(connection)
--- a/quota_gateway/net/clients/protocols.py
+++ b/quota_gateway/net/clients/protocols.py
@@ -195,7 +195,7 @@
         """Add a connection that the event loop has started to serve."""
 
     def connection_closed(self, connection: ClientConnection) -> None:
-        """Remove a closed connection, whose descriptor is free."""
+        """Remove a closed connection, and free its capacity."""
 
 
 class SweptListener(Protocol):
--- a/quota_gateway/net/driver.py
+++ b/quota_gateway/net/driver.py
@@ -138,7 +138,7 @@
     def post(self, event: Event) -> None:
         """Queue an event, and handle all queued events unless that is already under way.
 
-        Handling is never re-entrant: an event that an action causes at once (a connection that is refused)
+        Handling is never re-entrant: an event that an action causes at once (such as a refused connection)
         waits until the actions before it are carried out.
         """
         self._events.append(event)
@@ -193,6 +193,6 @@
             case NotifyPeerProcess():
                 self._notify_peer(action.usage)
             case Subscribe():
-                pass  # the watch of discovery is always open in this driver
+                pass  # the watch on discovery is always open in this driver
             case _:
                 log.error("action unsupported action=%r", action)
--- a/quota_gateway/net/request_attempts.py
+++ b/quota_gateway/net/request_attempts.py
@@ -91,7 +91,8 @@
         if request is None or attempt is None:
             return
         if request.state is RequestState.CLIENT_LEFT:
-            self._upstream.cancel_unsent(attempt)  # not a failure of the server, even if it never connected
+            # An attempt that never connected ends with NOT_SENT here, as it is no failure of the server.
+            self._upstream.cancel_unsent(attempt)
         self._upstream.stop(attempt, AttemptStatus.CANCELLED)
 
     def time_out(self, attempt: Attempt) -> None:
--- a/quota_gateway/net/request_guard.py
+++ b/quota_gateway/net/request_guard.py
@@ -81,7 +81,7 @@
             return AttemptStatus.NOT_SENT
         first = request.first_possible_execution()
         if first and first.number < attempt.number and not self._is_repeatable(request, attempt.server):
-            # The window has ended since the attempt started to connect or to be written.
+            # The idempotency window has ended since the attempt started to connect or to be written.
             self._refuse(attempt, StartRefusal.WINDOW_OVER)
             return AttemptStatus.NOT_SENT
         if now_ms - attempt.encoded_ms > MAX_ENCODED_AGE_MS:
--- a/quota_gateway/net/resp.py
+++ b/quota_gateway/net/resp.py
@@ -13,8 +13,8 @@
 
 from quota_gateway.errors import ProtocolError
 
-MAX_BODY_BYTES = 4 * 1024 * 1024  # body of a command; the protocol says 64 KiB, but values get this long
-# Value of a reply; it is streamed, so that a long one takes no more memory than a short one.
+MAX_BODY_BYTES = 4 * 1024 * 1024  # body of a command; the protocol says 64 KiB, but longer bodies occur
+# Value of a reply; a long value is streamed, so that it takes no more memory than a short one.
 MAX_VALUE_BYTES = 9_999_999
 STREAMED_MIN_BYTES = 64 * 1024  # longer values are streamed
 MAX_HEADER_BYTES = 16  # a type byte, up to seven digits, CR LF, and a margin
--- a/quota_gateway/net/transient_errors.py
+++ b/quota_gateway/net/transient_errors.py
@@ -24,7 +24,7 @@
         errno.ETIMEDOUT,
     )
 )
-# Errors of bind: for a while the address or the name is in use, or the folder is full or failing.
+# Errors of bind: for a while the address or the name is in use, or the disk is full or failing.
 BIND_ERRORS = SHORTAGE_ERRORS | {errno.EADDRINUSE, errno.EDQUOT, errno.EIO, errno.ENOSPC}
 
 READ_ERRORS = SHORTAGE_ERRORS | {errno.EIO}  # errors of reading a file that exists
