--- a/quota_gateway/net/discovery/endpoint_row.py
+++ b/quota_gateway/net/discovery/endpoint_row.py
@@ -11,7 +11,7 @@
 from quota_gateway.errors import DiscoveryError
 from quota_gateway.net.address import Address
 
-# The name of every listed endpoint is held in memory, while rows are held of the nearest endpoints only.
+# The name of every listed endpoint is held in memory, but rows are held only for the nearest endpoints.
 MAX_NAME_CHARACTERS = 256
 PORT_LIMIT = 1 << 16  # the lowest number above all TCP ports
 LIFECYCLE_GONE = "Gone"  # discovery's value for an endpoint that is no longer listed
--- a/quota_gateway/net/discovery/endpoint_table.py
+++ b/quota_gateway/net/discovery/endpoint_table.py
@@ -10,7 +10,7 @@
 from quota_gateway.net.discovery.start_times import StartTimes
 from quota_gateway.policy.subset import Subset
 
-# Numbers of endpoints without a row are kept, so that one that returns soon gets its number back.
+# Numbers of endpoints without a row are kept, so that an endpoint that returns soon gets its number back.
 MAX_ABSENT_NUMBERS = 256
 
 
@@ -27,7 +27,7 @@
         other_names: The names of all other listed endpoints.
         numbers: The numbers of endpoints with a row, by name; the policy engine uses the same numbers.
         absent: The numbers of endpoints without a row, by name, the latest last.
-        detached: The names of endpoints that operators detached; their numbers are never forgotten.
+        detached: The names of endpoints that operators detached; their numbers are forgotten last.
         rows: The rows as discovery last sent them, by name.
     """
 
@@ -86,7 +86,10 @@
         return AddressedEndpoint(gone, NO_ADDRESS)
 
     def _bound_absent(self, latest: str) -> None:
-        """If there are too many numbers, forget the oldest one of an endpoint that is not detached."""
+        """If too many endpoints have no row, forget the number of the oldest that is not detached.
+
+        If all of them are detached, the number of the latest is forgotten.
+        """
         if len(self.absent) <= MAX_ABSENT_NUMBERS:
             return
         oldest = next((name for name in self.absent if name not in self.detached), None)
--- a/quota_gateway/net/discovery/json_lines.py
+++ b/quota_gateway/net/discovery/json_lines.py
@@ -26,8 +26,8 @@
 class JsonLineReader:
     """Collects the lines of a document until it is complete.
 
-    A JSON string contains no line break, so brackets can be counted line by line. The lines of an indented
-    document are not taken for a document each; see docs/decisions/discovery-long-lists.md.
+    A JSON string contains no line break, so brackets can be counted line by line. A line of an indented
+    document is not taken for a document of its own; see docs/decisions/discovery-long-lists.md.
 
     Attributes:
         size_bytes: The length of the incomplete document.
--- a/quota_gateway/net/discovery/nearest_endpoints.py
+++ b/quota_gateway/net/discovery/nearest_endpoints.py
@@ -100,7 +100,7 @@
         """Return how many names, from the nearest on, are certain to be the nearest of all listed ones.
 
         After many names are gone, this is less than the subset's size: a complete snapshot then has to be
-        offered to another instance.
+        offered to a new instance.
         """
         return bisect_left(self._ranked, self._nearest_not_retained)
 
--- a/quota_gateway/net/discovery/snapshot_document.py
+++ b/quota_gateway/net/discovery/snapshot_document.py
@@ -47,7 +47,7 @@
         self._depth = OUTSIDE_DEPTH
         self._bytes_since_row = 0
         self._has_ended = False
-        self._is_line_blank = True  # The current line is blank so far.
+        self._is_line_blank = True  # whether the current line is blank so far
 
     def feed(self, data: bytes) -> bytes | None:
         """Parse the next bytes.
@@ -84,7 +84,7 @@
             raise DiscoveryError(f"no row ends within {MAX_ROW_BYTES} bytes")
 
     def _on_event(self, event: str, value: Any) -> None:
-        # Keys and values of rows are nearly all of a document; they are handled inline, as calls cost more.
+        # Nearly all of a document is keys and values of rows; they are handled inline, as calls cost more.
         if event == "map_key":
             if self._depth in DEPTHS_WITH_FIELDS:
                 self._key = value
@@ -116,7 +116,7 @@
         elif self._depth == ROW_DEPTH:
             self._row = {}
         else:
-            self._row[self._key] = None  # Objects and arrays are no valid fields of a row.
+            self._row[self._key] = None  # No field of a row may be an object or an array.
 
     def _on_close(self) -> None:
         self._depth -= 1
--- a/quota_gateway/net/discovery/snapshot_reader.py
+++ b/quota_gateway/net/discovery/snapshot_reader.py
@@ -107,7 +107,7 @@
             The previous endpoints that the snapshot does not list, marked as gone.
 
         Raises:
-            DiscoveryError: No row is valid; the previous endpoints are kept.
+            DiscoveryError: There are rows, but no valid one; the previous endpoints are kept.
         """
         if self._has_rows and not self.rows:
             raise DiscoveryError("endpoint list has no valid row")
@@ -143,7 +143,7 @@
         """Read an endpoint's row into the table.
 
         Returns:
-            The endpoint, by its previous row if the new one is malformed; None if there is no previous row.
+            The endpoint, from its previous row if the new one is malformed; None if it has neither.
         """
         row = self.rows[name]
         try:
--- a/quota_gateway/net/discovery/watch.py
+++ b/quota_gateway/net/discovery/watch.py
@@ -134,7 +134,7 @@
         except (OSError, TimeoutError) as error:
             host, port = self.address
             log.warning("discovery not reachable host=%s port=%d error=%r", host, port, error)
-            # This is the previous connection, or one that was established just after the timeout.
+            # The connection to close is the previous one, or one that was established just after the timeout.
             if self._connection:
                 self._connection.close(WatchEndReason.REPLACED)
 
--- a/quota_gateway/net/discovery/watch_connection.py
+++ b/quota_gateway/net/discovery/watch_connection.py
@@ -1,7 +1,7 @@
 """One watch on discovery: an HTTP exchange whose endless response has an update or a heartbeat per line.
 
 See docs/decisions/discovery-timeouts.md for how the timeouts follow from the time after which an update
-counts as notified, and docs/decisions/discovery-long-lists.md for how long documents are read.
+counts as delivered, and docs/decisions/discovery-long-lists.md for how long documents are read.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 
 class WatchEndReason(Enum):
-    """The reason why a watch ended, as the log names it."""
+    """The reason why a watch ended; the values are used in the log and as labels of the metric."""
 
     HEARTBEAT_TIMEOUT = "heartbeat_timeout"
     RESPONSE_COMPLETE = "response_complete"
