--- a/quota_gateway/net/handover/connection_handover.py
+++ b/quota_gateway/net/handover/connection_handover.py
@@ -14,7 +14,7 @@
 
 log = logging.getLogger(__name__)
 
-# Each queued packet holds a descriptor. While so many are queued, no connection is handed over.
+# A queued packet may hold a descriptor. No connection is handed over while this many packets are queued.
 MAX_QUEUED_PACKETS = 8
 HANDOVER_INTERVAL_S = 0.005  # time between two passes over the connections
 
@@ -22,7 +22,7 @@
 class ConnectionHandover:
     """Hands each connection over to the next process as soon as no reply is pending on it.
 
-    It also reports how many descriptors this process still uses of the limits that both processes share.
+    It also reports how many descriptors this process still uses, as both processes share the limits.
     """
 
     def __init__(self, channel: ProcessChannel, clients: ClientListener, upstream_pool: UpstreamPool) -> None:
--- a/quota_gateway/net/handover/message_json.py
+++ b/quota_gateway/net/handover/message_json.py
@@ -98,7 +98,7 @@
         name: Name of the field in the code.
         key: Key of the field in the JSON.
         convert: Converts a JSON value; raises ValueError, TypeError or OverflowError if it is malformed.
-        default: Value of a missing field; a field with this value is not written. None: a required field.
+        default: Value of a missing field; a field with this value is not written. None for a required field.
     """
 
     name: str
@@ -110,7 +110,7 @@
         """Return the value of the field in a JSON document.
 
         Raises:
-            HandoverError: The field is missing or malformed; the message names kind, key and value.
+            HandoverError: The field is missing or malformed; the text names kind, key and any invalid value.
         """
         if self.key not in document:
             if self.default is None:
--- a/quota_gateway/net/handover/peer_messages.py
+++ b/quota_gateway/net/handover/peer_messages.py
@@ -29,7 +29,7 @@
 
 
 class Serving(NamedTuple):
-    """Tells that the next process serves, so that connections may be handed over to it."""
+    """Announces that the next process serves, so that connections may be handed over to it."""
 
 
 class HandedOverConnection(NamedTuple):
@@ -39,8 +39,8 @@
         has_sent_command: Whether the client has ever sent a complete command.
         request_count: Number of requests on this connection so far.
         command_due_for_s: Seconds for which a command has been due.
-        waited_s: Seconds for which nothing has been read from the connection.
-        silent_s: Seconds since the last byte of the partial command came.
+        waited_s: Seconds for which unread bytes may have waited; 0 if none wait.
+        silent_s: Seconds since the last byte was received.
     """
 
     has_sent_command: bool
@@ -51,7 +51,7 @@
 
 
 class DescriptorsInUse(NamedTuple):
-    """How many descriptors the previous process still uses of the limits that both processes share.
+    """How many descriptors the previous process still uses, as both processes share the limits.
 
     Attributes:
         clients: Number of descriptors for client connections.
@@ -79,7 +79,7 @@
 
 
 class DetachmentReply(NamedTuple):
-    """Tells that the peer process has carried out a detachment request.
+    """Confirms that the peer process has handled a detachment request.
 
     Attributes:
         number: Number of the request.
--- a/quota_gateway/net/handover/process_channel.py
+++ b/quota_gateway/net/handover/process_channel.py
@@ -109,7 +109,7 @@
     def _on_write_error(self, error: OSError) -> None:
         """Retry later if the system is short of descriptors or memory; else the peer process has ended.
 
-        What the peer process sent before is still read to the end. The event loop may not call the reader
+        What the peer process sent before is still read to the end. The event loop might not call the reader
         again: the kernel reports a reset only once, and may have reported it to this write.
         """
         if error.errno in SHORTAGE_ERRORS:
--- a/quota_gateway/net/handover/receiver.py
+++ b/quota_gateway/net/handover/receiver.py
@@ -140,7 +140,7 @@
         self.upstream_pool = upstream_pool
         self.peers = peers
         self.requests = requests
-        self._spare_bytes = 0  # taken off both buffer limits until the previous process ends
+        self._spare_bytes = 0  # bytes by which both buffer limits are lower until the previous process ends
 
     def take_over(self, handover_state: HandoverState, spare_bytes: int) -> None:
         """Take over from the previous process, and tell it that this process serves.
--- a/quota_gateway/net/handover/sender.py
+++ b/quota_gateway/net/handover/sender.py
@@ -33,7 +33,7 @@
 HELLO_TIMEOUT_S = 2.0  # wait for Hello after a process has connected; a silent process holds a descriptor
 # Wait for Serving after the state is sent. Neither process accepts clients until then.
 SERVING_TIMEOUT_S = 1.5
-LISTEN_RETRY_S = 0.5  # time between two attempts while the path is not available
+LISTEN_RETRY_S = 0.5  # time between two calls of ``listen`` while the path is not available
 
 
 class HandoverSender:
