--- a/quota_gateway/net/upstream/attempt.py
+++ b/quota_gateway/net/upstream/attempt.py
@@ -17,7 +17,7 @@
     Attributes:
         status: How the attempt ended.
         value: The value of a good reply; empty if the value was streamed in pieces.
-        usage_percent: The customer's metered use over all gateways, as a percentage of its rate.
+        usage_percent: The customer's usage over all gateways, as a percentage of its quota.
         final_units: The number of units that the request took.
         load: The load report, with a number for each of ``Settings.load_report_fields``.
     """
--- a/quota_gateway/net/upstream/command_writer.py
+++ b/quota_gateway/net/upstream/command_writer.py
@@ -10,7 +10,7 @@
 
 # A command up to this length is written whole: the kernel takes it at once, as nothing else is queued.
 MAX_WHOLE_WRITE_BYTES = 16 * 1024
-WITHHELD_BYTES = 2  # The final CR LF of a longer command is withheld: a server does not run it without.
+WITHHELD_BYTES = 2  # The final CR LF of a longer command is withheld; a server runs no command without it.
 
 
 class CommandWriter:
--- a/quota_gateway/net/upstream/connection.py
+++ b/quota_gateway/net/upstream/connection.py
@@ -1,7 +1,7 @@
 """One connection to a server, with at most one attempt on it at a time.
 
-The outcome of an attempt follows PROTOCOL's table: an attempt whose last byte was not handed to the kernel
-never ran. If the last byte was handed to the kernel, the attempt may have run, however it ended.
+The outcome of an attempt follows the protocol's table: an attempt whose last byte was not handed to the
+kernel never ran. If the last byte was handed to the kernel, the attempt may have run, however it ended.
 """
 
 from __future__ import annotations
@@ -134,7 +134,8 @@
             payload = attempt.encode_again() if attempt.encode_again else attempt.payload
             refusal = attempt.refusal_to_send()
             if refusal:
-                self.close(refusal)  # The client has left; its disconnect may not have been handled yet.
+                # For instance, the client has left, and its disconnect is not handled yet.
+                self.close(refusal)
             else:
                 self._write(attempt, payload)
 
--- a/quota_gateway/net/upstream/host.py
+++ b/quota_gateway/net/upstream/host.py
@@ -56,7 +56,7 @@
     def update(self, endpoint: Endpoint, address: Address, detached: bool) -> None:
         """Apply discovery's description of the server, and close connections that it makes unusable.
 
-        Old connections are unusable after a restart of the server or a change of its address.
+        Connections are unusable after a restart or a change of address, and while the server is not ready.
         """
         unchanged = self.address == address and self.started_ms == endpoint.started_ms
         self.address = address
--- a/quota_gateway/net/upstream/reply_receiver.py
+++ b/quota_gateway/net/upstream/reply_receiver.py
@@ -94,7 +94,7 @@
         self.last_progress_s = self._clock_s()
 
     def close(self) -> None:
-        """Discard the buffered bytes, as the connection closes."""
+        """Stop counting the buffered bytes, as the connection closes."""
         self._is_closed = True
         self._change_buffered(-self._buffered_bytes)
 
