--- a/quota_gateway/net/discovery/snapshot_reader.py
+++ b/quota_gateway/net/discovery/snapshot_reader.py
@@ -54,7 +54,7 @@
         valid name is ignored.
 
         Raises:
-            DiscoveryError: More than ``MAX_LISTED_ENDPOINTS`` are listed.
+            DiscoveryError: More than ``MAX_LISTED_ENDPOINTS`` are listed besides the nearest ones.
         """
         self._has_rows = True
         name = name_in(row)
--- a/quota_gateway/net/handover/process_channel.py
+++ b/quota_gateway/net/handover/process_channel.py
@@ -36,7 +36,7 @@
     """The state of a channel. A channel only advances through these states, and may skip some."""
 
     OPEN = 0  # messages are sent and received
-    RESET = 1  # the peer process has ended with unread data; what it sent is still read
+    RESET = 1  # the peer process has ended before reading everything; what it sent is still read
     SEND_FAILED = 2  # nothing is sent any more; what the peer process sent is still read
     CLOSED = 3
 
@@ -154,8 +154,8 @@
     def _receive(self) -> tuple[bytes, list[int], int, Any]:
         """Receive one packet.
 
-        A reset means that the peer process ended with unread data. The next packet is read at once and the
-        rest by ``_read_after_reset``, as the event loop does not call the reader again after a reset.
+        A reset means that the peer process ended before reading everything. The next packet is read at once
+        and the rest by ``_read_after_reset``, as the event loop does not call the reader again after a reset.
         """
         try:
             return socket.recv_fds(self.sock, MAX_PACKET_BYTES, MAX_DESCRIPTORS_PER_PACKET)
--- a/quota_gateway/net/handover/receiver.py
+++ b/quota_gateway/net/handover/receiver.py
@@ -27,7 +27,7 @@
 
 REQUEST_TIMEOUT_S = 1.0  # time limit for the retries of failed requests for the state
 REQUEST_RETRY_S = 0.02  # delay between two requests; a shortage may end at any moment
-OFFER_TIMEOUT_S = 1.5  # wait for the state after Hello; the start then goes on without it
+OFFER_TIMEOUT_S = 1.5  # longest wait for the state after Hello; the process then starts without it
 
 
 class HandoverState(NamedTuple):
