--- a/tests/model/test_snapshot.py
+++ b/tests/model/test_snapshot.py
@@ -27,8 +27,8 @@
 SNAPSHOTS = Path(__file__).parent.parent / "support" / "snapshots"
 RECORDED_BY_4431B5A = SNAPSHOTS / "engine-state-4431b5a.json"
 RECORDED_BY_4ABEC57 = SNAPSHOTS / "engine-state-4abec57.json"
-LATER_MS = 10_000.0  # clock time after all times in the recorded snapshot
-EARLY_MS = 100.0  # clock time before most times in the recorded snapshot
+LATER_MS = 10_000.0  # clock time after all times in the recorded snapshots
+EARLY_MS = 100.0  # clock time before most times in the snapshot of 4431b5a
 
 
 def test_snapshot_of_4431b5a_is_read_and_written_without_a_change():
@@ -108,7 +108,7 @@
 
 
 def shape(value):
-    """Return a JSON value with each value that is no object or list replaced by its type."""
+    """Return a JSON value in which each string, number, boolean and null is replaced by its type."""
     if isinstance(value, dict):
         return {key: shape(item) for key, item in value.items()}
     if isinstance(value, list):
--- a/tests/policy/test_leaky_bucket.py
+++ b/tests/policy/test_leaky_bucket.py
@@ -172,8 +172,8 @@
 
 
 def test_delay_past_the_shortest_latency_objective_rejects_the_request():
-    # The latency objective is 500 ms and the initial mean latency 100 ms. So a delay may last 400 ms, in
-    # which two units drain at 5 units a second.
+    # The shortest latency objective is 500 ms and the initial mean latency 100 ms. So a delay has to be
+    # shorter than 400 ms, in which two units drain at 5 units a second.
     harness = make_harness(classes=(*CLASSES, BRIEF))
     harness.update_endpoints(make_endpoint(1), make_endpoint(2))
     for _ in range(4):
@@ -183,7 +183,7 @@
 
 
 def harness_with_priority_class() -> EngineHarness:
-    """A harness with an additional class "dear", which has four times the priority weight."""
+    """A harness with an additional class "dear", which has four times the priority weight of the others."""
     harness = make_harness(classes=(*CLASSES, HIGH_PRIORITY))
     harness.update_endpoints(make_endpoint(1), make_endpoint(2))
     return harness
@@ -201,14 +201,14 @@
 
 
 def test_excess_beyond_the_burst_is_reserved_for_classes_of_higher_priority():
-    # The shortest latency objective is 1000 ms: the class of lowest priority weight is delayed by 100 ms at
-    # most, in which half a unit drains at 5 units a second.
+    # The shortest latency objective is 1000 ms. A delay of the class of lowest priority weight has to be
+    # shorter than 100 ms, in which half a unit drains at 5 units a second.
     harness = harness_with_priority_class()
     for _ in range(4):
         harness.send_request("metered")
     assert harness.answers[harness.send_request("metered")] == "Reject"
     harness.run(150.0)
-    # The excess is a quarter of a unit over the burst.
+    # With the next request, the excess is a quarter of a unit over the burst.
     assert harness.send_request("metered") not in harness.answers
     assert harness.send_request("metered", "dear") not in harness.answers
 
@@ -225,7 +225,7 @@
     return harness
 
 
-def ask_with_share_below_one_request(harness, **request_fields) -> str:
+def send_with_share_below_one_request(harness, **request_fields) -> str:
     """Send a request of one unit with the gateway set size of the harness; return its id."""
     harness.request_count += 1
     request_id = f"r{harness.request_count}"
@@ -239,28 +239,29 @@
 @pytest.mark.parametrize(("gateway_set_size", "answer"), [(60, "Reject"), (2, None)])
 def test_marked_retry_is_rejected_under_a_share_below_one_request_only(gateway_set_size, answer):
     harness = harness_with_share_below_one_request(gateway_set_size)
-    assert harness.answers.get(ask_with_share_below_one_request(harness, is_retry=True)) == answer
+    assert harness.answers.get(send_with_share_below_one_request(harness, is_retry=True)) == answer
 
 
 def test_headroom_of_the_last_usage_report_grows_the_burst_of_a_share_below_one_request():
     harness = harness_with_share_below_one_request()
-    # The headroom of 0.6 makes a burst of 1 x (1 + 2 x 0.6) = 2.2 units, once the local quota has drained.
-    harness.finish(ask_with_share_below_one_request(harness), used=40.0)
+    # The headroom of 0.6 raises the burst to 1 x (1 + 2 x 0.6) = 2.2 units, unless the report is older
+    # than the time in which one request drains, or more than two requests have not drained yet.
+    harness.finish(send_with_share_below_one_request(harness), used=40.0)
     harness.run(5000.0)  # longer than four usage periods, shorter than one request takes to drain
-    assert ask_with_share_below_one_request(harness) in harness.sent
+    assert send_with_share_below_one_request(harness) in harness.sent
     harness.run(100.0)
-    assert harness.answers[ask_with_share_below_one_request(harness)] == "Reject", (
-        "a third request exceeds the local quota and the burst added by headroom"
+    assert harness.answers[send_with_share_below_one_request(harness)] == "Reject", (
+        "headroom raised the burst although three requests had arrived in a short time"
     )
 
 
 def test_share_below_one_request_over_quota_or_without_a_recent_usage_report_has_the_even_burst():
     for usage_percent, wait_ms in ((100.0, 500.0), (40.0, 6100.0)):
         harness = harness_with_share_below_one_request()
-        harness.finish(ask_with_share_below_one_request(harness), used=usage_percent)
+        harness.finish(send_with_share_below_one_request(harness), used=usage_percent)
         harness.run(wait_ms)
-        second = ask_with_share_below_one_request(harness)
-        third = ask_with_share_below_one_request(harness)
+        second = send_with_share_below_one_request(harness)
+        third = send_with_share_below_one_request(harness)
         assert harness.answers[third] == "Reject"
         assert (second in harness.sent) == (wait_ms > 6000.0)  # the first request has drained after 6000 ms
 
@@ -274,7 +275,7 @@
         harness.update_endpoints(make_endpoint(1), make_endpoint(2))
         harness.gateway_set_size = 60
         for step in range(100):
-            request_id = ask_with_share_below_one_request(harness, is_retry=step % 2 == 1)
+            request_id = send_with_share_below_one_request(harness, is_retry=step % 2 == 1)
             if request_id in harness.sent:
                 harness.finish(request_id, used=300.0)
             harness.run(200.0)
@@ -296,7 +297,7 @@
 
 
 def gateways_that_forward(harnesses: list[EngineHarness]) -> list[int]:
-    """The indexes of the gateways that forward a request of the customer at once; each is finished."""
+    """The indexes of the gateways that forward the customer's request at once; it is finished then."""
     forwarding = []
     for index, harness in enumerate(harnesses):
         request_id = harness.send_request("only-cap", "brief", gateway_set_size=3)
--- a/tests/policy/test_protocol_rules.py
+++ b/tests/policy/test_protocol_rules.py
@@ -1,6 +1,7 @@
 """The service rules and overload behaviour of the policy engine, each with cases on both sides of its bound.
 
-The five rules: one final answer, no double execution, draining, slow start, and hard ceilings.
+The numbered sections test the five rules: one final answer, no double execution, draining, slow start, and
+hard ceilings. The sections after them test behaviour that these rules do not cover.
 """
 
 from collections import Counter
@@ -193,8 +194,9 @@
 
 @pytest.mark.parametrize("gateways", [3, 60, 230])
 def test_warming_endpoint_gets_its_share_from_all_gateways_together(gateways):
-    # The even share of one of ten endpoints is 1/10. Times the initial capacity share of 0.2 and 0.33 of the
-    # overload factor of 3, that is 1.98% of the 6,000 requests, which are all sent at the same time.
+    # The 6,000 requests are all sent at the same time. The bound is 1.35 times 1.98% of them: the even share
+    # of one of ten endpoints, 1/10, times the initial capacity share of 0.2, times 0.33 of the overload
+    # factor of 3.
     sent_to_warming = 0
     for index in range(gateways):
         harness = EngineHarness(replace(SETTINGS, gateways=gateways, index=index), seed=index)
@@ -269,7 +271,7 @@
     assert len(start_times_ms) >= 30, "fewer than 30 of the 60 units that refill in six seconds were used"
 
 
-# Beyond the rules: overload
+# Overload
 
 
 def test_concurrency_limit_queues_requests_and_sheds_the_least_valuable():
@@ -285,7 +287,8 @@
     high_priority = harness.send_request(class_name="dear")
     assert high_priority not in harness.answers
     assert len(harness.answers) == shed_before + 1
-    # The random draw of a request decides about the last slot; two free slots admit any request.
+    # Under a fractional limit, the random draw of a request decides whether it gets the last slot. With two
+    # free slots, any request is forwarded.
     for request_id in forwarded[:2]:
         harness.finish(request_id)
     assert high_priority in harness.sent
@@ -326,7 +329,7 @@
     assert request_id not in harness.sent
 
 
-# Beyond the rules: adaptive concurrency limit over any number of gateways
+# Adaptive concurrency limit over any number of gateways
 
 
 def test_all_gateways_together_keep_few_attempts_in_flight_before_the_first_response():
@@ -354,16 +357,16 @@
     request_ids = [harness.send_request() for _ in range(6)]
     harness.finish(request_ids[0], latency=1001.0)  # half of the latency objective is 1000 ms
     assert harness.engine.mechanisms.concurrency.limit == pytest.approx(6.0 - 0.3)
-    # Five attempts are in flight under a limit of 5.7, which does not admit a sixth: the limit is used up.
+    # A sixth attempt beside the five in flight would exceed the limit of 5.7: the limit is used up.
     harness.finish(request_ids[1], latency=50.0)
     assert harness.engine.mechanisms.concurrency.limit == pytest.approx(5.7 + 0.035)
-    # Four attempts are in flight and a fifth would be admitted: the limit is not used up.
+    # A fifth attempt beside the four in flight would not exceed the limit: it is not used up.
     harness.finish(request_ids[2], latency=50.0)
     assert harness.engine.mechanisms.concurrency.limit == pytest.approx(5.7 + 0.035)
 
 
 def harness_with_learned_sizes() -> EngineHarness:
-    """A harness with a limit of six, whose mean latency is 1,000 ms more for four units than for one."""
+    """A harness with a limit of six; its mean latency is about 1,000 ms more for four units than for one."""
     harness = harness_with_limit_of_six()
     for units, latency in ((1, 100.0), (4, 1100.0)):
         for _ in range(40):
@@ -378,7 +381,7 @@
     harness = harness_with_learned_sizes()
     harness.finish(harness.send_request(units=4), latency=1300.0)
     assert harness.engine.mechanisms.concurrency.limit == pytest.approx(6.0)
-    # A latency of 2100 ms is more than half of the objective above the 1,000 ms that four units add.
+    # Without the 1,000 ms that four units add, a latency of 2100 ms is more than half of the objective.
     harness.finish(harness.send_request(units=4), latency=2100.0)
     assert harness.engine.mechanisms.concurrency.limit == pytest.approx(6.0 - 0.3)
     harness.finish(harness.send_request(units=1), latency=1300.0)
@@ -409,7 +412,7 @@
     assert harness.send_request() in harness.sent
 
 
-# Beyond the rules: outliers that fail a part of their requests
+# Outliers that fail only some of their requests
 
 
 def test_a_retry_after_a_failed_connection_is_free_and_one_after_a_rejection_is_not():
@@ -460,7 +463,8 @@
     """Reset the connection of an attempt that has had no answer for half of the latency objective."""
     harness.run(1000.0)
     harness.finish(request_id, AttemptStatus.RESET, latency=1000.0)
-    # A reset also counts as a failure for all requests. It is removed, as only the class is tested here.
+    # The missing answer counts as a failure for the class, and the reset as one for all requests. The second
+    # is removed, as only the first is tested here.
     harness.engine.endpoints.by_id[0].failures.pop("", None)
 
 
@@ -528,7 +532,7 @@
     assert 50 * 10 <= len(compared) <= 50 * 20
 
 
-# Beyond the rules: attempts without an answer
+# Attempts without an answer
 
 
 def harness_with_silent_attempt(class_name: str, mean_latency_ms: float) -> tuple[EngineHarness, str]:
@@ -666,8 +670,8 @@
 
 
 def test_fleet_gives_warming_endpoints_their_share_though_each_gateway_has_used_few_of_them():
-    # There are 40 gateways, 24 warm endpoints and 36 at half their capacity. Each gateway has had a few fast
-    # responses from warming endpoints, each from a different one.
+    # There are 40 gateways, 24 warm endpoints and 36 at half their capacity. After its first 100 requests,
+    # each gateway has had fast responses from only some of the warming endpoints.
     warm = range(1, 25)
     warming = range(25, 61)
     counts: Counter[int] = Counter()
@@ -681,12 +685,12 @@
         for request_number in range(200):
             request_id = harness.send_request()
             endpoint = harness.sent[request_id][0]
-            # Requests count only after the gateway has used some warming endpoints.
+            # The first 100 requests of a gateway do not count.
             counts[endpoint] += request_number >= 100
             harness.finish(request_id, latency=40.0 if endpoint in warming else 50.0)
     warming_share = sum(counts[number] for number in warming) / counts.total()
     # The share by capacity is 18 of 42, or 0.43. It may be higher, as warming endpoints respond faster.
     assert 0.36 <= warming_share <= 0.50
-    # The share of all requests that overloads a warming endpoint while the fleet serves all that it can.
+    # The share of all requests that would overload a warming endpoint while the whole fleet is fully loaded.
     overload_share = LONG_WARM_UP_FROM_HALF.overload_factor * 0.5 / 42
     assert max(counts[number] / counts.total() for number in warming) < overload_share
--- a/tests/policy/test_quota_over_fleet.py
+++ b/tests/policy/test_quota_over_fleet.py
@@ -15,7 +15,7 @@
 GATEWAYS = 80
 SERVERS = 8
 DURATION_S = 30
-MAX_ATTEMPTS = 4  # attempts of a client whose requests are rejected
+MAX_ATTEMPTS = 4  # attempts of a client per request, if gateways reject it each time
 RETRY_AFTER_MS = 100.0
 LATENCY_MS = 300.0
 REQUEST_UNITS = 2
@@ -66,9 +66,9 @@
         self.requested: Counter[str] = Counter()
         self.forwarded: Counter[str] = Counter()
         self.beyond_quota = 0
-        self._token_buckets: dict[str, tuple[float, float]] = {}  # units left, and clock time in ms
+        self._token_buckets: dict[str, tuple[float, float]] = {}  # units left and time in ms, by customer
         self._ends_in_flight: dict[str, list[float]] = {}
-        self._usage: Counter[tuple[str, int]] = Counter()  # units or most in flight, by second
+        self._usage: Counter[tuple[str, int]] = Counter()  # units or most in flight, by customer and second
         self._events: list[FleetEvent] = []
 
     def run(self, rates: dict[str, float]) -> None:
@@ -142,7 +142,8 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-# If all requests were forwarded, 420 and 1800 would be beyond the quota, and 300 and 480 within it.
+# If gateways admitted all requests of unknown customers, about 420 (rate) and 1800 (in-flight cap) would be
+# forwarded beyond the quota, and about 300 and 480 within it.
 @pytest.mark.parametrize(("plan", "most_beyond_quota"), [(RATE_PLAN, 300), (CAP_PLAN, 1000)])
 def test_requests_forwarded_for_unknown_customers_do_not_add_up_to_many_quotas(plan, most_beyond_quota, seed):
     fleet = Fleet(plan, seed)
--- a/tests/policy/test_shutdown.py
+++ b/tests/policy/test_shutdown.py
@@ -39,9 +39,9 @@
 
 def test_retry_after_over_quota_ends_when_the_bucket_admits_the_request_with_a_delay():
     # Two requests are forwarded. The third exceeds the burst by one unit, a delay of 1000 ms at one unit a
-    # second, and the fourth by two units, a delay of 2000 ms. A delay may last as long as the latency
-    # objective less the mean latency, which is a fifth of it: 480 ms with the first objective, and 1440 ms
-    # with the second.
+    # second, and the fourth by two units, a delay of 2000 ms. A delay has to be shorter than the
+    # latency objective less the mean latency, which is a fifth of the objective: 480 ms with the first
+    # objective, and 1440 ms with the second.
     rejection = first_rejection(make_harness_with_retry_after(600.0, LONG_RETRY_AFTER_MS))
     assert rejection.request_id == "r3"
     assert rejection.retry_after_ms == 0.0
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -46,7 +46,7 @@
 
 MEAN_WORK_MS = 50.0  # mean time that one request occupies a core of a warm server
 CORES_PER_SERVER = 2
-MAX_QUEUE_MS = 500.0  # a server whose queue is longer answers that it is overloaded
+MAX_QUEUE_MS = 500.0  # a server with a longer queue rejects attempts as overloaded
 FAILURE_STATUSES = (AttemptStatus.OVERLOADED, AttemptStatus.RESET, AttemptStatus.ERROR)
 
 
@@ -58,7 +58,7 @@
         restarting_share: Share of the servers that restart, which is at least one server.
         restart_span_ms: Time from the first restart to the last.
         max_notification_delay_ms: Longest time from a restart until a gateway is notified of it.
-        known_before: Whether gateways know the restarting servers before; if not, each replaces another one.
+        known_before: Whether gateways know a server before its restart; if not, it replaces another one.
         burst_factor: Factor by which traffic rises from 2 s to 6 s after the first restart.
         slow_while_warming: Whether a warming server is slower for each request, or only for several at once.
         work_distribution: Distribution of the work of a request, exponential or lognormal.
@@ -133,7 +133,7 @@
             PolicyEngine(replace(settings, index=index), self.random.randrange(1 << 30))
             for index in range(gateway_count)
         ]
-        self.notified_at_ms = [{} for _ in self.gateways]  # times for each gateway, by restarted server
+        self.notified_at_ms = [{} for _ in self.gateways]  # notification times by gateway and server
         self.server_count = server_count
         self.servers = self.make_servers()
         self.restarting = [server for server in self.servers.values() if server.started_ms >= 0.0]
@@ -351,8 +351,9 @@
     ),
     "all at once": Scenario(restarting_share=1.0, load=0.5, burst_factor=1.5),
 }
-FLEET_SIZES = [(5, 11), (20, 11), (30, 11), (200, 22)]  # gateways, servers; more than twenty are sampled
-LARGE_FLEET_GATEWAYS = 200  # gateways; fleets of this size or more run with one seed
+# Numbers of gateways and of servers. Of more than twenty servers, a gateway compares a sample.
+FLEET_SIZES = [(5, 11), (20, 11), (30, 11), (200, 22)]
+LARGE_FLEET_GATEWAYS = 200  # fleets with at least this many gateways run with one seed
 
 
 def run_fleets(gateways, servers, scenario, end_ms):
--- a/tests/policy/test_subset.py
+++ b/tests/policy/test_subset.py
@@ -18,7 +18,7 @@
 
 
 def random_names(servers, seed):
-    """This number of distinct server names, drawn at random with the seed."""
+    """Distinct names of as many servers, drawn at random with the seed."""
     numbers = random.Random(seed).sample(range(1 << 32), servers)
     return [f"s-{number:08x}" for number in numbers]
 
@@ -114,7 +114,7 @@
     for one_subset in subsets:
         overlapping = [other for other in subsets if one_subset & other]
         reachable = set().union(*overlapping)
-        assert len(reachable) >= 3.5 * len(one_subset)  # one ring gives three times the size at most
+        assert len(reachable) >= 3.5 * len(one_subset)  # one ring would give three times the size at most
 
 
 @settings(max_examples=25, deadline=None)
--- a/tests/scale/test_seeds.py
+++ b/tests/scale/test_seeds.py
@@ -13,7 +13,7 @@
     assert events == sorted(events)
     assert all(0.0 <= event.draw < 1.0 for event in events)
     counts = {kind: sum(event.kind == kind for event in events) for kind in ("change", "restart", "failure")}
-    # The expected means are 2,100, 11,000 and 61.
+    # The expected means of changes, restarts and failures are 2,100, 11,000 and 61.
     assert counts == {"change": 2036, "restart": 11043, "failure": 47}
 
 
--- a/tests/unit/test_documentation.py
+++ b/tests/unit/test_documentation.py
@@ -12,7 +12,7 @@
 CODE_SPAN = re.compile(r"`([^`\n]+)`")
 FENCED_BLOCK = re.compile(r"^```.*?^```", re.DOTALL | re.MULTILINE)
 CAMEL_CASE = re.compile(r"\b(?:[A-Z][a-z0-9]+){2,}\b")
-FORM_OF_A_PLACE = "path/to/file.py:Name"  # example in the explanation on the page
+FORM_OF_A_PLACE = "path/to/file.py:Name"  # the example with which the page explains how it writes a name
 PATH_SUFFIXES = (".py", ".toml", ".md")
 EVENT_TABLE_HEADER = re.compile(r"^\| event fields \|.*$", re.MULTILINE)
 
--- a/tests/unit/test_import_directions.py
+++ b/tests/unit/test_import_directions.py
@@ -9,7 +9,7 @@
 
 PACKAGE = "quota_gateway"
 MODEL, POLICY, TELEMETRY, NET = (f"{PACKAGE}.{name}" for name in ("model", "policy", "telemetry", "net"))
-SHARED = (f"{PACKAGE}.errors",)  # errors that every layer may raise
+SHARED = (f"{PACKAGE}.errors",)  # errors that the model, the policy and the network code may raise
 ALLOWED = {
     "model": (MODEL, *SHARED),
     "policy": (POLICY, MODEL, *SHARED),
