--- a/tests/policy/test_subset.py
+++ b/tests/policy/test_subset.py
@@ -18,7 +18,7 @@
 
 
 def random_names(servers, seed):
-    """Distinct names of as many servers, drawn at random with the seed."""
+    """As many distinct server names as ``servers``, drawn at random with the seed."""
     numbers = random.Random(seed).sample(range(1 << 32), servers)
     return [f"s-{number:08x}" for number in numbers]
 
--- a/tests/soak/test_oracle.py
+++ b/tests/soak/test_oracle.py
@@ -54,7 +54,7 @@
 
 
 def command(after_s=0.01, **fields):
-    """Return a command that its server received ``after_s`` after the request was sent."""
+    """Return a command that its server received ``after_s`` seconds after the request was sent."""
     values = {
         "request_id": "r",
         "server": "s-1",
--- a/tests/unit/test_documentation.py
+++ b/tests/unit/test_documentation.py
@@ -54,7 +54,7 @@
     places = [span for span in spans if is_path(span) and span != FORM_OF_A_PLACE]
     assert any(":" in place for place in places), f"no name is written as `{FORM_OF_A_PLACE}`"
     faults = [fault for place in places if (fault := fault_of_place(place))]
-    assert not faults, "docs/ARCHITECTURE.md names what is not there:\n" + "\n".join(faults)
+    assert not faults, "docs/ARCHITECTURE.md names missing places:\n" + "\n".join(faults)
 
 
 def test_types_of_the_architecture_page_exist():
@@ -80,7 +80,7 @@
             if (path := find_module(place)) and name not in defined_names(path):
                 faults.append(f"`{place}` `{name}`: the file does not define this name")
     assert count, "docs/glossary.md names no file in backticks"
-    assert not faults, "docs/glossary.md names what is not there:\n" + "\n".join(faults)
+    assert not faults, "docs/glossary.md names missing places:\n" + "\n".join(faults)
 
 
 def test_every_row_of_the_glossary_names_a_place_that_exists():
@@ -168,11 +168,11 @@
 
 def test_events_of_the_log_and_of_the_on_call_page_are_the_same():
     logged = read_logged_events(source_files("quota_gateway"))
-    assert not logged.faults, "lines of the log in another form:\n" + "\n".join(logged.faults)
+    assert not logged.faults, "log lines without the expected form:\n" + "\n".join(logged.faults)
     cells = listed_lines(page("on-call.md"))
     assert cells, "docs/on-call.md has no table headed `| event fields | meaning | action |`"
     listed = {cell: LogLine.parse(cell) for cell in cells}
-    faults = [f"`{cell}` is no event with fields key=" for cell, line in listed.items() if line is None]
+    faults = [f"`{cell}` is not an event with key= fields" for cell, line in listed.items() if line is None]
     keys = {line.event: line.keys for line in listed.values() if line}
     for event in sorted(logged.keys.keys() - keys.keys()):
         row = " ".join([event, *(f"{key}=" for key in sorted(logged.keys[event]))])
