--- a/tests/net/clients/test_client_disconnect.py
+++ b/tests/net/clients/test_client_disconnect.py
@@ -24,7 +24,7 @@
 from tests.support.gateway_node import run_gateway, wait_until
 from tests.support.resp_encoding import encode_call, encode_reply
 
-# Times so long that no timer fires by itself.
+# Objectives and deadlines so long that no timer fires unless a test fires it.
 CLASSES = (
     RequestClass("read", 200_000.0, 600_000.0, Idempotency.IDEMPOTENT),
     RequestClass("buy", 200_000.0, 600_000.0, Idempotency.NON_IDEMPOTENT),
@@ -47,7 +47,7 @@
 
 
 class DisconnectingClient:
-    """A client that ends its connection in order or by a reset, with access to both ends of it."""
+    """A client that closes its connection normally or with a reset; the test has access to both ends."""
 
     def __init__(self, how: str, *servers: FakeUpstream) -> None:
         self.how, self.servers = how, servers
@@ -74,7 +74,7 @@
         assert poller.poll(DISCONNECT_TIMEOUT_MS)
 
     def forwarded(self, *numbers: int) -> list[bytes]:
-        """Return the ids of requests that servers received: of those given, or of all of this client."""
+        """Return the ids of the requests that servers received, of ``numbers`` or of all of this client's."""
         received_ids = [words[2] for server in self.servers for words in server.commands]
         expected_ids = [request_id(number) for number in numbers or (FIRST, SECOND, *range(10, 30))]
         return sorted(number for number in received_ids if number in expected_ids)
@@ -302,7 +302,11 @@
 
 
 async def send_half_written_command(gateway, listener, client) -> socket.socket:
-    """Send a command that the server reads only in part; return the server's end of the connection."""
+    """Send a command that the gateway forwards only in part, because the server does not read.
+
+    Returns:
+        The server's end of the connection.
+    """
     loop = asyncio.get_running_loop()
     listener.setblocking(False)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -349,7 +353,7 @@
 
 
 async def receive(sock: socket.socket) -> bytes:
-    """Receive the next bytes; return none once the connection is closed or reset."""
+    """Receive the next bytes; return ``b""`` once the connection is closed or reset."""
     try:
         return await asyncio.get_running_loop().sock_recv(sock, 1 << 20)
     except OSError:
--- a/tests/net/clients/test_idle_connections.py
+++ b/tests/net/clients/test_idle_connections.py
@@ -1,4 +1,4 @@
-"""Eviction and timeouts with many connections without requests and slowly arriving commands."""
+"""Eviction and timeouts of connections that send no request or whose command arrives slowly."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -29,7 +29,7 @@
     "sent", [b"", encode_command("PING"), encode_call(1)[:50], encode_command("NONSENSE")]
 )
 async def test_connections_without_requests_do_not_block_new_ones(sent, monkeypatch):
-    monkeypatch.setattr(idle_connections, "COMMAND_READ_TIMEOUT_S", 50.0)  # no command times out
+    monkeypatch.setattr(idle_connections, "COMMAND_READ_TIMEOUT_S", 50.0)  # so long that no command times out
     monkeypatch.setattr(idle_connections, "IDLE_GRACE_S", 50.0)
     async with run_gateway(FakeUpstream(), max_connections=MAX_CONNECTIONS) as gateway:
         clients = await connect_many(gateway, sent)
@@ -104,7 +104,7 @@
 
 
 def track(tracked: IdleConnections, *connections: FakeConnection) -> list[str]:
-    """Track connections without unread bytes; return the list to which the names of closed ones are added."""
+    """Track connections; return the list to which each evicted connection adds its name."""
     closed: list[str] = []
     for connection in connections:
         connection.closed = closed
--- a/tests/net/discovery/test_discovery_notification.py
+++ b/tests/net/discovery/test_discovery_notification.py
@@ -19,11 +19,11 @@
 from tests.support.fake_discovery import encode_chunk, encode_update, make_instance
 from tests.support.virtual_loop import VirtualLoop, run_virtual
 
-# STANDING: the time limit for notifying a change, from when discovery has the change and can be reached.
+# The time limit for notifying an update once discovery has it and can be reached (STANDING).
 NOTIFIED_WITHIN_S = 6.0
-NOTIFIED_AFTER_SIGHUP_WITHIN_S = 4.0  # TERMS: the time limit for notifying an update after SIGHUP
+NOTIFIED_AFTER_SIGHUP_WITHIN_S = 4.0  # the time limit for notifying an update after SIGHUP (TERMS)
 CONNECT_DELAY_S = 0.9  # the time in which a connection is established
-SLOW_CONNECT_DELAY_S = 1.5  # the time in which a slow connection is established, as STANDING has for servers
+SLOW_CONNECT_DELAY_S = 1.5  # the time that connecting to a slow server takes (STANDING)
 LATE_REJECTION_DELAY_S = 2.4
 HEARTBEAT_INTERVAL_S = 2.0
 TEST_TIMEOUT_S = 60.0
@@ -185,7 +185,7 @@
 
 
 async def start_watched_discovery(seed: int) -> tuple[VirtualLoop, FaultyDiscovery, UpdateRecorder]:
-    """Return the loop, a discovery that is up, and a recorder that has its first list."""
+    """Return the loop, a discovery that is up, and a recorder that has received its first list."""
     loop = asyncio.get_running_loop()
     assert isinstance(loop, VirtualLoop)
     discovery = FaultyDiscovery()
@@ -243,7 +243,7 @@
 async def wait_after_silence(seed: int) -> float:
     """Return the seconds until the notification if watches fall silent just before an update.
 
-    New watches can be opened at once.
+    Discovery stays up, but connecting to it is slow.
     """
     loop, discovery, recorder = await start_watched_discovery(seed)
     await asyncio.sleep(random.Random(seed).uniform(0.0, 4.0))
@@ -294,7 +294,7 @@
 
 
 async def watches_opened_by_fleet(gateways: int, state: str) -> list[float]:
-    """Return when a fleet opens watches, in loop time, 15 to 25 seconds after all its watches were reset."""
+    """Return the loop times at which a fleet opens watches from 15 to 25 s after all of them were reset."""
     discovery = FaultyDiscovery()
     await discovery.set_state("up")
     recorders = [UpdateRecorder(seed) for seed in range(gateways)]
@@ -317,4 +317,4 @@
     opened_at_s = run_virtual(watches_opened_by_fleet(200, state))
     assert len(opened_at_s) / 10.0 <= 200 / 2.5
     opened_in_tenths = Counter(int(10.0 * opened_s) for opened_s in opened_at_s)
-    assert max(opened_in_tenths.values()) <= 200 / 6  # All gateways began at the same time.
+    assert max(opened_in_tenths.values()) <= 200 / 6  # All watches were reset at the same time.
--- a/tests/process/test_process.py
+++ b/tests/process/test_process.py
@@ -34,7 +34,7 @@
 
 
 def run_by_code(monkeypatch: pytest.MonkeyPatch, code: str) -> None:
-    """Start the program by these Python statements in place of the deploy file's command."""
+    """Make ``run_gateway_process`` run these Python statements in place of the deploy file's command."""
     monkeypatch.setattr(gateway_process, "command", lambda: f'exec {sys.executable} -c "$CODE"')
     monkeypatch.setenv("CODE", code)
 
@@ -73,7 +73,7 @@
         server.writers[number].write(encode_reply(b"late"))
         assert await busy.read_reply() == b"late"
         assert await busy.read_reply() is None
-        # The server never replies to this request, so it is rejected long before its deadline.
+        # The server never replies to this request; the shutdown rejects it long before its deadline.
         assert await silent.read_reply() == "-BUSY"
         assert await silent.read_reply() is None
         assert await process.wait() == 0
@@ -183,7 +183,7 @@
             path.unlink()
             if text:
                 path.write_text(text)
-            process.send_signal(signal.SIGHUP)  # A file that can't be read leaves the address unchanged.
+            process.send_signal(signal.SIGHUP)  # A malformed or missing file leaves the address unchanged.
         assert await client.request(encode_call(1)) == b"1"
         for number, generation in ((2, 9), (3, 4)):
             moved = await moved_discoveries.enter_async_context(FakeDiscovery())
--- a/tests/support/fake_discovery.py
+++ b/tests/support/fake_discovery.py
@@ -19,7 +19,7 @@
     Attributes:
         request_targets: Request target of each watch, with path and query.
         watch_writers: Stream of each watch, on which the test writes lines as HTTP chunks.
-        closed_watches: ``CLOSED_BY_GATEWAY`` for each watch that the gateway has closed.
+        closed_watches: ``CLOSED_BY_GATEWAY`` for each watch that has ended, also if the test closed it.
     """
 
     def __init__(self) -> None:
--- a/tests/support/source_index.py
+++ b/tests/support/source_index.py
@@ -30,7 +30,7 @@
 
 
 def defined_classes(*folders: str) -> set[str]:
-    """List the names of the classes and type aliases that modules below these folders define."""
+    """List the capitalized names that modules below these folders define: classes, aliases and constants."""
     names = {name for path in source_files(*folders) for name in defined_names(path)}
     return {name for name in names if "." not in name and name[0].isupper()}
 
