--- a/tests/net/admin/test_detachments.py
+++ b/tests/net/admin/test_detachments.py
@@ -22,7 +22,7 @@
 from tests.support.gateway_node import run_gateway, wait_until
 from tests.support.resp_encoding import encode_call, encode_reply
 
-FAILING_SERVER = "s-fault"  # admin calls for this server fail
+FAILING_SERVER = "s-fault"  # admin calls that name this server fail
 DISCOVERY_UPDATES = [
     lambda harness: harness.update_endpoints(make_endpoint(1), make_endpoint(2)),
     lambda harness: harness.update_endpoints(
@@ -58,7 +58,7 @@
 def test_detached_server_gets_no_request_after_any_discovery_update(harness, update):
     harness.handle(DetachServer(1))
     update(harness)
-    harness.handle(DetachServer(1))  # a second call has no further effect
+    harness.handle(DetachServer(1))  # detaching a server again has no further effect
     assert set(chosen_servers(harness)) == {2}
     harness.handle(AttachServer(1))
     harness.run(20_000.0)
@@ -71,10 +71,11 @@
     harness.run(1000.0)
     harness.handle(AttachServer(1))
     update(harness)
-    assert 0 < chosen_servers(harness, 400).count(1) < 200 * 0.45  # an even share would be 200
+    # An even share would be 200 of the 400 requests.
+    assert 0 < chosen_servers(harness, 400).count(1) < 200 * 0.45
     share = capacity_share(harness, 1)
     assert 0.2 <= share < 0.3
-    # Discovery now reports the start.
+    # Discovery now reports when the server started.
     harness.update_endpoints(make_endpoint(1, started_ms=harness.now_ms - 900.0), kind=UpdateKind.DELTA)
     assert capacity_share(harness, 1) > share
 
@@ -128,7 +129,8 @@
         await first.wait_until(lambda: first.closed_connections == len(first.writers))
         for number in range(200, 230):
             assert await client.request(encode_call(number)) is not None
-        assert len(first.commands) <= command_count + 1  # one attempt may have used an idle connection
+        # One of the two attempts may have been sent on an idle connection.
+        assert len(first.commands) <= command_count + 1
 
 
 async def test_attempt_in_flight_is_completed_by_a_detached_server():
--- a/tests/net/clients/test_arrival.py
+++ b/tests/net/clients/test_arrival.py
@@ -79,10 +79,10 @@
     start_s = clock.monotonic()
     assert stall_detector.earliest_arrival_s() >= start_s
     clock.offset_s = WAIT_S
-    # During the stall, input is handled before timers.
+    # Input may be handled before the timer that calls ``tick``.
     assert start_s - 0.01 <= stall_detector.earliest_arrival_s() <= start_s + 0.01
     stall_detector.tick()
-    # Input that is read after the tick may have arrived as early.
+    # Input that is read after the tick may have arrived when the stall began.
     assert stall_detector.earliest_arrival_s() <= start_s + 0.01
     await wait_until(lambda: stall_detector.earliest_arrival_s() > start_s + WAIT_S)
 
--- a/tests/net/clients/test_client_listener.py
+++ b/tests/net/clients/test_client_listener.py
@@ -173,7 +173,7 @@
 
 
 def disconnect(client, how: str) -> None:
-    """Close the client's connection in order, or by a reset."""
+    """Close the client's connection normally, or with a reset."""
     if how == "reset":
         sock = client.writer.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -377,7 +377,7 @@
         for number in (1, 2):
             assert await with_two_requests.request(encode_call(number)) == b"%016x" % number
         assert await with_one_request.request(encode_call(3)) == b"0000000000000003"
-        await asyncio.sleep(0.01)  # both have been idle for long enough now
+        await asyncio.sleep(0.01)  # both connections have been idle for long enough now
         assert await (await gateway.connect_client()).request(encode_call(4)) == b"0000000000000004"
         assert await with_one_request.read_reply() is None
         assert await with_two_requests.request(encode_call(5)) == b"0000000000000005"
--- a/tests/net/clients/test_large_replies.py
+++ b/tests/net/clients/test_large_replies.py
@@ -263,7 +263,8 @@
         (connection,) = gateway.client_listener.connections
         assert connection.intake.is_read_paused
         assert len(connection.pending_replies) == 1
-        server.writers[0].close()  # the client sees a truncated value, and sends its second command elsewhere
+        # The client sees a truncated value, and may safely send its second command elsewhere.
+        server.writers[0].close()
         await wait_until(lambda: not gateway.client_listener.connections)
         assert len(server.commands) == 1
 
@@ -335,7 +336,8 @@
             for number, words in enumerate(server.commands)
         }
         writers[large].write(VALUE_HEADER + LARGE_VALUE[:200_000] + LARGE_VALUE[200_000:] + VALUE_END)
-        await wait_until(lambda: len(gateway.driver.active_requests) == 1)  # all but the first are answered
+        # All requests but the first are answered.
+        await wait_until(lambda: len(gateway.driver.active_requests) == 1)
         writers[b"%016x" % 1].write(encode_reply(b"first"))
         assert await client.read_reply() == b"first"
         for number in range(2, 151):
--- a/tests/net/discovery/test_discovery_client.py
+++ b/tests/net/discovery/test_discovery_client.py
@@ -50,7 +50,7 @@
         assert update.kind is UpdateKind.CACHED
         assert addresses == {1: ("127.0.0.1", 1), 2: ("127.0.0.1", 2)}
         target, watch = await fake.next_watch()
-        # The client does not resume from the cached list, which may be outdated or that of another agent.
+        # The client does not resume from the cached list, which may be outdated or come from another agent.
         assert target == "/discovery/hosts?watch=1"
         line = encode_update(
             43, make_instance("s-2", 2, "Terminating"), make_instance("s-3", 3, started_ms=9)
@@ -280,7 +280,8 @@
     assert all(0.5 * first_backoff_s <= wait <= first_backoff_s for wait in first_waits)
     # After many rejections, forty gateways open ten to twenty watches per second.
     assert 10.0 <= sum(1.0 / wait for wait in last_waits) <= 20.0
-    assert max(last_waits) <= 4.0  # Each wait is well within the ten seconds that a gateway has.
+    # Each wait is well below the ten seconds within which a gateway must poll discovery.
+    assert max(last_waits) <= 4.0
     assert len({round(sum(waits), 2) for waits in waits_of_gateways}) > 30
 
 
--- a/tests/net/discovery/test_large_endpoint_lists.py
+++ b/tests/net/discovery/test_large_endpoint_lists.py
@@ -1,4 +1,4 @@
-"""Endpoint lists of any length: read in pieces, reduced to a subset, updated at the cost of each change."""
+"""Endpoint lists of any length: read in pieces, reduced to a subset, and updated by deltas."""
 
 import asyncio
 import json
@@ -108,7 +108,7 @@
     assert loop_iterations >= len(snapshot) / watch_connection.PIECE_BYTES
     nearest = nearest_names(subset, instance_names(range(SERVERS)), 2 * SUBSET_SIZE)
     assert set(known) == nearest == set(discovery.registry.rows)
-    # Only the name is kept of an endpoint that is not near: it has no row, no number and no update.
+    # An endpoint that is not among the nearest is kept by name only: it has no row, no number and no update.
     assert len(discovery.registry.other_names) == SERVERS - 2 * SUBSET_SIZE
     assert len(discovery.registry.numbers) == 2 * SUBSET_SIZE
     watch.write(encode_chunk(encode_update(8, *make_instances(SERVERS + 1, *range(0, 200)))))
@@ -309,7 +309,7 @@
 
 
 def ready_servers(harness: EngineHarness) -> set[int]:
-    """Return the numbers of the servers that the gateway works with."""
+    """Return the numbers of the servers that the gateway may send attempts to."""
     return {server.id for server in harness.engine.endpoints.ready}
 
 
@@ -370,7 +370,7 @@
     harness.run(60_000.0)
     for _ in range(100):  # The other servers are healthy.
         harness.finish(harness.send_request(class_name="unsafe"))
-    # These attempts are enough for each server to have had some since the ejection.
+    # So many attempts imply that each server has had some since the ejection.
     harness.engine.mechanisms.clock.attempts += 100 * len(ranked)
     harness.handle(EndpointUpdate(UpdateKind.DELTA, (), 3, SERVERS))
     assert ready_servers(harness) == set(ranked[:SUBSET_SIZE])
--- a/tests/net/discovery/test_registry_state.py
+++ b/tests/net/discovery/test_registry_state.py
@@ -10,8 +10,8 @@
 from quota_gateway.net.discovery.registry_state import RegistryState
 from tests.support.fake_discovery import make_instance
 
-# The state that the version before these modules were split (commit 4431b5a) exported: s-1 and s-2 were
-# listed, s-1 was removed, s-3 was added, and operators detached s-1.
+# A state that commit 4431b5a exported, before these modules were split: s-1 and s-2 were listed, s-1 was
+# removed, s-3 was added, and operators detached s-1.
 RECORDED_STATE = (
     '{"rows": [{"instanceId": "s-2", "hostPort": "127.0.0.1:2", "zone": "a", "machineType": "m"'
     ', "cell": 0, "lifecycle": "Ready", "weight": 1.0, "startedAtMs": 0}, {"instanceId": "s-3",'
--- a/tests/net/discovery/test_start_times.py
+++ b/tests/net/discovery/test_start_times.py
@@ -1,4 +1,4 @@
-"""Start times of servers by the gateway's clock, also if the wall clock was set in the meantime."""
+"""Translation of servers' start times to the gateway's clock, also if the wall clock has been set."""
 
 import time
 
@@ -34,7 +34,8 @@
     clock = SteppedClock(monkeypatch, step_s)
     reported_ms = 1000.0 * (NOW_S - AGE_S + (step_s if is_server_clock_set_too else 0.0))
     age_ms = clock() - StartTimes(clock).by_gateway_clock("s", reported_ms)
-    assert 0.0 <= age_ms <= 1000.0 * AGE_S  # The server may seem younger if either clock is possible.
+    # If the reported time may be by either clock, the server may seem younger than it is.
+    assert 0.0 <= age_ms <= 1000.0 * AGE_S
 
 
 @pytest.mark.parametrize("step_s", [HOUR_S, -HOUR_S])
--- a/tests/net/handover/test_handover_faults.py
+++ b/tests/net/handover/test_handover_faults.py
@@ -1,4 +1,4 @@
-"""Handovers while descriptors are short, during a shutdown, and with a partial command."""
+"""Handovers when descriptors run out, during a shutdown, and with a partial command."""
 
 import asyncio
 import errno
@@ -77,7 +77,7 @@
         shutdown = asyncio.create_task(
             shut_down_gracefully(SETTINGS, old.driver, old.client_listener, old.handover)
         )
-        client = await old.connect_client()  # its partial command delays the shutdown
+        client = await old.connect_client()  # the client's partial command delays the shutdown
         client.send(b"*1\r\n")
         await wait_until(lambda: old.client_listener.listening_socket is None)
         assert old.handover.sender.listener is None
@@ -98,7 +98,7 @@
         # The command is overdue, but its body is still arriving.
         await wait_until(lambda: listener.idle_connections.awaiting_body)
         (connection,) = listener.connections
-        connection.intake.last_received_s -= 1000.0  # as if nothing had arrived for 1000 s
+        connection.intake.last_received_s -= 1000.0  # simulates 1000 s without a received byte
         descriptor, resumed = connection.release()
         assert resumed.command_due_for_s >= 0.3
         assert resumed.silent_s >= 1000.0
--- a/tests/net/handover/test_process_channel.py
+++ b/tests/net/handover/test_process_channel.py
@@ -1,4 +1,4 @@
-"""The channel between two processes when one of them ends, or the system is short of buffers."""
+"""The channel between two processes when one of them ends, or the system runs out of buffers."""
 
 import asyncio
 import errno
@@ -6,7 +6,7 @@
 
 from quota_gateway.net.handover.process_channel import ChannelMessage, ProcessChannel
 
-END_TIMEOUT_S = 5.0  # generous: the channel is due to end in the next turns of the event loop
+END_TIMEOUT_S = 5.0  # generous: the awaited event needs only a few iterations of the event loop
 
 
 async def test_channel_ends_when_the_peer_process_ends_with_messages_unread():
--- a/tests/net/test_descriptors.py
+++ b/tests/net/test_descriptors.py
@@ -145,7 +145,7 @@
 
 
 class ReconnectingClients:
-    """Clients that each connect, send a payload and stay; they reconnect at once when closed."""
+    """Clients that each connect, send a payload and stay connected; they reconnect at once when closed."""
 
     def __init__(self, port: int, payloads: list[bytes]) -> None:
         self.port = port
--- a/tests/net/test_driver.py
+++ b/tests/net/test_driver.py
@@ -201,7 +201,7 @@
 
 
 async def receive(loop, sock):
-    """Receive the next bytes; return none once the connection is closed or reset."""
+    """Receive the next bytes; return ``b""`` once the connection is closed or reset."""
     try:
         return await loop.sock_recv(sock, 1 << 20)
     except OSError:
@@ -305,7 +305,7 @@
         client = await gateway.connect_client()
         client.send(encode_call(1, "buy", body=b"x" * 60_000))
         await wait_until(lambda: bool(gateway.driver.active_requests))
-        # This function holds the command.
+        # The function ``encode`` of a request holds the request's command.
         encode = weakref.ref(next(iter(gateway.driver.active_requests.values())).encode)
         assert await client.read_reply() == b"0000000000000001"
         assert not gateway.driver.active_requests
--- a/tests/net/test_request_guard.py
+++ b/tests/net/test_request_guard.py
@@ -32,7 +32,7 @@
         self.guard = RequestGuard(settings, hosts, lambda: self.now_ms, self.telemetry)
 
     def request(self, request_class, executed=(), in_flight=()):
-        """Make a request whose attempts may have run; each is a number and the zone of its server."""
+        """Make a request with attempts that may have run; each is a number and its server's zone."""
         request = ActiveRequest("r", lambda _: b"", lambda _: None)
         request.request_class = request_class
         for number, zone in (*executed, *in_flight):
@@ -42,7 +42,7 @@
         return request
 
     def attempt(self, request, server=1):
-        """Make the next attempt of a request, to a server."""
+        """Make the next attempt of a request, to be sent to this server."""
         execution = ExecutedAttempt(9, self.now_ms, "a", 0)
         return ActiveAttempt(request, execution, server, DEADLINE_MS)
 
--- a/tests/net/test_transient_faults.py
+++ b/tests/net/test_transient_faults.py
@@ -134,7 +134,7 @@
     first, second = FakeUpstream(), FakeUpstream()
     async with run_gateway(first, second) as gateway:
         client = await gateway.connect_client()
-        for number in range(8):  # Each server has an idle connection after these.
+        for number in range(8):  # Each server has an idle connection after these requests.
             assert await client.request(encode_call(number)) == b"%016x" % number
         for host in gateway.upstream_pool.hosts.values():
             for connection in host.idle:
@@ -195,5 +195,5 @@
     usage = BufferUsage(budget)
     usage.count(300)
     usage.release_all()
-    usage.count(-300)  # A value that is dropped after its client left reports its bytes again.
+    usage.count(-300)  # A value that is dropped after its connection has ended releases its bytes again.
     assert budget.buffered_bytes == 0
--- a/tests/net/upstream/test_upstream_pool.py
+++ b/tests/net/upstream/test_upstream_pool.py
@@ -192,7 +192,7 @@
             await loop.sock_sendall(accepted, encode_reply(b"v"))
             assert await recorder.status() is AttemptStatus.OK
             accepted.close()
-            gateway.upstream_pool.start(1, recorder.attempt())  # The loop has not seen the end yet.
+            gateway.upstream_pool.start(1, recorder.attempt())  # The event loop has not seen the end yet.
             accepted, _ = await loop.sock_accept(listener)
             await loop.sock_recv(accepted, 1000)
             await loop.sock_sendall(accepted, encode_reply(b"v"))
@@ -326,7 +326,7 @@
         monkeypatch.setattr(gateway.driver.attempts, "clock", lambda: original_clock() + clock_ahead_ms)
         client.send(encode_call(1))
         await wait_until(lambda: bool(gateway.upstream_pool.connections))
-        clock_ahead_ms = 1500.0  # The clock shows that connecting took this long.
+        clock_ahead_ms = 1500.0  # By the gateway's clock, connecting took this long.
         may_connect.set()
         assert await client.read_reply() == b"0000000000000001"
         fields = dict(part.split(b"=") for part in server.commands[0][3].split(b","))
--- a/tests/process/test_recorded_handover.py
+++ b/tests/process/test_recorded_handover.py
@@ -1,8 +1,8 @@
-"""State recorded from processes of earlier commits: the current code restores it and writes the same.
+"""State recorded from processes of earlier commits: the current code restores it and exports the same.
 
 ``data/handover_COMMIT.json`` has the headers that the commit's code wrote on the channel, the body of its
-offer, and the body that the same code wrote after it had restored the first body 250 ms later. The offer of
-4431b5a has no clock.
+offer, and the body of a second offer, which the same code wrote after it had restored the first one 250 ms
+later. The offer of 4431b5a has no clock offset.
 """
 
 import json
--- a/tests/process/test_restarts.py
+++ b/tests/process/test_restarts.py
@@ -46,7 +46,7 @@
 
 
 async def restart(folder, fault: str, known: int) -> None:
-    """Start a process while discovery is faulty, let discovery recover, and wait for its update to apply."""
+    """Start a process while discovery is faulty, let discovery recover, and wait until its update applies."""
     folder.mkdir()
     async with (
         FakeUpstream(lambda _: encode_reply(b"old")) as old,
--- a/tests/process/test_upgrade.py
+++ b/tests/process/test_upgrade.py
@@ -261,7 +261,7 @@
         peer = await connect(host.port)
         other = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         other.connect(str(host.rendezvous))
-        other.send(b'.{"kind":"hello","version":1}\n')  # The peer never sends that it serves.
+        other.send(b'.{"kind":"hello","version":1}\n')  # The peer never reports that it is serving.
         assert await peer.request(encode_call(1)) == b"0000000000000001"
         await wait_ready(admin_port)
         other.close()
