--- a/tests/net/clients/test_client_disconnect.py
+++ b/tests/net/clients/test_client_disconnect.py
@@ -77,7 +77,7 @@
         """Return the ids of the requests that servers received, of ``numbers`` or of all of this client's."""
         received_ids = [words[2] for server in self.servers for words in server.commands]
         expected_ids = [request_id(number) for number in numbers or (FIRST, SECOND, *range(10, 30))]
-        return sorted(number for number in received_ids if number in expected_ids)
+        return sorted(received_id for received_id in received_ids if received_id in expected_ids)
 
 
 def fire_timer(gateway, timer_type: type) -> None:
@@ -251,8 +251,8 @@
     unanswered_ids = set()
 
     def reply(words):
-        long = b"v" * 60_000 if int(words[2], 16) in LONG_REPLIES else words[2]
-        return None if words[2] in unanswered_ids else encode_reply(long)
+        value = b"v" * 60_000 if int(words[2], 16) in LONG_REPLIES else words[2]
+        return None if words[2] in unanswered_ids else encode_reply(value)
 
     servers = [FakeUpstream(reply) for _ in range(3)]
     async with run_gateway(*servers, classes=CLASSES, plans=PLANS, limits=LIMITS) as gateway:
