--- a/tests/net/discovery/test_large_endpoint_lists.py
+++ b/tests/net/discovery/test_large_endpoint_lists.py
@@ -34,7 +34,7 @@
 
 GATEWAYS = 3800
 SERVERS = 38_000
-SUBSET_SIZE = 256  # the size of each gateway's subset in a fleet of ``GATEWAYS``
+SUBSET_SIZE = 256  # the size of each gateway's subset if ``GATEWAYS`` gateways share ``SERVERS`` servers
 SMALL_SUBSET = Subset(380, 17, min_size=16)  # the subset in a fleet of many gateways and few servers
 
 
--- a/tests/net/test_request_guard.py
+++ b/tests/net/test_request_guard.py
@@ -12,7 +12,7 @@
 from quota_gateway.telemetry import Invariant, Metric, Telemetry
 from tests.support.gateway_node import HEDGING_LIMITS, SETTINGS
 
-READ, POST, BUY = SETTINGS.classes  # Idempotent, keyed within a zone for 6 s, non-idempotent.
+READ, POST, BUY = SETTINGS.classes  # Classes: idempotent, keyed within a zone for 6 s, non-idempotent.
 DEADLINE_MS = 100_000.0
 
 
--- a/tests/process/test_recorded_conversation.py
+++ b/tests/process/test_recorded_conversation.py
@@ -29,7 +29,7 @@
 
 
 class PreviousProcess:
-    """Replays the recorded process for a process that takes over."""
+    """Replays the messages of the recorded process to a process that takes over."""
 
     def __init__(self, path: Path) -> None:
         self.listening_socket = socket.create_server(("127.0.0.1", 0))
--- a/tests/support/gateway_node.py
+++ b/tests/support/gateway_node.py
@@ -32,8 +32,8 @@
 from tests.support.fake_client import FakeClient
 from tests.support.fake_upstream import FakeUpstream
 
-MAX_BUFFERED_BYTES = 32 * 1024 * 1024  # Far more than tests send, except tests of this limit.
-SLOW_READER_BUFFER_BYTES = 262_144  # Kernel buffers of each socket, small so that they soon fill.
+MAX_BUFFERED_BYTES = 32 * 1024 * 1024  # Far more than tests send; tests of this limit lower it.
+SLOW_READER_BUFFER_BYTES = 262_144  # Size of each kernel buffer, small so that it soon fills.
 SETTINGS = Settings(
     gateways=2,
     index=0,
@@ -57,7 +57,7 @@
     usage_period_ms=1000.0,
     tick_ms=2.0,
 )
-HEDGING_LIMITS = replace(SETTINGS.limits, may_duplicate=True)  # For tests with two attempts in flight.
+HEDGING_LIMITS = replace(SETTINGS.limits, may_duplicate=True)  # Limits for two attempts in flight.
 
 
 async def wait_until(condition: Callable[[], object]) -> None:
