--- a/quota_gateway/config.py
+++ b/quota_gateway/config.py
@@ -19,7 +19,8 @@
 
 DOCUMENT_PATH = "config"  # path of the configuration file's top-level object in error messages
 MAX_PORT = (1 << 16) - 1
-PORT_DIGITS = re.compile("0*[0-9]{1,5}")  # a longer number is not a port, and slow to convert
+# Besides leading zeros, a port has at most five digits. Longer numbers are slow to convert.
+PORT_DIGITS = re.compile("0*[0-9]{1,5}")
 SEED_BASE = 16  # the seed is a hexadecimal number
 # Attempts to read the file at the start, as it may be half-written. A reload retries without blocking the
 # event loop.
--- a/quota_gateway/errors.py
+++ b/quota_gateway/errors.py
@@ -1,6 +1,6 @@
 """The common errors of this package. Each message says what is wrong, and with which field and value."""
 
-MAX_SHOWN_CHARACTERS = 100  # a longer value is cut, so that the error message stays a readable line
+MAX_SHOWN_CHARACTERS = 100  # long values are cut, so that the error message stays a readable line
 
 
 class QuotaGatewayError(Exception):
--- a/quota_gateway/log_rate_limiter.py
+++ b/quota_gateway/log_rate_limiter.py
@@ -19,7 +19,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self._period_end_s = -inf  # monotonic time, as the wall clock may be set
+        self._period_end_s = -inf  # the end of the period is a monotonic time, as the wall clock may be set
         self._passed_lines = 0
         self._suppressed_lines = 0
 
--- a/quota_gateway/net/active_request.py
+++ b/quota_gateway/net/active_request.py
@@ -88,7 +88,7 @@
         self.on_answer = on_answer
         self.on_body_started = on_body_started
         self.is_client_waiting = is_client_waiting
-        self.body_writer: BodyWriter | None = None  # set once a large value has begun
+        self.body_writer: BodyWriter | None = None  # the writer of a large value; None until the value begins
         self.deadline_ms = 0.0
         self.attempt_count = 0  # attempts created so far, and the number of the next one
         self.attempts: dict[int, Attempt] = {}  # attempts in flight by number
@@ -126,8 +126,8 @@
         self.execution = execution
         self.server = server
         self.deadline_ms = deadline_ms
-        self.encoded_ms = execution.started_ms  # when the timeout in the command was computed
-        self.first_byte_latency_ms = inf  # from the start to the first bytes of a large value
+        self.encoded_ms = execution.started_ms  # time at which the timeout in the command was computed
+        self.first_byte_latency_ms = inf  # time from the attempt's start to the first bytes of a large value
         self.attempt: Attempt | None = None
 
     @property
--- a/quota_gateway/net/admin/connection.py
+++ b/quota_gateway/net/admin/connection.py
@@ -12,7 +12,7 @@
 
 log = logging.getLogger(__name__)
 
-MAX_REQUEST_BYTES = 8192  # head and body of a call together
+MAX_REQUEST_BYTES = 8192  # maximum size of a call's head and body together
 
 
 class ConnectionOwner(Protocol):
--- a/quota_gateway/net/admin/server.py
+++ b/quota_gateway/net/admin/server.py
@@ -20,8 +20,9 @@
 
 log = logging.getLogger(__name__)
 
-MAX_CONNECTIONS = 8  # connections open at the same time; a new one evicts the oldest
-REQUEST_TIMEOUT_S = 2.0  # from connect to the end of the call; operators wait 1 s for the response
+MAX_CONNECTIONS = 8  # maximum number of open admin connections; a new one evicts the oldest
+# Time limit from connecting to the end of the call; operators wait 1 s for the response.
+REQUEST_TIMEOUT_S = 2.0
 LISTEN_RETRY_S = 0.5  # time between two calls of ``listen`` while the address is not available
 LISTEN_BACKLOG = 64  # connections that the kernel queues until they are accepted
 
@@ -39,7 +40,8 @@
         self, is_ready: Callable[[], bool], set_detached: SetDetached, metrics: Metrics | None = None
     ) -> None:
         self.calls = AdminCalls(is_ready, set_detached, metrics or Metrics())
-        self.connections: OrderedDict[AdminConnection, None] = OrderedDict()  # from the oldest to the newest
+        # The open connections, from the oldest to the newest.
+        self.connections: OrderedDict[AdminConnection, None] = OrderedDict()
         self.acceptor = Acceptor(self)
         self._admission_tasks: set[asyncio.Task[None]] = set()
         self._listen_retry: asyncio.TimerHandle | None = None
--- a/quota_gateway/net/clients/arrival.py
+++ b/quota_gateway/net/clients/arrival.py
@@ -13,9 +13,9 @@
 
 from quota_gateway.net.clock import MS_PER_S
 
-NEGLIGIBLE_WAIT_S = 0.03  # shorter waits are ignored, as they are far below the permitted error of a deadline
-BACKLOG_READ_S = 0.05  # by this time after reading resumes, all bytes that waited have been read
-MIN_POLL_DELAY_S = 0.001  # a timer with this delay fires only after the loop has polled for input
+NEGLIGIBLE_WAIT_S = 0.03  # short waits are ignored, as they are far below the permitted error of a deadline
+BACKLOG_READ_S = 0.05  # time after reading resumes by which all bytes that waited have been read
+MIN_POLL_DELAY_S = 0.001  # delay of a timer that fires only after the loop has polled for input
 
 # In struct tcp_info of linux/tcp.h, tcpi_last_data_recv is in milliseconds. It follows eight bytes of flags
 # and eleven numbers of four bytes each.
--- a/quota_gateway/net/clients/buffer_budget.py
+++ b/quota_gateway/net/clients/buffer_budget.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-READ_AHEAD_SHARE = 0.5  # share of the budget; above it large values are read only as fast as clients read
+# Share of the buffer budget above which large values are read only as fast as clients read.
+READ_AHEAD_SHARE = 0.5
 
 
 class BufferBudget:
--- a/quota_gateway/net/clients/command_intake.py
+++ b/quota_gateway/net/clients/command_intake.py
@@ -69,7 +69,7 @@
         self.request_count = request_count
         self.last_received_s = services.loop.time()
         self.is_read_paused = False
-        self.is_read_scheduled = False  # whether reading goes on after other connections had their turn
+        self.is_read_scheduled = False  # true if reading goes on after other connections had their turn
         self.arrivals = ArrivalTracker(waiting_since_s)
         self._is_reading = False
         self._consecutive_errors = 0
--- a/quota_gateway/net/clients/commands.py
+++ b/quota_gateway/net/clients/commands.py
@@ -13,8 +13,9 @@
 CALL_POST = b"CALL.POST"
 PING = b"PING"
 
-GET_ARGUMENT_COUNT = 4  # name, customer, request id, list of fields
-POST_ARGUMENT_COUNT = 5  # name, customer, request id, list of fields, body
+GET_ARGUMENT_COUNT = 4  # a GET consists of its name, the customer, the request id and the list of fields
+# A POST consists of its name, the customer, the request id, the list of fields and the body.
+POST_ARGUMENT_COUNT = 5
 CLIENT_MARGIN_MS = 10.0  # part of a client's timeout that is reserved for the network and event loop delays
 MAX_CUSTOMER_NUMBER = (1 << 33) - 1
 CUSTOMER_PATTERN = re.compile(rb"[0-9a-fA-F]{16}")
--- a/quota_gateway/net/clients/connection.py
+++ b/quota_gateway/net/clients/connection.py
@@ -140,7 +140,8 @@
         if not self._has_disconnected():
             return True
         self.lifecycle.finish()
-        self._owner.loop.call_soon(self._disconnect)  # deferred: the driver may be carrying out actions
+        # The disconnect is deferred, as the driver may be carrying out actions.
+        self._owner.loop.call_soon(self._disconnect)
         return False
 
     def is_unread_with_pending_replies(self) -> bool:
--- a/quota_gateway/net/clients/connection_state.py
+++ b/quota_gateway/net/clients/connection_state.py
@@ -8,11 +8,12 @@
 class ConnectionState(Enum):
     """The state of a client connection, from accepting it to its end."""
 
-    CONNECTING = auto()  # accepted, not yet served by the event loop
+    CONNECTING = auto()  # the connection is accepted, but not yet served by the event loop
     OPEN = auto()  # commands are taken
-    FINISHING = auto()  # no more commands are taken; closes once all replies are written
-    REJECTED = auto()  # no more commands are taken after malformed or missing input; lingers before it closes
-    CLOSING = auto()  # closed by the gateway; written replies may still be sent
+    FINISHING = auto()  # no more commands are taken; the connection closes once all replies are written
+    # No more commands are taken after malformed or missing input; the connection lingers before it closes.
+    REJECTED = auto()
+    CLOSING = auto()  # the gateway has closed the connection; written replies may still be sent
     CLOSED = auto()  # the event loop has closed the socket
 
 
--- a/quota_gateway/net/clients/listener.py
+++ b/quota_gateway/net/clients/listener.py
@@ -22,7 +22,7 @@
 
 __all__ = ["ClientConnection", "ClientListener", "ResumedConnection"]
 
-SWEEP_INTERVAL_S = 0.1  # much shorter than any timeout that the sweep enforces
+SWEEP_INTERVAL_S = 0.1  # the sweep interval is much shorter than any timeout that the sweep enforces
 LISTEN_BACKLOG = 1024  # connections that wait in the kernel while the capacity is used up
 
 
--- a/quota_gateway/net/discovery/snapshot_document.py
+++ b/quota_gateway/net/discovery/snapshot_document.py
@@ -47,7 +47,7 @@
         self._depth = OUTSIDE_DEPTH
         self._bytes_since_row = 0
         self._has_ended = False
-        self._is_line_blank = True  # whether the current line is blank so far
+        self._is_line_blank = True  # true while the current line is blank
 
     def feed(self, data: bytes) -> bytes | None:
         """Parse the next bytes.
--- a/quota_gateway/net/discovery/watch_connection.py
+++ b/quota_gateway/net/discovery/watch_connection.py
@@ -25,7 +25,7 @@
 
 log = logging.getLogger(__name__)
 
-HEARTBEAT_TIMEOUT_S = 4.2  # Discovery sends a heartbeat every 2 s, so that two are missing by then.
+HEARTBEAT_TIMEOUT_S = 4.2  # Discovery sends a heartbeat every 2 s: two are missing at the timeout.
 FIRST_LINE_TIMEOUT_S = 2.5  # After two silent watches, a third one still opens before draining ends.
 STREAMING_THRESHOLD_BYTES = 64 * 1024  # Documents above the threshold are read in pieces.
 PIECE_BYTES = 16 * 1024  # the bytes of a long document that are read in one iteration of the loop
--- a/quota_gateway/net/graceful_shutdown.py
+++ b/quota_gateway/net/graceful_shutdown.py
@@ -21,7 +21,7 @@
 # SIGKILL follows SIGTERM after the longest deadline of a class (at most MAX_DEADLINE_S) plus KILL_GRACE_S.
 MAX_DEADLINE_S = 3.0
 KILL_GRACE_S = 0.7
-ANSWERED_BEFORE_KILL_S = 0.3  # all pending requests are answered this long before SIGKILL
+ANSWERED_BEFORE_KILL_S = 0.3  # time before SIGKILL at which all pending requests are answered
 # Part of ANSWERED_BEFORE_KILL_S that is left for replies to clients that still send or read slowly.
 FLUSH_TIMEOUT_S = 0.2
 SHUTDOWN_CHECK_S = 0.01  # interval between checks for requests in progress
--- a/quota_gateway/net/handover/connection_handover.py
+++ b/quota_gateway/net/handover/connection_handover.py
@@ -14,7 +14,7 @@
 
 log = logging.getLogger(__name__)
 
-# A queued packet may hold a descriptor. No connection is handed over while this many packets are queued.
+# A queued packet may hold a descriptor. No connection is handed over at the maximum of queued packets.
 MAX_QUEUED_PACKETS = 8
 HANDOVER_INTERVAL_S = 0.005  # time between two passes over the connections
 
--- a/quota_gateway/net/handover/message_json.py
+++ b/quota_gateway/net/handover/message_json.py
@@ -133,7 +133,8 @@
 
 MESSAGE_FORMATS: dict[type[PeerMessage], MessageFormat] = {
     Hello: MessageFormat(MessageKind.HELLO, names_version=True),
-    HandoverOffer: MessageFormat(MessageKind.OFFER, names_version=True),  # the fields are in the body
+    # The fields of an offer are in the message body.
+    HandoverOffer: MessageFormat(MessageKind.OFFER, names_version=True),
     Serving: MessageFormat(MessageKind.SERVING),
     HandedOverConnection: MessageFormat(
         MessageKind.CONNECTION,
@@ -180,7 +181,8 @@
 }
 OFFER_STATE = JsonField("state", "state", dict)
 OFFER_REGISTRY = JsonField("registry", "roster", dict)
-OFFER_CLOCK_OFFSET_MS = JsonField("clock_offset_ms", "clock", _finite)  # optional: not every version sends it
+# The clock offset is optional, as not every version sends it.
+OFFER_CLOCK_OFFSET_MS = JsonField("clock_offset_ms", "clock", _finite)
 
 
 def to_header(message: PeerMessage) -> Json:
--- a/quota_gateway/net/handover/packets.py
+++ b/quota_gateway/net/handover/packets.py
@@ -16,7 +16,7 @@
 
 PIECE_BYTES = 60 * 1024  # message bytes per packet; the kernel's socket buffer holds several packets
 MAX_PACKET_BYTES = PIECE_BYTES + 1
-MAX_MESSAGE_BYTES = 32 * 1024 * 1024  # a longer message is rejected, as it may never end
+MAX_MESSAGE_BYTES = 32 * 1024 * 1024  # a message above the maximum length is rejected, as it may never end
 MORE_FOLLOWS = b"+"  # first byte of all packets of a message except the last
 LAST_PACKET = b"."  # first byte of the last packet of a message
 
--- a/quota_gateway/net/handover/process_channel.py
+++ b/quota_gateway/net/handover/process_channel.py
@@ -27,7 +27,8 @@
 log = logging.getLogger(__name__)
 
 WRITE_RETRY_S = 0.005  # delay after a write that failed for lack of memory or descriptors
-MAX_DESCRIPTORS_PER_PACKET = 2  # one is expected; a second one is received so that it can be closed
+# One descriptor per packet is expected; a second one is received so that it can be closed.
+MAX_DESCRIPTORS_PER_PACKET = 2
 
 MessageReceiver = Callable[[ReceivedMessage], None]
 
--- a/quota_gateway/net/handover/receiver.py
+++ b/quota_gateway/net/handover/receiver.py
@@ -26,7 +26,7 @@
 log = logging.getLogger(__name__)
 
 REQUEST_TIMEOUT_S = 1.0  # time limit for the retries of failed requests for the state
-REQUEST_RETRY_S = 0.02  # delay between two requests; a shortage may end at any moment
+REQUEST_RETRY_S = 0.02  # delay between two requests for the state; a shortage may end at any moment
 OFFER_TIMEOUT_S = 1.5  # longest wait for the state after Hello; the process then starts without it
 
 
--- a/quota_gateway/net/handover/sender.py
+++ b/quota_gateway/net/handover/sender.py
@@ -62,7 +62,8 @@
         self._serving_timeout: asyncio.TimerHandle | None = None
         self._listen_retry: asyncio.TimerHandle | None = None
         self._is_refusing = False
-        self._connection_handover: ConnectionHandover | None = None  # set while a next process takes over
+        # The handover of connections; None unless a next process takes over.
+        self._connection_handover: ConnectionHandover | None = None
 
     def _enter(self, state: SenderState) -> None:
         self.state = state
--- a/quota_gateway/net/request_guard.py
+++ b/quota_gateway/net/request_guard.py
@@ -15,8 +15,9 @@
 from quota_gateway.telemetry import Invariant, Metric, Telemetry
 
 MAX_DEADLINE_EXCESS_MS = 150.0  # limit on how far a command's timeout may exceed the client's remaining one
-# A command contains the timeout that remained when it was encoded. If its last bytes are not sent by this
-# age, its attempt ends instead. The margin to the limit above is for a process that stalls while it writes.
+# A command contains the timeout that remained when it was encoded. If its last bytes are not sent by the
+# maximum age, its attempt ends instead. The margin to MAX_DEADLINE_EXCESS_MS is for a process that stalls
+# while it writes.
 MAX_ENCODED_AGE_MS = 100.0
 
 
--- a/quota_gateway/net/resp.py
+++ b/quota_gateway/net/resp.py
@@ -13,15 +13,17 @@
 
 from quota_gateway.errors import ProtocolError
 
-MAX_BODY_BYTES = 4 * 1024 * 1024  # body of a command; the protocol says 64 KiB, but longer bodies occur
-# Value of a reply; a long value is streamed, so that it takes no more memory than a short one.
+# Longest body of a command; the protocol says 64 KiB, but longer bodies occur.
+MAX_BODY_BYTES = 4 * 1024 * 1024
+# Longest value of a reply. A long value is streamed, so that it takes no more memory than a short one.
 MAX_VALUE_BYTES = 9_999_999
-STREAMED_MIN_BYTES = 64 * 1024  # longer values are streamed
-MAX_HEADER_BYTES = 16  # a type byte, up to seven digits, CR LF, and a margin
-MAX_ERROR_LINE_BYTES = 512  # room for some words, a usage report and a load report
+STREAMED_MIN_BYTES = 64 * 1024  # values above this length are streamed
+MAX_HEADER_BYTES = 16  # a header has a type byte, up to seven digits, and CR LF; the rest is a margin
+MAX_ERROR_LINE_BYTES = 512  # an error line may hold some words, a usage report and a load report
 MAX_REPORT_BYTES = 256  # limit for the usage report, and for the load report
 HEAD_ARGUMENT_COUNT = 4  # arguments of a command before its body
-COMMAND_ARGUMENT_MAX_BYTES = (64, 64, 128, 512, MAX_BODY_BYTES)  # name, customer, id, list of fields, body
+# Maximum lengths of a command's name, customer, id, list of fields and body.
+COMMAND_ARGUMENT_MAX_BYTES = (64, 64, 128, 512, MAX_BODY_BYTES)
 ARRAY_HEADER = re.compile(rb"\*([0-9]{1,7})\r\n")
 BULK_HEADER = re.compile(rb"\$([0-9]{1,7}|-1)\r\n")
 
@@ -53,7 +55,8 @@
     ) -> None:
         self.buffer = bytearray()
         self.streamed_bytes_left: int | None = None
-        self._length_bytes: int | None = None  # length by the element's header; negative for null
+        # Length of the current element by its header; negative for null.
+        self._length_bytes: int | None = None
         self._elements: list[bytes | None] = []  # the elements that are complete
         self._max_lengths_bytes = max_lengths_bytes
         self._min_count = min_count
@@ -73,7 +76,7 @@
         del self.buffer[: len(taken)]
         self.streamed_bytes_left -= len(taken)
         if taken and not self.streamed_bytes_left:
-            self._length_bytes = 0  # only its CR LF is left to be parsed
+            self._length_bytes = 0  # only the CR LF after the streamed element is left to be parsed
         return taken
 
     def next_array(self) -> list[bytes | None] | None:
@@ -181,7 +184,8 @@
         return len(self._elements) == HEAD_ARGUMENT_COUNT and self._length_bytes is not None
 
 
-RawReply = list[bytes | None] | str  # value, usage report, load report; or an error line without its dash
+# A reply is a value, a usage report and a load report, or an error line without its dash.
+RawReply = list[bytes | None] | str
 
 
 class ReplyReader(BulkArrayReader):
--- a/quota_gateway/net/timer_queue.py
+++ b/quota_gateway/net/timer_queue.py
@@ -13,7 +13,7 @@
 
 Argument = TypeVar("Argument")
 
-MIN_LOOP_DELAY_MS = 1  # the event loop rounds a shorter delay down to zero
+MIN_LOOP_DELAY_MS = 1  # the event loop rounds delays of less than 1 ms down to zero
 
 # Due time in milliseconds, sequence number, callback and its argument. A plain tuple compares fastest.
 # Any stands for the argument, whose type depends on the callback.
--- a/quota_gateway/net/upstream/command_writer.py
+++ b/quota_gateway/net/upstream/command_writer.py
@@ -8,9 +8,9 @@
 from quota_gateway.model import AttemptStatus
 from quota_gateway.net.upstream.attempt import Attempt
 
-# A command up to this length is written whole: the kernel takes it at once, as nothing else is queued.
+# Longest command that is written whole: the kernel takes it at once, as nothing else is queued.
 MAX_WHOLE_WRITE_BYTES = 16 * 1024
-WITHHELD_BYTES = 2  # The final CR LF of a longer command is withheld; a server runs no command without it.
+WITHHELD_BYTES = 2  # The final CR LF of a long command is withheld; a server runs no command without it.
 
 
 class CommandWriter:
--- a/quota_gateway/net/upstream/connection.py
+++ b/quota_gateway/net/upstream/connection.py
@@ -134,7 +134,7 @@
             payload = attempt.encode_again() if attempt.encode_again else attempt.payload
             refusal = attempt.refusal_to_send()
             if refusal:
-                # For instance, the client has left, and its disconnect is not handled yet.
+                # The client may have left, for instance, and its disconnect is not handled yet.
                 self.close(refusal)
             else:
                 self._write(attempt, payload)
--- a/quota_gateway/net/upstream/pool.py
+++ b/quota_gateway/net/upstream/pool.py
@@ -20,9 +20,9 @@
 
 __all__ = ["Attempt", "UpstreamConnection", "UpstreamPool", "UpstreamReply"]
 
-# Idle connections are closed at this share of the servers' idle limit, well before servers close them.
+# Share of the servers' idle limit at which idle connections are closed, well before servers close them.
 IDLE_LIMIT_SHARE = 0.4
-# A connection is not reused sooner after a reply: surplus bytes right after the reply have arrived by then.
+# Delay before a connection is reused: surplus bytes right after a reply have arrived by then.
 REUSE_DELAY_S = 0.012
 SWEEP_INTERVAL_S = 1.0  # The interval between sweeps is short compared to the idle and the stall limit.
 STALL_TIMEOUT_S = 10.0  # the longest time without a byte of a large value that has begun
--- a/quota_gateway/policy/concurrency.py
+++ b/quota_gateway/policy/concurrency.py
@@ -6,10 +6,11 @@
 from quota_gateway.policy.latency import FAST_RESPONSE_OBJECTIVE_SHARE
 
 INITIAL_CONCURRENCY_PER_SERVER = 6.0  # attempts in flight at one server, summed over all gateways
-LIMIT_INCREASE_PER_FAST_RESPONSE = 0.035  # attempts
-LIMIT_DECREASE_PER_SLOW_RESPONSE = 0.3  # attempts; a limit below 1 is lowered by this share of it
+LIMIT_INCREASE_PER_FAST_RESPONSE = 0.035  # increase of the limit after a fast response, in attempts
+# Decrease of the limit after a slow response, in attempts; for a limit below 1, as a share of the limit.
+LIMIT_DECREASE_PER_SLOW_RESPONSE = 0.3
 MIN_LIMIT_ATTEMPTS = 0.3  # the limit stays above 0, as only responses can raise it again
-SLOW_RESPONSE_OBJECTIVE_SHARE = 0.5  # share of the latency objective; slower responses lower the limit
+SLOW_RESPONSE_OBJECTIVE_SHARE = 0.5  # share of the latency objective above which a response lowers the limit
 # Attempts counted besides those in flight: the one that has just ended, and one that would start next.
 LIMIT_USED_UP_MARGIN_ATTEMPTS = 2
 
--- a/quota_gateway/policy/customer_table.py
+++ b/quota_gateway/policy/customer_table.py
@@ -7,7 +7,8 @@
 from quota_gateway.policy.hard_ceiling import HardCeiling
 from quota_gateway.policy.quota import LocalQuota
 
-MAX_EVICTIONS_PER_REQUEST = 2  # more than the one customer that a request may add, so the table can shrink
+# A request may evict more than the one customer that it may add, so the table can shrink.
+MAX_EVICTIONS_PER_REQUEST = 2
 
 
 class CustomerTable:
@@ -56,7 +57,7 @@
             is_ceiling_full = self._ceiling.level(customer, plan) >= initial_level
             is_like_new = is_drained and is_ceiling_full and not customer.total_in_flight()
             if is_recent and is_like_new:
-                return  # the customers after it were used even more recently
+                return  # the next customers in the table were used even more recently
             del self.by_key[key]
             if is_recent or not is_like_new:
                 self.by_key[key] = customer
--- a/quota_gateway/policy/decision_log.py
+++ b/quota_gateway/policy/decision_log.py
@@ -2,7 +2,7 @@
 
 from quota_gateway.model.actions import Action, LogMessage
 
-MAX_REMEMBERED_LINES = 100  # bounds the memory for lines that are logged once
+MAX_REMEMBERED_LINES = 100  # the maximum bounds the memory for lines that are logged once
 
 
 class DecisionLog:
--- a/quota_gateway/policy/endpoints.py
+++ b/quota_gateway/policy/endpoints.py
@@ -34,7 +34,8 @@
 
     def __init__(self, outliers: OutlierDetector) -> None:
         self._outliers = outliers
-        self._sorted_by_distance: Endpoints = []  # empty after a membership change until the next selection
+        # The list is empty after a membership change until the next selection.
+        self._sorted_by_distance: Endpoints = []
         self._replaced_ids: set[int] = set()
 
     def on_membership_change(self) -> None:
--- a/quota_gateway/policy/latency.py
+++ b/quota_gateway/policy/latency.py
@@ -12,7 +12,7 @@
 RELATIVE_LATENCY_SAMPLE_WEIGHT = 0.15  # weight of one response in an endpoint's relative latency
 # Time in flight after which an attempt is presumed lost, in mean latencies of its request's class and size.
 ATTEMPT_LOST_AFTER_MEAN_LATENCIES = 8.0
-# A response below this share of the latency objective is fast, and may raise the concurrency limit.
+# Share of the latency objective below which a response is fast, and may raise the concurrency limit.
 FAST_RESPONSE_OBJECTIVE_SHARE = 0.3
 AVERAGE_RELATIVE_LATENCY = 1.0  # relative latency of an endpoint that is as fast as the mean
 
--- a/quota_gateway/policy/leaky_bucket.py
+++ b/quota_gateway/policy/leaky_bucket.py
@@ -10,13 +10,13 @@
 from quota_gateway.policy.clock import DecayClock
 from quota_gateway.policy.quota import MILLIUNITS_PER_UNIT, LocalQuota
 
-# A request is delayed if the excess is above one burst, and rejected if it is above this many bursts.
+# Excess, in bursts, above which a request is rejected. A request is delayed if the excess is above one burst.
 MAX_EXCESS_BURSTS = 2.0
 # Limit that the increase of the burst approaches as the priority weight grows, as a share of the burst.
 MAX_PRIORITY_BURST_INCREASE_SHARE = 0.25
 # Longest delay for the lowest priority weight, as a share of the shortest latency objective.
 LOWEST_PRIORITY_MAX_DELAY_OBJECTIVE_SHARE = 0.1
-# This many requests may arrive together by chance. Full headroom adds as many bursts.
+# Number of requests that may arrive together by chance. Full headroom adds as many bursts.
 HEADROOM_BURST_REQUESTS = 2.0
 
 
@@ -97,7 +97,8 @@
 
     def _priority_factor(self, request_class: RequestClass) -> float:
         """Return the factor on the burst by priority weight: 1 for the lowest weight or if all are equal."""
-        if not self._lowest_weight:  # None: all weights are equal; 0: no ratio is defined
+        # The lowest weight is None if all weights are equal; if it is 0, no ratio is defined.
+        if not self._lowest_weight:
             return 1.0
         relative_weight = self._lowest_weight / request_class.priority_weight
         return 1.0 + MAX_PRIORITY_BURST_INCREASE_SHARE * (1.0 - relative_weight)
--- a/quota_gateway/policy/load_balancing.py
+++ b/quota_gateway/policy/load_balancing.py
@@ -20,7 +20,7 @@
 SAMPLED_ENDPOINTS = 10  # endpoints compared for each attempt; the power of two choices compares two
 MAX_FAST_ENDPOINTS_PER_CLASS = 10
 MAX_ENDPOINTS_WITHOUT_SAMPLING = SAMPLED_ENDPOINTS + MAX_FAST_ENDPOINTS_PER_CLASS
-# The warming endpoint that slow start picks is chosen if it is in this cheapest share of the candidates.
+# Cheapest share of the candidates; the warming endpoint that slow start picks is chosen if it is among them.
 SLOW_START_MAX_RANK_SHARE = 0.75
 QUEUE_LENGTH_FIELD = "queue"  # queue length in a load report, see Settings.load_report_fields
 
--- a/quota_gateway/policy/outliers.py
+++ b/quota_gateway/policy/outliers.py
@@ -9,9 +9,9 @@
 
 # Weight of the failure rate over all endpoints in the rate expected at one endpoint.
 PRIOR_WEIGHT_OUTCOMES = 1.0
-# Failures per outcome, from 0 to 1; an endpoint with this rate or a higher one is an outlier.
+# Lowest failure rate of an outlier, in failures per outcome, from 0 to 1.
 OUTLIER_FAILURE_RATE = 0.5
-SLOW_ATTEMPT_REASON = "silent"  # logged for a slow attempt in flight, which has no status yet
+SLOW_ATTEMPT_REASON = "silent"  # reason logged for a slow attempt in flight, which has no status yet
 
 #: The key under which a failed attempt is counted, by its status: the narrowest key that the status gives
 #: evidence for. A status that is not listed is no evidence about the endpoint. A successful response is
--- a/quota_gateway/policy/quota.py
+++ b/quota_gateway/policy/quota.py
@@ -8,7 +8,8 @@
 # Increase of the share at full headroom, relative to the even share. It is small, as all gateways act on the
 # same late report.
 SHARE_INCREASE_PER_HEADROOM = 0.1
-REPORT_LIFETIME_USAGE_PERIODS = 4.0  # for the period of a report, its lateness and a gap in traffic
+# The lifetime of a report covers its period, its lateness and a gap in traffic.
+REPORT_LIFETIME_USAGE_PERIODS = 4.0
 
 
 class LocalQuota:
--- a/quota_gateway/policy/subset.py
+++ b/quota_gateway/policy/subset.py
@@ -11,9 +11,12 @@
 
 from quota_gateway.policy.concurrency import INITIAL_CONCURRENCY_PER_SERVER
 
-SERVERS_PER_CONCURRENT_ATTEMPT = 4.0  # servers per attempt in the even share of the initial concurrency
-MIN_SUBSET_SIZE = 256  # servers; a smaller subset saves little, and the loss of a region could leave too few
-RETAINED_NAMES_PER_SUBSET_SERVER = 2  # covers the subset and as many servers on standby
+# Servers in the subset per attempt in the gateway's even share of the initial concurrency.
+SERVERS_PER_CONCURRENT_ATTEMPT = 4.0
+# Minimum number of servers in the subset: a smaller subset saves little, and the loss of a region could leave
+# too few servers.
+MIN_SUBSET_SIZE = 256
+RETAINED_NAMES_PER_SUBSET_SERVER = 2  # the retained names cover the subset and as many servers on standby
 RING_SIZE = 1 << 32  # positions on a hash ring
 # Distance from each gateway to the next on each ring. Multiples of these fractions (golden ratio - 1, square
 # root of 2 - 1) spread evenly over a ring for any number of gateways. The fractions differ, so that neighbors
--- a/quota_gateway/policy/unknown_customers.py
+++ b/quota_gateway/policy/unknown_customers.py
@@ -9,8 +9,8 @@
 from quota_gateway.policy.in_flight_limit import SMALL_GATEWAY_SET_SIZE
 from quota_gateway.policy.quota import LocalQuota
 
-INITIAL_ADMITTED_SHARE = 0.2  # share of the requests of unknown customers, before any report
-# The share stays above 0, as only reports raise it again, and only admitted customers are reported.
+INITIAL_ADMITTED_SHARE = 0.2  # admitted share of the requests of unknown customers before any report
+# The admitted share stays above 0, as only reports raise it again, and only admitted customers are reported.
 MIN_ADMITTED_SHARE = 0.08
 # Change of the logarithm of the admitted share by a report that deviates by 1 from the target.
 ADMITTED_SHARE_LOG_STEP = 0.6
--- a/quota_gateway/resources.py
+++ b/quota_gateway/resources.py
@@ -14,11 +14,12 @@
 
 DESCRIPTOR_FOLDER = Path("/proc/self/fd")
 STANDARD_STREAMS = 3  # standard input, standard output, and standard error for the log
-# epoll and its io_uring, the wake-up descriptor, two pipes and a socket pair for signals, one to spare
+# The event loop has epoll and its io_uring, the wake-up descriptor, two pipes and a socket pair for signals,
+# and one descriptor to spare.
 EVENT_LOOP_DESCRIPTORS = 10
 DISCOVERY_DESCRIPTORS = 4  # two watches, at discovery's previous and new address, and as many being closed
 LISTENER_DESCRIPTORS = 2  # one listener for clients, one for the next process
-# channels to both peer processes, queued connections, and the listener that is handed over
+# The handover has channels to both peer processes, queued connections, and the listener that is handed over.
 HANDOVER_DESCRIPTORS = 2 + MAX_QUEUED_PACKETS + 1
 FILE_DESCRIPTORS = 2  # files open for a moment: the configuration at SIGHUP, a folder, a module
 SPARE_DESCRIPTORS = 8
@@ -30,7 +31,7 @@
     + FILE_DESCRIPTORS
     + SPARE_DESCRIPTORS
 )
-# twice the connections, as an evicted one is closed a little later, plus the listener
+# Twice the admin connections, as an evicted one is closed a little later, plus the listener.
 ADMIN_DESCRIPTORS = 2 * MAX_ADMIN_CONNECTIONS + 1
 # Share of the remaining descriptors for upstream connections. It is small, as most client connections have
 # no request in flight.
@@ -38,7 +39,7 @@
 MIN_CONNECTIONS = 2  # minimum of client and upstream connections together, however low the limit is
 
 MEGABYTE = 1 << 20
-PROGRAM_BYTES = 20 * MEGABYTE  # the program with an endpoint list and the state of its customers
+PROGRAM_BYTES = 20 * MEGABYTE  # memory of the program with an endpoint list and the state of its customers
 # Share of the remaining memory for clients' commands; upstream replies have the same share.
 BUFFER_MEMORY_SHARE = 0.4
 MIN_BUFFERED_BYTES = 2 * MEGABYTE
@@ -73,7 +74,8 @@
         listed = len(list(DESCRIPTOR_FOLDER.iterdir()))
     except OSError:
         return STANDARD_STREAMS
-    return max(STANDARD_STREAMS, listed - 1)  # one descriptor is open to read the folder itself
+    # One of the listed descriptors is open to read the folder itself.
+    return max(STANDARD_STREAMS, listed - 1)
 
 
 def divide_descriptors(limit: int, inherited: int, has_admin: bool) -> DescriptorBudget:
--- a/quota_gateway/simulator.py
+++ b/quota_gateway/simulator.py
@@ -18,7 +18,8 @@
 
 Fields = dict[str, Any]  # the fields of one message by their names in the protocol
 EventReader = Callable[[Fields], model.Event]
-ActionWriter = Callable[[Any], tuple[str, Fields]]  # returns the name of the message and its fields
+# An action writer returns the name of the message and its fields.
+ActionWriter = Callable[[Any], tuple[str, Fields]]
 
 STATUS_CODES = {
     200: model.AttemptStatus.OK,
@@ -77,7 +78,8 @@
 
 
 def _outcome(fields: Fields) -> model.Outcome:
-    metered = fields["metered"]  # the percentage plus one, so that 0 stands for no usage report
+    # The field is the usage percentage plus one, so that 0 stands for no usage report.
+    metered = fields["metered"]
     return model.Outcome(
         request_id=fields["op_id"],
         attempt=fields["seq_no"],
--- a/quota_gateway/telemetry/event_trace.py
+++ b/quota_gateway/telemetry/event_trace.py
@@ -7,8 +7,8 @@
 from typing import NamedTuple
 
 MS_PER_S = 1000.0
-MAX_EVENTS = 4096  # the events of some seconds in a busy gateway
-MAX_SHOWN_EVENTS = 12  # the last events of one subject, in one log line
+MAX_EVENTS = 4096  # a busy gateway reaches the maximum in some seconds
+MAX_SHOWN_EVENTS = 12  # maximum number of one subject's events in one log line; the last ones are shown
 
 
 class TracedEvent(NamedTuple):
