--- a/quota_gateway/net/acceptor.py
+++ b/quota_gateway/net/acceptor.py
@@ -145,7 +145,7 @@
         for _ in range(min(MAX_ACCEPTS_PER_TURN, self._owner.available_capacity())):
             if self.socket is None or not self._accept_one(self.socket):
                 return
-        self.resume()  # the rest of the queue is accepted in the next turn of the loop
+        self.resume()  # the rest of the queue is accepted in the next iteration of the loop
 
     def _accept_one(self, listening_socket: socket.socket) -> bool:
         """Accept one connection; return whether to accept more."""
--- a/quota_gateway/net/discovery/reconnect_backoff.py
+++ b/quota_gateway/net/discovery/reconnect_backoff.py
@@ -8,7 +8,7 @@
 MAX_BACKOFF_S = 4.0  # the longest wait if discovery rejects watches because it has too many of them
 # The longest wait if discovery did not reject the watch: its agent is on this machine, and watches are cheap.
 MAX_LOCAL_BACKOFF_S = 1.0
-# The longest time between the starts of two attempts: an update counts as delivered 6 s after discovery is
+# The longest time between the starts of two attempts: an update counts as notified 6 s after discovery is
 # back, and the next attempt may take CONNECT_TIMEOUT_S to connect.
 MAX_ATTEMPT_INTERVAL_S = 4.2
 JITTER_SHARE = 0.5  # the largest share of a wait that the random jitter removes
--- a/quota_gateway/net/discovery/watch_connection.py
+++ b/quota_gateway/net/discovery/watch_connection.py
@@ -1,7 +1,7 @@
 """One watch on discovery: an HTTP exchange whose endless response has an update or a heartbeat per line.
 
 See docs/decisions/discovery-timeouts.md for how the timeouts follow from the time after which an update
-counts as delivered, and docs/decisions/discovery-long-lists.md for how long documents are read.
+counts as notified, and docs/decisions/discovery-long-lists.md for how long documents are read.
 """
 
 from __future__ import annotations
--- a/quota_gateway/net/upstream/reply_parser.py
+++ b/quota_gateway/net/upstream/reply_parser.py
@@ -38,7 +38,7 @@
 
 
 class ReplyParser:
-    """Parses the replies of servers, with the usage figures and load reports in them.
+    """Parses the replies of servers, with the usage reports and load reports in them.
 
     Figures that are malformed or impossible are dropped, and the value is served all the same; see
     docs/decisions/upstream-replies.md.
--- a/quota_gateway/server.py
+++ b/quota_gateway/server.py
@@ -38,7 +38,7 @@
 LISTEN_TIMEOUT_S = 5.0  # wait for an address in use; a new version has to be ready within 6 s
 LISTEN_RETRY_S = 0.05
 # Wait for a readable configuration. The new discovery address has to be known 4 s after SIGHUP, when its
-# updates count as delivered.
+# updates count as notified.
 RELOAD_TIMEOUT_S = 3.0
 RELOAD_RETRY_S = 0.1
 # Wait for discovery before the gateway serves with the known endpoint list, which may be out of date.
--- a/scale/play.py
+++ b/scale/play.py
@@ -22,7 +22,7 @@
 from scale.testbed import Testbed
 
 SETTLING_S = 8.0
-"""Wait after the load: an update counts as delivered 6 s after its publication (PROTOCOL, Figures)."""
+"""Wait after the load: an update counts as notified 6 s after its publication (PROTOCOL, Figures)."""
 
 PHASE_GAP_S = 0.2
 """Additional time of each phase beyond the length of its load."""
